--- a/crates/cloverpier_front/src/gossip.rs
+++ b/crates/cloverpier_front/src/gossip.rs
@@ -4,9 +4,8 @@
 //! heartbeat says it all again. All are in `MessagePack`.
 
 use crate::front::{Front, PEERS_A_TURN};
-use cloverpier_core::DataCentre;
+use crate::peer_messages::{Change, Heartbeat, LoadReport, PeerMessage, decode, encode};
 use cloverpier_relay::prelude::*;
-use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -27,67 +26,6 @@
 /// Seeds are named again this often.
 const SEED_PERIOD: Duration = Duration::from_secs(2);
 
-/// Work at one server, in few bytes.
-#[derive(Debug, Serialize, Deserialize)]
-struct WorkReport {
-    server: ServerKey,
-    requests: u32,
-    unread_tokens: u32,
-    memory_tokens: u32,
-}
-
-impl WorkReport {
-    fn new((server, work): (ServerKey, Work)) -> Self {
-        Self {
-            server,
-            requests: work.requests,
-            unread_tokens: work.unread_tokens,
-            memory_tokens: work.memory_tokens,
-        }
-    }
-
-    fn into_work(self) -> (ServerKey, Work) {
-        let work = Work {
-            requests: self.requests,
-            unread_tokens: self.unread_tokens,
-            memory_tokens: self.memory_tokens,
-        };
-        (self.server, work)
-    }
-}
-
-/// All that a front tells its peers, every period.
-#[derive(Debug, Serialize, Deserialize)]
-struct Heartbeat {
-    sender: SocketAddr,
-    front: SocketAddr,
-    data_centre: DataCentre,
-    state: PeerState,
-    catalog_version: u64,
-    fleet_revision: u64,
-    store_age_ms: Option<u32>,
-    work: Vec<WorkReport>,
-    suspects: Vec<ServerKey>,
-    places: Vec<(PromptKey, ServerKey)>,
-    named: Vec<SocketAddr>,
-    spent: Vec<(ServiceKey, BudgetUse)>,
-}
-
-/// What peers should hear at once.
-#[derive(Debug, Serialize, Deserialize)]
-struct Change {
-    sender: SocketAddr,
-    work: Vec<WorkReport>,
-    suspects: Vec<ServerKey>,
-    places: Vec<(PromptKey, ServerKey)>,
-}
-
-#[derive(Debug, Serialize, Deserialize)]
-enum Message {
-    Heartbeat(Heartbeat),
-    Change(Change),
-}
-
 /// Sends heartbeats and changes for as long as the process runs.
 pub(crate) async fn send_messages(front: Rc<Front>, socket: Rc<UdpSocket>) {
     let mut turn = 0;
@@ -103,11 +41,15 @@
             forget_old(&front, now);
             front.decide_following(now);
             let peers = heartbeat_peers(&front, &mut turn, now);
-            send(&socket, &Message::Heartbeat(heartbeat(&front, now)), &peers);
+            send(
+                &socket,
+                &PeerMessage::Heartbeat(heartbeat(&front, now)),
+                &peers,
+            );
             next_heartbeat = now + front.settings().heartbeat;
         }
         if let Some(change) = take_change(&front) {
-            send(&socket, &Message::Change(change), &change_peers(&front));
+            send(&socket, &PeerMessage::Change(change), &change_peers(&front));
         }
         wait_for_news(&front, next_heartbeat).await;
     }
@@ -122,8 +64,8 @@
     }
 }
 
-fn send(socket: &UdpSocket, message: &Message, peers: &[SocketAddr]) {
-    let Ok(bytes) = rmp_serde::to_vec(message) else {
+fn send(socket: &UdpSocket, message: &PeerMessage, peers: &[SocketAddr]) {
+    let Ok(bytes) = encode(message) else {
         return;
     };
     for peer in peers {
@@ -186,17 +128,17 @@
     let named = front.rng.borrow_mut().choose_multiple(named, NAMED);
     Heartbeat {
         sender: settings.listen.peers,
-        front: settings.listen.callers,
+        callers: settings.listen.callers,
         data_centre: settings.data_centre.clone(),
         state: front.state(),
-        catalog_version: front.catalog().map_or(0, |c| c.version()),
-        fleet_revision: fleet.revision(),
+        configuration_version: front.catalog().map_or(0, |c| c.version()),
+        upstreams_revision: fleet.revision(),
         store_age_ms: store_age_ms(front, now),
-        work: work.into_iter().map(WorkReport::new).collect(),
+        load: work.into_iter().map(LoadReport::new).collect(),
         suspects,
-        places: running_places(front),
-        named,
-        spent: front.spent(now),
+        prompt_locations: running_places(front),
+        known_peers: named,
+        budget_use: front.spent(now),
     }
 }
 
@@ -229,10 +171,10 @@
     Some(Change {
         sender: front.settings().listen.peers,
         suspects: suspects.map(|s| s.key).collect(),
-        places,
-        work: states
+        prompt_locations: places,
+        load: states
             .iter()
-            .map(|s| WorkReport::new((s.key, s.own)))
+            .map(|s| LoadReport::new((s.key, s.own)))
             .collect(),
     })
 }
@@ -246,9 +188,9 @@
             continue;
         };
         let now = Instant::now();
-        match rmp_serde::from_slice(&buffer[..length]) {
-            Ok(Message::Heartbeat(heartbeat)) => on_heartbeat(&front, heartbeat, now),
-            Ok(Message::Change(change)) => on_change(&front, change, now),
+        match decode(&buffer[..length]) {
+            Ok(PeerMessage::Heartbeat(heartbeat)) => on_heartbeat(&front, heartbeat, now),
+            Ok(PeerMessage::Change(change)) => on_change(&front, change, now),
             // Of another release, or cut off: the next one may be read.
             Err(_) => {}
         }
@@ -256,12 +198,12 @@
 }
 
 fn on_change(front: &Front, change: Change, now: Instant) {
-    for (prompt, server) in change.places {
+    for (prompt, server) in change.prompt_locations {
         front.places.borrow_mut().on_read(prompt, server, now);
     }
     let mut fleet = front.fleet.borrow_mut();
-    for report in change.work {
-        let (key, work) = report.into_work();
+    for report in change.load {
+        let (key, work) = report.into_load();
         fleet.peer_work.on_change(change.sender, key, work, now);
     }
     for key in change.suspects {
@@ -275,21 +217,21 @@
         return;
     }
     let mut fleet = front.fleet.borrow_mut();
-    let work = heartbeat.work.into_iter().map(WorkReport::into_work);
+    let work = heartbeat.load.into_iter().map(LoadReport::into_load);
     fleet
         .peer_work
         .on_report(heartbeat.sender, work.collect(), now);
     for key in heartbeat.suspects {
         fleet.on_doubt(key, now);
     }
-    for (prompt, server) in heartbeat.places {
+    for (prompt, server) in heartbeat.prompt_locations {
         front.places.borrow_mut().on_read(prompt, server, now);
     }
-    let is_newer = heartbeat.fleet_revision > fleet.revision()
-        || heartbeat.catalog_version > front.catalog().map_or(0, |c| c.version());
+    let is_newer = heartbeat.upstreams_revision > fleet.revision()
+        || heartbeat.configuration_version > front.catalog().map_or(0, |c| c.version());
     drop(fleet);
     let mut directory = front.directory.borrow_mut();
-    for peer in heartbeat.named {
+    for peer in heartbeat.known_peers {
         if peer != own {
             directory.on_named(peer, now);
         }
@@ -300,14 +242,14 @@
     directory.on_heard(
         heartbeat.sender,
         PeerEntry {
-            front: heartbeat.front,
+            front: heartbeat.callers,
             data_centre: heartbeat.data_centre,
             state: heartbeat.state,
             heard: now,
-            catalog_version: heartbeat.catalog_version,
-            fleet_revision: heartbeat.fleet_revision,
+            catalog_version: heartbeat.configuration_version,
+            fleet_revision: heartbeat.upstreams_revision,
             store_age,
-            spent: heartbeat.spent,
+            spent: heartbeat.budget_use,
         },
     );
     if is_newer {
--- a/crates/cloverpier_front/src/lib.rs
+++ b/crates/cloverpier_front/src/lib.rs
@@ -29,6 +29,7 @@
 mod links;
 mod metrics;
 mod outcome;
+pub mod peer_messages;
 mod plain;
 mod pool;
 mod probe;
--- /dev/null
+++ b/crates/cloverpier_front/src/peer_messages.rs
@@ -0,0 +1,157 @@
+//! Messages between routers: their shapes and their codec.
+//!
+//! Owns everything that one router sends to another: datagrams (heartbeats and
+//! changes) and the replies to fetches of newer versions. All are `MessagePack`
+//! without field names, so the *order* of fields is on the wire, and so are the
+//! names of enum variants; names of fields and types are free. The golden files
+//! in `tests/golden` hold the bytes, and a change there is a change of protocol.
+//!
+//! Relies on the types of `cloverpier_relay` that travel inside the messages.
+
+use cloverpier_core::DataCentre;
+use cloverpier_relay::prelude::*;
+use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
+use snafu::{ResultExt, Snafu};
+use std::net::SocketAddr;
+
+/// The sender's own load at one upstream.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct LoadReport {
+    /// The upstream.
+    pub upstream: ServerKey,
+    /// Requests in flight.
+    pub requests: u32,
+    /// Prompt tokens that the upstream has not read yet.
+    pub unread_tokens: u32,
+    /// Tokens in the upstream's memory, or to come there.
+    pub memory_tokens: u32,
+}
+
+impl LoadReport {
+    /// A report of the load at one upstream.
+    pub fn new((upstream, load): (ServerKey, Work)) -> Self {
+        Self {
+            upstream,
+            requests: load.requests,
+            unread_tokens: load.unread_tokens,
+            memory_tokens: load.memory_tokens,
+        }
+    }
+
+    /// The upstream and the load there.
+    pub fn into_load(self) -> (ServerKey, Work) {
+        let load = Work {
+            requests: self.requests,
+            unread_tokens: self.unread_tokens,
+            memory_tokens: self.memory_tokens,
+        };
+        (self.upstream, load)
+    }
+}
+
+/// The whole state that a router reports to its peers in each period.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Heartbeat {
+    /// The sender's address for peers, which identifies it.
+    pub sender: SocketAddr,
+    /// Where the sender serves callers.
+    pub callers: SocketAddr,
+    /// The sender's data centre.
+    pub data_centre: DataCentre,
+    /// Whether the sender takes new callers.
+    pub state: PeerState,
+    /// Version of the configuration that the sender uses; 0 before the first.
+    pub configuration_version: u64,
+    /// Revision of the sender's list of upstreams.
+    pub upstreams_revision: u64,
+    /// Milliseconds since the sender's last successful store call; `None` if it does not watch
+    /// the store.
+    pub store_age_ms: Option<u32>,
+    /// The sender's load at each upstream where it has any.
+    pub load: Vec<LoadReport>,
+    /// Upstreams that the sender suspects to be dead.
+    pub suspects: Vec<ServerKey>,
+    /// Engines that run the sender's streams, by prompt.
+    pub prompt_locations: Vec<(PromptKey, ServerKey)>,
+    /// Some of the sender's peers, by which routers discover each other.
+    pub known_peers: Vec<SocketAddr>,
+    /// The sender's use of each service's retry budget.
+    pub budget_use: Vec<(ServiceKey, BudgetUse)>,
+}
+
+/// What changed at a router since its last message, sent at once.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Change {
+    /// The sender's address for peers.
+    pub sender: SocketAddr,
+    /// The sender's load at upstreams where it changed.
+    pub load: Vec<LoadReport>,
+    /// Those of these upstreams that the sender suspects.
+    pub suspects: Vec<ServerKey>,
+    /// Engines that have begun to read a prompt.
+    pub prompt_locations: Vec<(PromptKey, ServerKey)>,
+}
+
+/// A datagram.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum PeerMessage {
+    /// Sent every period.
+    Heartbeat(Heartbeat),
+    /// Sent between heartbeats.
+    Change(Change),
+}
+
+/// The reply to a fetch of upstreams.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum UpstreamsReply {
+    /// The whole list.
+    List {
+        /// All upstreams that are listed.
+        servers: Vec<Server>,
+        /// The revision of the list.
+        revision: u64,
+    },
+    /// The changes since the revision that was asked for.
+    Changes {
+        /// The changes, in order.
+        changes: Vec<ServerChange>,
+        /// The revision that they lead to.
+        revision: u64,
+    },
+}
+
+/// A message could not be written or read.
+#[derive(Debug, Snafu)]
+pub enum CodecError {
+    /// A message could not be written.
+    #[snafu(display("cannot encode a peer message: {source}"))]
+    Encode {
+        /// The codec's error.
+        source: rmp_serde::encode::Error,
+    },
+    /// Bytes are no message, or one of another release.
+    #[snafu(display("cannot decode a peer message: {source}"))]
+    Decode {
+        /// The codec's error.
+        source: rmp_serde::decode::Error,
+    },
+}
+
+/// Writes a message.
+///
+/// # Errors
+///
+/// [`CodecError::Encode`].
+pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, CodecError> {
+    rmp_serde::to_vec(message).context(EncodeSnafu)
+}
+
+/// Reads a message.
+///
+/// # Errors
+///
+/// [`CodecError::Decode`] for bytes of another shape.
+pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
+    rmp_serde::from_slice(bytes).context(DecodeSnafu)
+}
--- a/crates/cloverpier_front/src/versions.rs
+++ b/crates/cloverpier_front/src/versions.rs
@@ -3,12 +3,12 @@
 use crate::body::ReplyBody;
 use crate::connection::Caller;
 use crate::front::Front;
+use crate::peer_messages::{UpstreamsReply, decode, encode};
 use crate::reply::{Reply, own_reply};
 use crate::sync::{FleetChange, FleetList, take_catalog, take_changes, take_fleet};
 use cloverpier_relay::prelude::*;
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
-use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -26,18 +26,6 @@
 const CATALOG_PATH: &str = "/versions/catalog";
 const FLEET_PATH: &str = "/versions/fleet";
 
-/// Servers as they travel between fronts.
-#[derive(Debug, Serialize, Deserialize)]
-enum FleetMessage {
-    /// The whole list.
-    List { servers: Vec<Server>, revision: u64 },
-    /// What has changed since the revision that was asked for.
-    Changes {
-        changes: Vec<ServerChange>,
-        revision: u64,
-    },
-}
-
 /// A peer that knows a newer version.
 struct Newer {
     peer: SocketAddr,
@@ -97,7 +85,7 @@
         .get(CATALOG_PATH, PATIENCE)
         .await;
     let Ok(answer) = answer else { return false };
-    match rmp_serde::from_slice::<CatalogParts>(&answer.body) {
+    match decode::<CatalogParts>(&answer.body) {
         Ok(parts) => take_catalog(front, parts, &format!("peer {}", newer.peer)),
         Err(_) => return false,
     }
@@ -118,11 +106,11 @@
     let answer = caller_of(callers, newer.peer).get(&path, PATIENCE).await;
     let Ok(answer) = answer else { return false };
     let from = format!("peer {}", newer.peer);
-    match rmp_serde::from_slice::<FleetMessage>(&answer.body) {
-        Ok(FleetMessage::List { servers, revision }) => {
+    match decode::<UpstreamsReply>(&answer.body) {
+        Ok(UpstreamsReply::List { servers, revision }) => {
             take_fleet(front, FleetList { servers, revision }, &from);
         }
-        Ok(FleetMessage::Changes { changes, revision }) => {
+        Ok(UpstreamsReply::Changes { changes, revision }) => {
             take_changes(front, FleetChange { changes, revision }, &from);
         }
         Err(_) => return false,
@@ -133,9 +121,7 @@
 /// Hands versions to peers.
 pub(crate) async fn on_peer(front: Rc<Front>, request: Request<Incoming>) -> Reply {
     let packed = match request.uri().path() {
-        CATALOG_PATH => front
-            .catalog()
-            .and_then(|c| rmp_serde::to_vec(c.parts()).ok()),
+        CATALOG_PATH => front.catalog().and_then(|c| encode(c.parts()).ok()),
         FLEET_PATH if front.fleet_known.get() => pack_fleet(&front, asked_after(&request)),
         _ => None,
     };
@@ -155,11 +141,11 @@
     let revision = fleet.revision();
     let changes = after.and_then(|after| fleet.changes_after(after));
     let message = match changes {
-        Some(changes) => FleetMessage::Changes { changes, revision },
-        None => FleetMessage::List {
+        Some(changes) => UpstreamsReply::Changes { changes, revision },
+        None => UpstreamsReply::List {
             servers: fleet.listed(),
             revision,
         },
     };
-    rmp_serde::to_vec(&message).ok()
+    encode(&message).ok()
 }
--- /dev/null
+++ b/crates/cloverpier_front/tests/peer_messages.rs
@@ -0,0 +1,208 @@
+//! Messages between routers, held against the bytes that commit 72eb395 wrote.
+//!
+//! Each golden file must decode to the value below, and the value must encode to
+//! the same bytes. So routers of both releases read each other.
+
+use cloverpier_core::{DataCentre, ServiceName, UpstreamName};
+use cloverpier_front::peer_messages::*;
+use cloverpier_relay::prelude::*;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use std::fmt::Debug;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::time::Duration;
+
+fn golden(name: &str) -> Vec<u8> {
+    let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
+    let text = std::fs::read_to_string(dir.join(format!("{name}.hex"))).unwrap();
+    let digits: String = text.split_whitespace().collect();
+    let starts = (0..digits.len()).step_by(2);
+    let bytes = starts.map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap());
+    bytes.collect()
+}
+
+#[track_caller]
+fn assert_is_golden<T: Serialize + DeserializeOwned + Debug + PartialEq>(name: &str, value: &T) {
+    let bytes = golden(name);
+    assert_eq!(&decode::<T>(&bytes).unwrap(), value, "{name} is read");
+    assert_eq!(encode(value).unwrap(), bytes, "{name} is written");
+}
+
+fn address(port: u16) -> SocketAddr {
+    ([127, 0, 0, 1], port).into()
+}
+
+fn load() -> Vec<LoadReport> {
+    vec![
+        LoadReport {
+            upstream: ServerKey(21),
+            requests: 22,
+            unread_tokens: 23,
+            memory_tokens: 24,
+        },
+        LoadReport {
+            upstream: ServerKey(0x0102_0304_0506_0708),
+            requests: 0,
+            unread_tokens: 70_000,
+            memory_tokens: 300,
+        },
+    ]
+}
+
+fn prompt_locations() -> Vec<(PromptKey, ServerKey)> {
+    vec![(PromptKey(31), ServerKey(32))]
+}
+
+fn heartbeat(state: PeerState, store_age_ms: Option<u32>) -> PeerMessage {
+    PeerMessage::Heartbeat(Heartbeat {
+        sender: address(7104),
+        callers: address(7101),
+        data_centre: DataCentre::new("hall-a"),
+        state,
+        configuration_version: 11,
+        upstreams_revision: 12,
+        store_age_ms,
+        load: load(),
+        suspects: vec![ServerKey(25), ServerKey(26)],
+        prompt_locations: prompt_locations(),
+        known_peers: vec![address(7204), "[::1]:7304".parse().unwrap()],
+        budget_use: vec![(
+            ServiceKey(41),
+            BudgetUse {
+                requests: 42,
+                repeats: 43,
+            },
+        )],
+    })
+}
+
+#[test]
+fn heartbeats_keep_their_bytes() {
+    let ready = heartbeat(PeerState::Ready, Some(13));
+    assert_is_golden("heartbeat_ready", &ready);
+    let starting = heartbeat(PeerState::Starting, None);
+    assert_is_golden("heartbeat_starting", &starting);
+    let leaving = heartbeat(PeerState::Leaving, Some(70_000));
+    assert_is_golden("heartbeat_leaving", &leaving);
+}
+
+#[test]
+fn changes_keep_their_bytes() {
+    let change = PeerMessage::Change(Change {
+        sender: address(7104),
+        load: load(),
+        suspects: vec![ServerKey(25)],
+        prompt_locations: prompt_locations(),
+    });
+    assert_is_golden("change", &change);
+}
+
+fn upstream(number: u16) -> Server {
+    Server {
+        name: UpstreamName::new(format!("e{number}")),
+        service: ServiceName::new("drafts"),
+        address: address(7_000 + number),
+        data_centre: DataCentre::new("hall-b"),
+        slots: 64,
+        draining: number == 2,
+    }
+}
+
+#[test]
+fn replies_on_upstreams_keep_their_bytes() {
+    let list = UpstreamsReply::List {
+        servers: vec![upstream(1), upstream(2)],
+        revision: 300,
+    };
+    assert_is_golden("upstreams_list", &list);
+    let changes = UpstreamsReply::Changes {
+        changes: vec![
+            ServerChange::Listed(upstream(2)),
+            ServerChange::Gone(UpstreamName::new("e3")),
+        ],
+        revision: 301,
+    };
+    assert_is_golden("upstreams_changes", &changes);
+}
+
+fn route(name: &str, streaming: bool) -> Route {
+    Route {
+        name: name.to_owned(),
+        host: "ledger.example".to_owned(),
+        prefix: format!("/{name}/"),
+        streaming,
+        resumable: streaming,
+        safe: !streaming,
+        timeout: Duration::from_millis(1_250),
+        objective: Duration::from_millis(400),
+        gap_objective: streaming.then_some(Duration::from_millis(700)),
+        priority: 3,
+        max_attempts: 4,
+        public: !streaming,
+        targets: vec![
+            RouteTarget {
+                service: ServiceName::new("drafts"),
+                weight: 0.75,
+            },
+            RouteTarget {
+                service: ServiceName::new("lookups"),
+                weight: 0.25,
+            },
+        ],
+    }
+}
+
+fn services() -> Vec<ServiceTraits> {
+    vec![
+        ServiceTraits {
+            name: ServiceName::new("drafts"),
+            health_path: "/health".to_owned(),
+            max_connections: 32,
+            engine: Some(EngineTraits {
+                memory_tokens: 88_000,
+                backups: true,
+            }),
+        },
+        ServiceTraits {
+            name: ServiceName::new("lookups"),
+            health_path: "/".to_owned(),
+            max_connections: 8,
+            engine: None,
+        },
+    ]
+}
+
+fn accounts() -> Vec<Tenant> {
+    vec![
+        Tenant {
+            name: "lab".to_owned(),
+            priority: Some(2),
+            keys: vec!["k1".to_owned(), "k2".to_owned()],
+        },
+        Tenant {
+            name: "desk".to_owned(),
+            priority: None,
+            keys: vec![],
+        },
+    ]
+}
+
+#[test]
+fn configurations_keep_their_bytes() {
+    let configuration = CatalogParts {
+        version: 17,
+        routes: vec![route("drafts", true), route("status", false)],
+        services: services(),
+        tenants: Some(accounts()),
+        limits: Limits {
+            header_bytes: 9_000,
+            body_bytes: 80_000,
+            header_timeout: Duration::from_millis(2_500),
+            idle_timeout: Duration::from_secs(12),
+        },
+    };
+    assert_is_golden("configuration", &configuration);
+    let without = CatalogParts::default();
+    assert_is_golden("configuration_without_accounts", &without);
+}
