--- a/crates/cloverpier_relay_standin/src/server.rs
+++ b/crates/cloverpier_relay_standin/src/server.rs
@@ -5,7 +5,7 @@
 use cloverpier_core::{DataCentre, ServiceName, UpstreamName};
 use cloverpier_front::HeaderNames;
 use cloverpier_relay::prelude::Server;
-use std::collections::{HashMap, HashSet};
+use std::collections::{BTreeMap, HashMap, HashSet};
 use std::io;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -56,6 +56,8 @@
     pub stopped: HashSet<String>,
     /// Servers that each request reached, in order.
     pub reached: HashMap<String, Vec<UpstreamName>>,
+    /// The headers that each request had when it ran last, by name.
+    pub heads: HashMap<String, BTreeMap<String, String>>,
 }
 
 /// A ledger that servers share.
@@ -366,6 +368,8 @@
     };
     let mut ledger = lock(&state.ledger);
     *ledger.runs.entry(id.clone()).or_default() += 1;
+    let headers = head.headers.clone().into_iter().collect();
+    ledger.heads.insert(id.clone(), headers);
     ledger
         .reached
         .entry(id.clone())
