--- /dev/null
+++ b/crates/cloverpier_peer/tests/wire.rs
@@ -0,0 +1,328 @@
+//! Messages between routers of `cloverpierd` and its stored objects, as golden files.
+//!
+//! The golden files were written by commit 72eb395. Messages are held as bytes, stored
+//! objects as JSON; each is read back, so that both releases read each other.
+
+use cloverpier_admit::{Loan, Quota};
+use cloverpier_answer::{
+    AppendReply, AttemptId, Entry, EntryHead, EventId, Finish, FinishReason, HeldAnswer, SealReply,
+    Source,
+};
+use cloverpier_config::{Account, Config, Part, Repeatable, Root, Service, Upstream, split};
+use cloverpier_core::{Chain, MemberId, RequestKey};
+use cloverpier_member::{Member, MemberList};
+use cloverpier_peer::prelude::*;
+use cloverpier_record::{ClaimId, ClaimReply, Outcome, Record, Slot, StoredAnswer, SyncReply};
+use cloverpier_route::{LeaveMark, LeaveMarks};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use std::fmt::{Debug, Write as _};
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+fn at(port: u16) -> SocketAddr {
+    ([127, 0, 0, 1], port).into()
+}
+
+fn versions() -> Versions {
+    Versions {
+        member: MemberId::new("vm-1~7"),
+        peers_at: at(7201),
+        epoch: 11,
+        config: 12,
+        marks: 13,
+    }
+}
+
+fn member(n: u16) -> Member {
+    Member::new(&format!("vm-{n}"), 7, "hall-a", at(7200 + n), at(7100 + n))
+}
+
+fn members() -> MemberList {
+    let list = MemberList::default();
+    let list = list.with_all_joined(vec![member(1), member(2)]);
+    let list = list.with_joined(member(3)).with_stopping(&member(2).id);
+    list.without(&[member(1).id].into())
+}
+
+fn finish() -> Finish {
+    Finish {
+        tokens: 3,
+        chain: Chain::over(["a", "b", "c"]),
+        reason: FinishReason::Length,
+    }
+}
+
+fn source() -> Source {
+    Source {
+        upstream: "e1".into(),
+        attempt: AttemptId {
+            term: 21,
+            opener: 22,
+            number: 23,
+        },
+    }
+}
+
+fn tokens() -> Vec<Arc<str>> {
+    vec![" a".into(), " b".into()]
+}
+
+fn entries() -> Vec<Entry> {
+    let first = Entry {
+        key: RequestKey::new("lab/17"),
+        term: 31,
+        head: Some(EntryHead {
+            body: 32,
+            source: Some(source()),
+        }),
+        offset: 0,
+        tokens: tokens(),
+        finish: None,
+    };
+    let last = Entry {
+        head: None,
+        offset: 2,
+        finish: Some(finish()),
+        ..first.clone()
+    };
+    vec![first, last]
+}
+
+fn claim() -> ClaimId {
+    ClaimId {
+        router: MemberId::new("vm-2~7"),
+        number: 41,
+    }
+}
+
+fn record(outcome: Outcome) -> Record {
+    Record {
+        key: RequestKey::new("lab/18"),
+        claim: claim(),
+        body: 42,
+        outcome,
+        age_ms: 43,
+    }
+}
+
+fn done() -> Outcome {
+    Outcome::Done(StoredAnswer {
+        status: 201,
+        content_type: Some("text/plain".into()),
+        body: Some(b"ok".to_vec()),
+    })
+}
+
+fn marks() -> LeaveMarks {
+    let mut marks = LeaveMarks::default();
+    for (name, incarnation) in [("e1", 1), ("e2", 5)] {
+        marks.add(&LeaveMark {
+            upstream: name.into(),
+            incarnation,
+        });
+    }
+    marks
+}
+
+fn config() -> Config {
+    let mut config = Config::default();
+    config
+        .services
+        .insert("drafts".into(), Service::model("draft-7b"));
+    config
+        .services
+        .insert("status".into(), Service::plain(Repeatable::Reads));
+    let upstream = Upstream::new("drafts".into(), at(9000), "hall-a".into());
+    config.upstreams.insert("e1".into(), upstream);
+    let account = Account::new("lab.secret", vec!["drafts".into()]);
+    config.accounts.insert("lab".into(), Arc::new(account));
+    config
+}
+
+fn parts() -> Vec<Part> {
+    let parts = split(&config()).into_iter();
+    parts.filter(|p| *p != Part::default()).collect()
+}
+
+fn requests() -> Vec<PeerRequest> {
+    let quota = |n: f64| Quota {
+        requests: n,
+        tokens: n * 100.0,
+    };
+    let key = RequestKey::new("lab/17");
+    vec![
+        PeerRequest::Heartbeat {
+            versions: versions(),
+        },
+        PeerRequest::Join { member: member(3) },
+        PeerRequest::Borrow {
+            account: "lab".into(),
+            need: quota(1.0),
+            want: quota(2.5),
+        },
+        PeerRequest::Probe { peers_at: at(7202) },
+        PeerRequest::Append {
+            owner: MemberId::new("vm-1~7"),
+            entries: entries(),
+        },
+        PeerRequest::Seal {
+            key: key.clone(),
+            term: 51,
+            owner: MemberId::new("vm-3~7"),
+        },
+        PeerRequest::Note {
+            notes: vec![LocateNote {
+                key: key.clone(),
+                holder: MemberId::new("vm-2~7"),
+            }],
+        },
+        PeerRequest::Locate { key: key.clone() },
+        PeerRequest::Claim {
+            epoch: 52,
+            key: key.clone(),
+            body: 53,
+            claim: claim(),
+        },
+        PeerRequest::Settle {
+            key: key.clone(),
+            claim: claim(),
+            outcome: done(),
+        },
+        PeerRequest::Release {
+            key,
+            claim: claim(),
+        },
+        PeerRequest::Sync {
+            slot: Slot::of("lab/17"),
+            level: 54,
+            epoch: 55,
+        },
+        PeerRequest::PullMembers,
+        PeerRequest::PullRoot,
+        PeerRequest::PullParts {
+            digests: parts().iter().map(Part::digest).collect(),
+        },
+        PeerRequest::Marks { marks: marks() },
+    ]
+}
+
+fn replies() -> Vec<PeerReply> {
+    let held = HeldAnswer {
+        term: 61,
+        owner: MemberId::new("vm-1~7"),
+        body: 62,
+        source: Some(source()),
+        tokens: tokens(),
+        finish: Some(finish()),
+    };
+    let guest = Guest {
+        member: MemberId::new("vm-9~1"),
+        peers_at: at(7209),
+    };
+    vec![
+        PeerReply::Here {
+            versions: versions(),
+            guests: vec![guest],
+        },
+        PeerReply::Loan(Loan::Lent(Quota {
+            requests: 1.5,
+            tokens: 2.5,
+        })),
+        PeerReply::Loan(Loan::Short { wait_ms: 63 }),
+        PeerReply::Probed { reached: true },
+        PeerReply::Appended(vec![
+            AppendReply::Held {
+                tokens: 64,
+                finished: true,
+            },
+            AppendReply::Gap { tokens: 65 },
+            AppendReply::Sealed { term: 66 },
+        ]),
+        PeerReply::Seal(SealReply::Sealed { held: Some(held) }),
+        PeerReply::Seal(SealReply::Sealed { held: None }),
+        PeerReply::Seal(SealReply::Refused { term: 67 }),
+        PeerReply::Located {
+            holder: Some(MemberId::new("vm-2~7")),
+        },
+        PeerReply::Claim(ClaimReply::Written),
+        PeerReply::Claim(ClaimReply::Taken(record(Outcome::Claimed))),
+        PeerReply::Claim(ClaimReply::OtherEpoch { epoch: 68 }),
+        PeerReply::Claim(ClaimReply::NotReady { retry_ms: 69 }),
+        PeerReply::Sync(SyncReply::Records(vec![
+            record(Outcome::Unknown),
+            record(done()),
+        ])),
+        PeerReply::Sync(SyncReply::NoClaims),
+        PeerReply::Sync(SyncReply::Unknown),
+        PeerReply::Sync(SyncReply::Behind),
+        PeerReply::Members(members()),
+        PeerReply::Root(root()),
+        PeerReply::Parts(parts()),
+        PeerReply::Marks(marks()),
+        PeerReply::Done,
+    ]
+}
+
+fn root() -> Root {
+    let plan = cloverpier_config::PlanId::new("p-1");
+    Root::default().next(&plan, &parts())
+}
+
+/// The message's bytes, with text shown as text.
+#[track_caller]
+fn bytes_of<T: Serialize + DeserializeOwned + Debug>(message: &T) -> String {
+    let bytes = encode(message).unwrap();
+    let read: T = decode(&bytes).unwrap();
+    assert_eq!(format!("{read:?}"), format!("{message:?}"), "is read back");
+    let shown = bytes.iter().map(|b| match b {
+        0x20..=0x7e if *b != b'\\' => char::from(*b).to_string(),
+        _ => format!("\\{b:02x}"),
+    });
+    shown.collect()
+}
+
+#[test]
+fn messages_between_routers_keep_their_bytes() {
+    let mut text = String::new();
+    for request in requests() {
+        let _ = writeln!(text, "{}", bytes_of(&request));
+    }
+    for reply in replies() {
+        let _ = writeln!(text, "{}", bytes_of(&reply));
+    }
+    insta::assert_snapshot!(text);
+}
+
+#[track_caller]
+fn json_of<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, stored: &T) -> String {
+    let json = serde_json::to_string_pretty(stored).unwrap();
+    assert_eq!(&serde_json::from_str::<T>(&json).unwrap(), stored, "{name}");
+    format!("== {name}\n{json}\n")
+}
+
+#[test]
+fn stored_objects_keep_their_form() {
+    let mut text = json_of("members", &members());
+    text += &json_of("root", &root());
+    for part in parts() {
+        text += &json_of("part", &part);
+    }
+    text += &json_of("marks", &marks());
+    insta::assert_snapshot!(text);
+}
+
+#[test]
+fn event_ids_keep_their_form() {
+    let id = EventId {
+        tokens: 3,
+        chain: Chain::over(["a", "b", "c"]),
+        holder: Some(MemberId::new("vm-2~7")),
+    };
+    assert_eq!(EventId::parse(&id.to_string()), Some(id.clone()));
+    let without = EventId {
+        holder: None,
+        ..id.clone()
+    };
+    insta::assert_snapshot!(format!("{id}\n{without}"));
+}
