--- a/crates/cloverpier_config/src/model.rs
+++ b/crates/cloverpier_config/src/model.rs
@@ -133,7 +133,8 @@
     /// Whether it takes new work.
     #[serde(default)]
     pub state: UpstreamState,
-    /// Whether it checks the fence of an order.
+    /// Whether it checks the fence of an order.  Operators may set it; nothing reads it yet,
+    /// as routers give upstreams no orders.
     #[serde(default)]
     pub checks_fence: bool,
     /// Generations that it runs at once.
--- a/crates/cloverpier_front/src/gossip.rs
+++ b/crates/cloverpier_front/src/gossip.rs
@@ -243,7 +243,6 @@
         heartbeat.sender,
         PeerEntry {
             front: heartbeat.callers,
-            data_centre: heartbeat.data_centre,
             state: heartbeat.state,
             heard: now,
             catalog_version: heartbeat.configuration_version,
--- a/crates/cloverpier_front/src/lib.rs
+++ b/crates/cloverpier_front/src/lib.rs
@@ -10,10 +10,16 @@
 //! whether anything came after it, which clients with built-in pools hide.
 //!
 //! ```
-//! use cloverpier_front::prelude::*;
+//! use cloverpier_front::peer_messages::{Change, PeerMessage, decode, encode};
 //!
-//! let dialect = Dialect::default();
-//! assert_eq!(dialect.headers.request_id.as_str(), "cloverpier-request");
+//! let change = PeerMessage::Change(Change {
+//!     sender: ([127, 0, 0, 1], 7104).into(),
+//!     load: Vec::new(),
+//!     suspects: Vec::new(),
+//!     prompt_locations: Vec::new(),
+//! });
+//! let bytes = encode(&change).unwrap();
+//! assert_eq!(decode::<PeerMessage>(&bytes).unwrap(), change);
 //! ```
 
 mod body;
@@ -36,7 +42,6 @@
 mod prompt_search;
 mod reply;
 mod send;
-mod settings;
 mod start;
 mod stop;
 mod stream;
@@ -49,7 +54,6 @@
     pub use crate::connection::{CallError, Caller, SimpleAnswer};
     pub use crate::dialect::{Dialect, HeaderNames, Paths, PromptSize};
     pub use crate::front::Front;
-    pub use crate::settings::FrontSettings;
     pub use crate::start::{StartError, run_front};
     pub use crate::sync::{
         CatalogChange, ConfigurationSource, FleetChange, FleetList, STORE_PATIENCE, SourceError,
--- a/crates/cloverpier_front/src/settings.rs
+++ /dev/null
@@ -1,3 +0,0 @@
-//! The settings, from the crate that reads them.
-
-pub use cloverpier_settings::FrontSettings;
--- a/crates/cloverpier_platform/src/client.rs
+++ b/crates/cloverpier_platform/src/client.rs
@@ -1,6 +1,6 @@
 //! Calls to the platform.
 
-use crate::wire::{ListedObject, ObjectBody, StoredObject, VersionBody, VmList};
+use crate::wire::{ObjectBody, StoredObject, VersionBody};
 use reqwest::{Client, Response, StatusCode};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -158,33 +158,6 @@
             .fail(),
         }
     }
-
-    /// Lists the objects below a prefix.
-    ///
-    /// # Errors
-    ///
-    /// As [`Platform::read`].
-    pub async fn list(&self, prefix: &str) -> Result<Vec<ListedObject>, ReadError> {
-        let url = format!("{}/list/{prefix}", self.base);
-        self.get_json(&url).await
-    }
-
-    /// The list of live and leaving VMs.
-    ///
-    /// # Errors
-    ///
-    /// As [`Platform::read`].
-    pub async fn vms(&self) -> Result<VmList, ReadError> {
-        let url = format!("{}/vms", self.base);
-        self.get_json(&url).await
-    }
-
-    async fn get_json<T: DeserializeOwned>(&self, url: &str) -> Result<T, ReadError> {
-        let req = self.http.get(url).timeout(CALL_TIMEOUT);
-        let res = req.send().await.context(UnavailableSnafu)?;
-        let res = res.error_for_status().context(UnavailableSnafu)?;
-        res.json().await.context(UnavailableSnafu)
-    }
 }
 
 async fn found<T: DeserializeOwned>(
--- a/crates/cloverpier_platform/src/lib.rs
+++ b/crates/cloverpier_platform/src/lib.rs
@@ -1,4 +1,4 @@
-//! The platform's object API and its list of VMs, as a typed client.
+//! The platform's object API, as a typed client.
 //!
 //! All knowledge of the platform's wire shapes is here. Each call gives one
 //! of a few outcomes; an update whose answer was lost is an outcome of its
@@ -23,9 +23,7 @@
 /// What users of the crate need daily.
 pub mod prelude {
     pub use crate::client::{Found, Platform, ReadError, WriteError};
-    pub use crate::wire::{
-        ListedObject, ObjectBody, StoredObject, VersionBody, VmBody, VmList, WeightGrant,
-    };
+    pub use crate::wire::{ObjectBody, StoredObject, VersionBody};
 }
 
 pub use prelude::*;
--- a/crates/cloverpier_platform/src/wire.rs
+++ b/crates/cloverpier_platform/src/wire.rs
@@ -1,6 +1,5 @@
 //! Shapes of the platform's JSON.
 
-use cloverpier_core::VmName;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -28,36 +27,3 @@
     /// The version that stands.
     pub version: u64,
 }
-
-/// An object in a listing.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ListedObject {
-    /// The object's key.
-    pub key: String,
-    /// The object.
-    #[serde(flatten)]
-    pub object: StoredObject,
-}
-
-/// A VM in the list of VMs.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct VmBody {
-    /// Its name.
-    pub vm: VmName,
-    /// Whether it is about to leave.
-    pub leaving: bool,
-}
-
-/// The list of VMs; it lags.
-#[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct VmList {
-    /// Live and leaving VMs.
-    pub vms: Vec<VmBody>,
-}
-
-/// The weight store's answer to a fetch.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct WeightGrant {
-    /// How long the fetch takes at the granted rate, in milliseconds.
-    pub transfer_ms: u64,
-}
--- a/crates/cloverpier_relay/src/attempts.rs
+++ b/crates/cloverpier_relay/src/attempts.rs
@@ -93,11 +93,6 @@
         self.may_have_run
     }
 
-    /// Whether the next send would be a repeat, which the retry budget pays for.
-    pub fn next_is_repeat(&self) -> bool {
-        self.sent > 0
-    }
-
     /// Notes that the request is about to be sent to a server.
     ///
     /// From here on it may have run, until an outcome says otherwise.
--- a/crates/cloverpier_relay/src/peers.rs
+++ b/crates/cloverpier_relay/src/peers.rs
@@ -1,7 +1,7 @@
 //! The routers that a router knows, and which of them callers are told of.
 
 use crate::budget::BudgetUse;
-use cloverpier_core::{DataCentre, ServiceName, hash_of};
+use cloverpier_core::{ServiceName, hash_of};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -29,8 +29,6 @@
 pub struct PeerEntry {
     /// Where it serves callers.
     pub front: SocketAddr,
-    /// Where it stands.
-    pub data_centre: DataCentre,
     /// Whether it takes new callers.
     pub state: PeerState,
     /// When it was heard last.
--- a/crates/cloverpier_relay/tests/routers.rs
+++ b/crates/cloverpier_relay/tests/routers.rs
@@ -1,6 +1,5 @@
 //! What routers know of each other: the directory, and who follows the store.
 
-use cloverpier_core::DataCentre;
 use cloverpier_relay::prelude::*;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -15,7 +14,6 @@
 fn entry(port: u16, state: PeerState, heard: Instant) -> PeerEntry {
     PeerEntry {
         front: address(port),
-        data_centre: DataCentre::new("hall-a"),
         state,
         heard,
         catalog_version: 1,
--- a/crates/cloverpier_standin/src/engine/batch.rs
+++ b/crates/cloverpier_standin/src/engine/batch.rs
@@ -25,8 +25,6 @@
     pub cached_prefixes: usize,
     /// How long a generation runs on without a reader, in milliseconds.
     pub orphan_ms: u64,
-    /// Whether orders with a lower fence than one seen are refused.
-    pub checks_fence: bool,
 }
 
 impl Default for EngineModel {
@@ -38,7 +36,6 @@
             slots: 16,
             cached_prefixes: 64,
             orphan_ms: 5_000,
-            checks_fence: true,
         }
     }
 }
@@ -76,8 +73,6 @@
     pub resumed: u64,
     /// Generations cancelled.
     pub cancelled: u64,
-    /// Generations started while the engine was leaving.
-    pub started_leaving: u64,
 }
 
 #[derive(Debug)]
@@ -104,8 +99,6 @@
     pub(super) reports: VecDeque<(Instant, LoadBody)>,
     pub(super) counts: EngineCounts,
     pub(super) faults: EngineFaults,
-    pub(super) leaving: bool,
-    pub(super) fence: u64,
 }
 
 #[derive(Debug)]
@@ -201,7 +194,7 @@
         running: u32::try_from(inner.running.len()).unwrap_or(u32::MAX),
         waiting: u32::try_from(inner.waiting.len()).unwrap_or(u32::MAX),
         slots: model.slots,
-        leaving: inner.leaving,
+        leaving: false,
         age_ms: 0,
     };
     inner.reports.push_back((Instant::now(), report));
@@ -230,9 +223,6 @@
     let request = ask.generation.split('#').next().unwrap_or_default();
     *inner.counts.runs.entry(request.to_owned()).or_default() += 1;
     inner.counts.started += 1;
-    if inner.leaving {
-        inner.counts.started_leaving += 1;
-    }
     let generation = Generation {
         chain: Chain::over(ask.prefix.iter().map(|t| &**t)),
         offset: prefix_tokens,
--- a/crates/cloverpier_standin/src/engine/mod.rs
+++ b/crates/cloverpier_standin/src/engine/mod.rs
@@ -13,9 +13,7 @@
 
 use crate::web::{body, json, serve};
 use cloverpier_core::{hash_of, lock};
-use cloverpier_upstream::{
-    EngineEvent, GenerateBody, GenerationBody, LoadBody, OrderBody, OrderKind,
-};
+use cloverpier_upstream::{EngineEvent, GenerateBody, GenerationBody, LoadBody};
 use salvo::http::StatusCode;
 use salvo::prelude::*;
 use std::net::SocketAddr;
@@ -42,8 +40,7 @@
         .push(Router::with_path("generate").post(generate))
         .push(Router::with_path("resume").post(resume))
         .push(Router::with_path("cancel").post(cancel))
-        .push(Router::with_path("load").get(load))
-        .push(Router::with_path("orders").post(take_order));
+        .push(Router::with_path("load").get(load));
     let router = Router::new()
         .hoop(salvo::affix_state::inject(state))
         .push(v1)
@@ -197,23 +194,6 @@
     json(res, StatusCode::OK, report.unwrap_or_default());
 }
 
-#[handler]
-async fn take_order(req: &mut Request, depot: &mut Depot, res: &mut Response) {
-    let state = state(depot);
-    let Some(order) = body::<OrderBody>(req, res).await else {
-        return;
-    };
-    let mut inner = lock(&state.inner);
-    if state.model.checks_fence && order.fence < inner.fence {
-        res.status_code(StatusCode::CONFLICT);
-        return;
-    }
-    inner.fence = inner.fence.max(order.fence);
-    if let OrderKind::Leaving(leaving) = order.kind {
-        inner.leaving = leaving;
-    }
-}
-
 #[handler]
 async fn set_faults(req: &mut Request, depot: &mut Depot, res: &mut Response) {
     let state = state(depot);
--- a/crates/cloverpier_standin/src/main.rs
+++ b/crates/cloverpier_standin/src/main.rs
@@ -21,7 +21,7 @@
     Link(LinkArgs),
 }
 
-/// The platform: objects, VMs and weights.
+/// The platform: objects with versions and watches.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "platform")]
 struct PlatformArgs {
--- a/crates/cloverpier_standin/src/platform.rs
+++ b/crates/cloverpier_standin/src/platform.rs
@@ -1,16 +1,15 @@
-//! The platform: objects with versions, conditional updates and watches; VMs; weights.
+//! The platform: objects with versions, conditional updates and watches.
 
 use crate::web::{body, json, serve};
-use cloverpier_core::{VmName, lock};
-use cloverpier_platform::WeightGrant;
-use cloverpier_platform::{ListedObject, ObjectBody, StoredObject, VersionBody, VmBody, VmList};
+use cloverpier_core::lock;
+use cloverpier_platform::{ObjectBody, StoredObject, VersionBody};
 use salvo::http::StatusCode;
 use salvo::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
-use std::time::{Duration, Instant};
+use std::time::Duration;
 use tokio::sync::watch;
 
 /// The largest value of an object, in bytes.
@@ -26,10 +25,6 @@
     pub slow_ms: u64,
     /// So many updates take effect but are answered with a broken connection.
     pub lose_answers: u32,
-    /// The list of VMs shows what was so long ago, in milliseconds.
-    pub vm_lag_ms: u64,
-    /// The weight store's rate, in megabytes a second; 0 refuses.
-    pub weight_rate: u64,
 }
 
 /// Calls that the platform took.
@@ -48,7 +43,6 @@
 #[derive(Debug, Default)]
 struct Inner {
     objects: BTreeMap<String, StoredObject>,
-    vms: Vec<(Instant, VmBody)>,
     faults: PlatformFaults,
     counts: PlatformCounts,
 }
@@ -81,9 +75,7 @@
             Router::new()
                 .hoop(misbehave)
                 .push(objects)
-                .push(Router::with_path("list/{**prefix}").get(list_objects))
-                .push(Router::with_path("weights/{size_mb}").get(get_weights))
-                .push(Router::with_path("vms").get(get_vms).post(set_vm)),
+                .push(Router::with_path("list/{**prefix}").get(list_objects)),
         );
     serve(listen, router).await;
 }
@@ -190,6 +182,15 @@
     res.stream(futures_util::stream::iter([Err::<bytes::Bytes, _>(broken)]));
 }
 
+/// An object in a listing.
+#[derive(Serialize)]
+struct ListedObject {
+    key: String,
+    #[serde(flatten)]
+    object: StoredObject,
+}
+
+/// Lists objects, for tests and people: no router asks for it.
 #[handler]
 async fn list_objects(req: &mut Request, depot: &mut Depot, res: &mut Response) {
     let prefix = req.param::<String>("prefix").unwrap_or_default();
@@ -205,37 +206,3 @@
         .collect();
     json(res, StatusCode::OK, listed);
 }
-
-#[handler]
-async fn get_weights(req: &mut Request, depot: &mut Depot, res: &mut Response) {
-    let size_mb = req.param::<u64>("size_mb").unwrap_or(0);
-    let rate = lock(&state(depot).inner).faults.weight_rate;
-    match (size_mb * 1_000).checked_div(rate) {
-        Some(transfer_ms) => json(res, StatusCode::OK, WeightGrant { transfer_ms }),
-        None => {
-            res.status_code(StatusCode::TOO_MANY_REQUESTS);
-        }
-    }
-}
-
-#[handler]
-async fn get_vms(depot: &mut Depot, res: &mut Response) {
-    let state = state(depot);
-    let mut inner = lock(&state.inner);
-    inner.counts.reads += 1;
-    let lag = Duration::from_millis(inner.faults.vm_lag_ms);
-    let shown = inner.vms.iter().filter(|(at, _)| at.elapsed() >= lag);
-    let mut latest: BTreeMap<VmName, VmBody> = BTreeMap::new();
-    for (_, vm) in shown {
-        latest.insert(vm.vm.clone(), vm.clone());
-    }
-    let vms = latest.into_values().collect();
-    json(res, StatusCode::OK, VmList { vms });
-}
-
-#[handler]
-async fn set_vm(req: &mut Request, depot: &mut Depot, res: &mut Response) {
-    if let Some(vm) = body::<VmBody>(req, res).await {
-        lock(&state(depot).inner).vms.push((Instant::now(), vm));
-    }
-}
--- a/crates/cloverpier_upstream/src/engine.rs
+++ b/crates/cloverpier_upstream/src/engine.rs
@@ -1,6 +1,6 @@
 //! Calls to a model engine.
 
-use crate::wire::{EngineEvent, GenerateBody, GenerationBody, LoadBody, OrderBody};
+use crate::wire::{EngineEvent, GenerateBody, GenerationBody, LoadBody};
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
 use futures_util::stream::BoxStream;
@@ -66,26 +66,6 @@
     LongLine,
 }
 
-/// Why an order did not take effect, or may not have.
-#[derive(Debug, Snafu)]
-pub enum OrderError {
-    /// The engine saw a higher fence.
-    #[snafu(display("the upstream has seen a higher fence"))]
-    Fenced,
-    /// The engine refused for another reason.
-    #[snafu(display("refused with status {status}"))]
-    Declined {
-        /// The HTTP status.
-        status: u16,
-    },
-    /// No answer came: read the state and compare.
-    #[snafu(display("no answer: {source}"))]
-    NoAnswer {
-        /// What the call ran into.
-        source: reqwest::Error,
-    },
-}
-
 /// Connections to engines.
 #[derive(Clone, Debug)]
 pub struct Engines {
@@ -182,25 +162,6 @@
         let res = req.timeout(QUERY_TIMEOUT).send().await?;
         res.error_for_status()?.json().await
     }
-
-    /// Gives an order.
-    ///
-    /// # Errors
-    ///
-    /// [`OrderError`]; after [`OrderError::NoAnswer`] it may have taken effect.
-    pub async fn order(&self, order: &OrderBody) -> Result<(), OrderError> {
-        let req = self.http.post(format!("{}/v1/orders", self.base));
-        let sent = req.timeout(QUERY_TIMEOUT).json(order).send().await;
-        let res = sent.context(NoAnswerSnafu)?;
-        match res.status() {
-            StatusCode::OK => Ok(()),
-            StatusCode::CONFLICT => FencedSnafu.fail(),
-            status => DeclinedSnafu {
-                status: status.as_u16(),
-            }
-            .fail(),
-        }
-    }
 }
 
 fn start_error(source: reqwest::Error) -> StartError {
--- a/crates/cloverpier_upstream/src/lib.rs
+++ b/crates/cloverpier_upstream/src/lib.rs
@@ -21,11 +21,9 @@
 
 /// What users of the crate need daily.
 pub mod prelude {
-    pub use crate::engine::{Engine, Engines, EventStream, OrderError, StartError, StreamError};
+    pub use crate::engine::{Engine, Engines, EventStream, StartError, StreamError};
     pub use crate::plain::{PlainAnswer, PlainCall, PlainError, call_plain};
-    pub use crate::wire::{
-        EngineEvent, GenerateBody, GenerationBody, LoadBody, OrderBody, OrderKind,
-    };
+    pub use crate::wire::{EngineEvent, GenerateBody, GenerationBody, LoadBody};
 }
 
 pub use prelude::*;
--- a/crates/cloverpier_upstream/src/wire.rs
+++ b/crates/cloverpier_upstream/src/wire.rs
@@ -67,24 +67,3 @@
     /// Age of the report, in milliseconds.
     pub age_ms: u64,
 }
-
-/// What an order asks for.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum OrderKind {
-    /// Have a model loaded.
-    Model(ModelName),
-    /// Have an adapter loaded.
-    Adapter(AdapterName),
-    /// Take no new work, or take it again.
-    Leaving(bool),
-}
-
-/// An order, with the fence of the one who gives it.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OrderBody {
-    /// An upstream that checks refuses a fence below the highest it saw.
-    pub fence: u64,
-    /// The wanted state.
-    pub kind: OrderKind,
-}
--- a/tools/src/fleet/mod.rs
+++ b/tools/src/fleet/mod.rs
@@ -272,7 +272,6 @@
             let dc = DATA_CENTRES[i % DATA_CENTRES.len()];
             let mut upstream = Upstream::new(service.into(), standin.address, dc.into());
             upstream.slots = self.spec.model.slots;
-            upstream.checks_fence = self.spec.model.checks_fence;
             intent
                 .upstreams
                 .insert(standin.name.as_str().into(), upstream);
