--- a/crates/cloverpier_daemon/src/config/change.rs
+++ b/crates/daemon/cloverpier_daemon/src/config/change.rs
@@ -11,8 +11,8 @@
 };
 use cloverpier_core::{UpstreamName, VmName, lock};
 use cloverpier_member::{Member, MemberList};
+use cloverpier_object_api::{Found, WriteError};
 use cloverpier_peer::{Guest, PeerReply, PeerRequest};
-use cloverpier_platform::{Found, WriteError};
 use futures_util::future::join_all;
 use salvo::http::StatusCode;
 use serde::{Deserialize, Serialize};
--- a/crates/cloverpier_daemon/tests/sessions.rs
+++ b/crates/daemon/cloverpier_daemon/tests/sessions.rs
@@ -6,7 +6,7 @@
 mod support;
 
 use cloverpier_client::{CallError, Generate};
-use cloverpier_standin::{EngineFaults, PlatformFaults, ServiceFaults, check_speech};
+use cloverpier_daemon_standin::{EngineFaults, PlatformFaults, ServiceFaults, check_speech};
 use reqwest::Method;
 use serde_json::{Value, json};
 use std::sync::Arc;
--- a/crates/cloverpier_daemon/tests/support/mod.rs
+++ b/crates/daemon/cloverpier_daemon/tests/support/mod.rs
@@ -9,8 +9,8 @@
 use cloverpier_client::{Caller, Operator};
 use cloverpier_config::{Account, Intent, Repeatable, Service, Upstream};
 use cloverpier_daemon::prelude::*;
+use cloverpier_daemon_standin::{EngineModel, engine, platform, service};
 use cloverpier_settings::Settings;
-use cloverpier_standin::{EngineModel, engine, platform, service};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -235,7 +235,7 @@
     }
 
     pub async fn set_platform_down(&self, down: bool) {
-        let faults = cloverpier_standin::PlatformFaults {
+        let faults = cloverpier_daemon_standin::PlatformFaults {
             down,
             ..Default::default()
         };
--- a/crates/cloverpier_platform/src/lib.rs
+++ b/crates/daemon/cloverpier_object_api/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! ```no_run
 //! # async fn example() {
-//! use cloverpier_platform::prelude::*;
+//! use cloverpier_object_api::prelude::*;
 //!
 //! let platform = Platform::new("127.0.0.1:7000".parse().unwrap());
 //! match platform.read::<u64>("counter").await {
--- a/crates/cloverpier_front/src/decision_log.rs
+++ b/crates/router/cloverpier_router/src/decision_log.rs
@@ -1,6 +1,6 @@
 //! The log lines of decisions, each with the inputs that decided it.
 
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
--- a/crates/cloverpier_front/src/directory.rs
+++ b/crates/router/cloverpier_router/src/directory.rs
@@ -1,7 +1,7 @@
 //! Answers which routers callers should use.
 
 use crate::front::Front;
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use std::time::Instant;
 
 /// The directory's answer; `None` when no router is known to serve.
--- a/crates/cloverpier_front/src/following.rs
+++ b/crates/router/cloverpier_router/src/following.rs
@@ -2,7 +2,7 @@
 
 use crate::decision_log::FollowingChanged;
 use crate::front::Front;
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use std::time::{Duration, Instant};
 
 /// A follower's word from the store is fresh for this long.
--- a/crates/cloverpier_front/src/front.rs
+++ b/crates/router/cloverpier_router/src/front.rs
@@ -8,7 +8,7 @@
 use crate::sync::StoreHealth;
 use cloverpier_core::{ServiceName, UpstreamName};
 use cloverpier_observe::Log;
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use cloverpier_settings::FrontSettings;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/cloverpier_front/src/gossip.rs
+++ b/crates/router/cloverpier_router/src/gossip.rs
@@ -5,7 +5,7 @@
 
 use crate::front::{Front, PEERS_A_TURN};
 use crate::peer_messages::{Change, Heartbeat, LoadReport, PeerMessage, decode, encode};
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/crates/cloverpier_front/src/guards.rs
+++ b/crates/router/cloverpier_router/src/guards.rs
@@ -2,7 +2,7 @@
 
 use crate::front::Front;
 use cloverpier_core::UpstreamName;
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use std::rc::Rc;
 use std::time::Instant;
 
--- a/crates/cloverpier_front/src/intake.rs
+++ b/crates/router/cloverpier_router/src/intake.rs
@@ -6,7 +6,7 @@
 use crate::reply::{Reply, own_reply, refusal, strip_hop_by_hop};
 use bytes::Bytes;
 use cloverpier_core::hash_of;
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{EXPECT, HOST, HeaderMap, HeaderName, HeaderValue};
--- a/crates/cloverpier_front/src/lib.rs
+++ b/crates/router/cloverpier_router/src/lib.rs
@@ -1,6 +1,6 @@
 //! The front: the process that takes callers' requests to servers.
 //!
-//! It carries out what `cloverpier_relay` decides. One thread runs it all, so
+//! It carries out what `cloverpier_router_policy` decides. One thread runs it all, so
 //! its state is shared by [`std::rc::Rc`] and borrowed for moments. The words
 //! spoken on the wire (header names, paths, bodies) come as a [`Dialect`], and
 //! where the configuration comes from is behind [`ConfigurationSource`].
@@ -10,7 +10,7 @@
 //! whether anything came after it, which clients with built-in pools hide.
 //!
 //! ```
-//! use cloverpier_front::peer_messages::{Change, PeerMessage, decode, encode};
+//! use cloverpier_router::peer_messages::{Change, PeerMessage, decode, encode};
 //!
 //! let change = PeerMessage::Change(Change {
 //!     sender: ([127, 0, 0, 1], 7104).into(),
--- a/crates/cloverpier_front/src/links.rs
+++ b/crates/router/cloverpier_router/src/links.rs
@@ -2,7 +2,7 @@
 
 use crate::connection::Caller;
 use cloverpier_core::UpstreamName;
-use cloverpier_relay::prelude::Server;
+use cloverpier_router_policy::prelude::Server;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/crates/cloverpier_front/src/outcome.rs
+++ b/crates/router/cloverpier_router/src/outcome.rs
@@ -5,7 +5,7 @@
 use crate::intake::RelayRequest;
 use crate::reply::{Reply, own_reply, refusal};
 use crate::send::{SendError, Silence};
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use hyper::StatusCode;
 use std::time::{Duration, Instant};
 
--- a/crates/cloverpier_front/src/peer_messages.rs
+++ b/crates/router/cloverpier_router/src/peer_messages.rs
@@ -6,10 +6,10 @@
 //! names of enum variants; names of fields and types are free. The golden files
 //! in `tests/golden` hold the bytes, and a change there is a change of protocol.
 //!
-//! Relies on the types of `cloverpier_relay` that travel inside the messages.
+//! Relies on the types of `cloverpier_router_policy` that travel inside the messages.
 
 use cloverpier_core::DataCentre;
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu};
--- a/crates/cloverpier_front/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -13,7 +13,7 @@
 use crate::send::{Awaited, Opened, SendError, SendExtras, keep, send, while_alive};
 use bytes::{Bytes, BytesMut};
 use cloverpier_core::UpstreamName;
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use futures_util::stream::unfold;
 use http_body_util::BodyExt;
 use std::rc::Rc;
--- a/crates/cloverpier_front/src/probe.rs
+++ b/crates/router/cloverpier_router/src/probe.rs
@@ -5,7 +5,7 @@
 use crate::front::Front;
 use crate::intake::text_of;
 use crate::links::Link;
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
--- a/crates/cloverpier_front/src/prompt_search.rs
+++ b/crates/router/cloverpier_router/src/prompt_search.rs
@@ -9,7 +9,7 @@
 use crate::front::Front;
 use crate::intake::RelayRequest;
 use cloverpier_core::{ServiceName, hash_of};
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/crates/cloverpier_front/src/send.rs
+++ b/crates/router/cloverpier_router/src/send.rs
@@ -7,7 +7,7 @@
 use crate::pool::{DEFAULT_IDLE_LIMIT, idle_limit};
 use crate::probe;
 use cloverpier_core::UpstreamName;
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use futures_util::future::poll_immediate;
 use http_body_util::Full;
 use hyper::body::Incoming;
--- a/crates/cloverpier_front/src/start.rs
+++ b/crates/router/cloverpier_router/src/start.rs
@@ -9,7 +9,7 @@
 use crate::versions;
 use crate::web::{bind, on_caller, on_directory, on_metrics, on_ready, serve};
 use cloverpier_observe::{DroppedLines, NoFields};
-use cloverpier_relay::prelude::ServerState;
+use cloverpier_router_policy::prelude::ServerState;
 use snafu::{ResultExt, Snafu};
 use std::io;
 use std::net::SocketAddr;
--- a/crates/cloverpier_front/src/stream/mod.rs
+++ b/crates/router/cloverpier_router/src/stream/mod.rs
@@ -15,7 +15,7 @@
 use crate::send::{Awaited, SendError, keep, while_alive};
 use bytes::{Bytes, BytesMut};
 use cloverpier_core::UpstreamName;
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use futures_util::StreamExt;
 use futures_util::stream::{once, unfold};
 use http_body_util::BodyExt;
--- a/crates/cloverpier_front/src/stream/open.rs
+++ b/crates/router/cloverpier_router/src/stream/open.rs
@@ -6,7 +6,7 @@
 use crate::prompt_search::find_prompt;
 use crate::reply::ServerAnswer;
 use crate::send::{Opened, SendError, SendExtras, keep, send};
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use http_body_util::BodyExt;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/crates/cloverpier_front/src/sync.rs
+++ b/crates/router/cloverpier_router/src/sync.rs
@@ -3,7 +3,7 @@
 use crate::decision_log::{Dependency, VersionTaken};
 use crate::front::Front;
 use cloverpier_core::jitter;
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use snafu::Snafu;
 use std::cell::Cell;
 use std::future::Future;
--- a/crates/cloverpier_front/src/versions.rs
+++ b/crates/router/cloverpier_router/src/versions.rs
@@ -6,7 +6,7 @@
 use crate::peer_messages::{UpstreamsReply, decode, encode};
 use crate::reply::{Reply, own_reply};
 use crate::sync::{FleetChange, FleetList, take_catalog, take_changes, take_fleet};
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 use std::collections::HashMap;
--- a/crates/cloverpier_front/src/web.rs
+++ b/crates/router/cloverpier_router/src/web.rs
@@ -8,7 +8,7 @@
 use crate::plain::relay_plain;
 use crate::reply::{Reply, own_reply, refusal};
 use crate::stream::relay_stream;
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue};
 use hyper::server::conn::http1;
--- a/crates/cloverpier_front/tests/peer_messages.rs
+++ b/crates/router/cloverpier_router/tests/peer_messages.rs
@@ -4,8 +4,8 @@
 //! the same bytes. So routers of both releases read each other.
 
 use cloverpier_core::{DataCentre, ServiceName, UpstreamName};
-use cloverpier_front::peer_messages::*;
-use cloverpier_relay::prelude::*;
+use cloverpier_router::peer_messages::*;
+use cloverpier_router_policy::prelude::*;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
--- a/crates/cloverpier_relay/src/lib.rs
+++ b/crates/router/cloverpier_router_policy/src/lib.rs
@@ -7,7 +7,7 @@
 //! are told of.
 //!
 //! ```
-//! use cloverpier_relay::prelude::*;
+//! use cloverpier_router_policy::prelude::*;
 //!
 //! // A request that runs at most once was sent, and the connection broke.
 //! let mut attempts = Attempts::new(Repeat::AtMostOnce, 3);
--- a/crates/cloverpier_relay/tests/attempts.rs
+++ b/crates/router/cloverpier_router_policy/tests/attempts.rs
@@ -1,6 +1,6 @@
 //! What is promised of a request holds in whatever order its sends end.
 
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
 /// One send: what came of it, and whether the retry budget had a repeat left.
--- a/crates/cloverpier_relay/tests/catalog.rs
+++ b/crates/router/cloverpier_router_policy/tests/catalog.rs
@@ -1,7 +1,7 @@
 //! Routes, keys and the retry budget.
 
 use cloverpier_core::ServiceName;
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use std::time::{Duration, Instant};
 
 fn route(name: &str, prefix: &str, targets: &[(&str, f64)]) -> Route {
--- a/crates/cloverpier_relay/tests/events.rs
+++ b/crates/router/cloverpier_router_policy/tests/events.rs
@@ -1,6 +1,6 @@
 //! Events come out whole and in order, however their bytes arrive.
 
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use quickcheck::quickcheck;
 
 fn event(id: u64, data: &str) -> Vec<u8> {
--- a/crates/cloverpier_relay/tests/fleet.rs
+++ b/crates/router/cloverpier_router_policy/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Which servers get requests as the platform's list changes.
 
 use cloverpier_core::{DataCentre, ServiceName, UpstreamName};
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
--- a/crates/cloverpier_relay/tests/liveness.rs
+++ b/crates/router/cloverpier_router_policy/tests/liveness.rs
@@ -1,6 +1,6 @@
 //! How long a silent server is believed in.
 
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use std::time::{Duration, Instant};
 
 const BOUNDS: LivenessBounds = LivenessBounds {
--- a/crates/cloverpier_relay/tests/routers.rs
+++ b/crates/router/cloverpier_router_policy/tests/routers.rs
@@ -1,6 +1,6 @@
 //! What routers know of each other: the directory, and who follows the store.
 
-use cloverpier_relay::prelude::*;
+use cloverpier_router_policy::prelude::*;
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/crates/cloverpier_standin/src/lib.rs
+++ b/crates/standins/cloverpier_daemon_standin/src/lib.rs
@@ -5,7 +5,7 @@
 //! HTTP while it runs. The daemon never links this crate.
 //!
 //! ```
-//! use cloverpier_standin::prelude::*;
+//! use cloverpier_daemon_standin::prelude::*;
 //! use cloverpier_core::Chain;
 //!
 //! let first = speak(7, Chain::EMPTY);
--- a/crates/cloverpier_standin/src/main.rs
+++ b/crates/standins/cloverpier_daemon_standin/src/main.rs
@@ -1,7 +1,7 @@
 //! Starts one stand-in as a process of its own.
 
 use argh::FromArgs;
-use cloverpier_standin::{EngineModel, engine, link, platform, service};
+use cloverpier_daemon_standin::{EngineModel, engine, link, platform, service};
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
--- a/crates/cloverpier_standin/src/platform.rs
+++ b/crates/standins/cloverpier_daemon_standin/src/platform.rs
@@ -2,7 +2,7 @@
 
 use crate::web::{body, json, serve};
 use cloverpier_core::lock;
-use cloverpier_platform::{ObjectBody, StoredObject, VersionBody};
+use cloverpier_object_api::{ObjectBody, StoredObject, VersionBody};
 use salvo::http::StatusCode;
 use salvo::prelude::*;
 use serde::{Deserialize, Serialize};
--- a/crates/cloverpier_standin/tests/speech.rs
+++ b/crates/standins/cloverpier_daemon_standin/tests/speech.rs
@@ -1,7 +1,7 @@
 //! The stand-in's text shows what it was generated after.
 
 use cloverpier_core::Chain;
-use cloverpier_standin::prelude::*;
+use cloverpier_daemon_standin::prelude::*;
 use quickcheck::quickcheck;
 
 fn text(salts: &[u16]) -> Vec<String> {
--- a/crates/cloverpier_relay_standin/src/caller.rs
+++ b/crates/standins/cloverpier_router_standin/src/caller.rs
@@ -2,7 +2,7 @@
 
 use crate::answers::{EVENTS, event_bytes, plain_body};
 use crate::http::{Head, read_body, read_head, read_more};
-use cloverpier_front::HeaderNames;
+use cloverpier_router::HeaderNames;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/cloverpier_relay_standin/src/lib.rs
+++ b/crates/standins/cloverpier_router_standin/src/lib.rs
@@ -1,13 +1,13 @@
 //! Stand-ins for what a front meets: servers, engines, a store, links, callers.
 //!
-//! Each speaks the words that a [`cloverpier_front::Dialect`] and
+//! Each speaks the words that a [`cloverpier_router::Dialect`] and
 //! [`store::StoreShapes`] give it, so it stands in for any platform. Servers
 //! keep a ledger of what they ran, and callers check what they got, so that no
 //! check has to take a front's word. Bytes are written by hand, as the faults
 //! include answers that no library would send.
 //!
 //! ```
-//! use cloverpier_relay_standin::answers::event_bytes;
+//! use cloverpier_router_standin::answers::event_bytes;
 //!
 //! assert_eq!(event_bytes("prompt", 3), b"id: 3\ndata: prompt-3\n\n");
 //! ```
--- a/crates/cloverpier_relay_standin/src/server.rs
+++ b/crates/standins/cloverpier_router_standin/src/server.rs
@@ -3,8 +3,8 @@
 use crate::answers::{answer_plainly, stream_events, write_answer};
 use crate::http::{Head, read_body, read_head};
 use cloverpier_core::{DataCentre, ServiceName, UpstreamName};
-use cloverpier_front::HeaderNames;
-use cloverpier_relay::prelude::Server;
+use cloverpier_router::HeaderNames;
+use cloverpier_router_policy::prelude::Server;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::io;
 use std::net::SocketAddr;
--- a/crates/cloverpier_relay_standin/src/store.rs
+++ b/crates/standins/cloverpier_router_standin/src/store.rs
@@ -2,7 +2,7 @@
 
 use crate::http::{Head, read_head};
 use crate::server::lock;
-use cloverpier_relay::prelude::{CatalogParts, Server};
+use cloverpier_router_policy::prelude::{CatalogParts, Server};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::io;
--- a/tools/src/bin/demo.rs
+++ b/tools/src/bin/demo.rs
@@ -1,7 +1,7 @@
 //! `cargo demo`: one answer that outlives its engine and then its router.
 
 use cloverpier_client::{Answer, Generate};
-use cloverpier_standin::check_speech;
+use cloverpier_daemon_standin::check_speech;
 use cloverpier_tools::fleet::{Fleet, FleetSpec};
 use cloverpier_tools::process::build_programs;
 use std::io;
--- a/tools/src/fleet/control.rs
+++ b/tools/src/fleet/control.rs
@@ -2,7 +2,7 @@
 
 use super::{Fleet, Link};
 use crate::process::Usage;
-use cloverpier_standin::{
+use cloverpier_daemon_standin::{
     EngineCounts, EngineFaults, LinkFaults, PlatformCounts, PlatformFaults, ServiceCounts,
     ServiceFaults,
 };
--- a/tools/src/fleet/spec.rs
+++ b/tools/src/fleet/spec.rs
@@ -2,7 +2,7 @@
 
 use super::KEY;
 use cloverpier_config::{Account, Service};
-use cloverpier_standin::EngineModel;
+use cloverpier_daemon_standin::EngineModel;
 
 /// What a fleet consists of.
 #[derive(Clone, Debug)]
--- a/tools/src/fronts.rs
+++ b/tools/src/fronts.rs
@@ -4,12 +4,12 @@
 use cloverpier_adapter::platform_dialect;
 use cloverpier_adapter_standin::{cache_shape, store_shapes};
 use cloverpier_core::ServiceName;
-use cloverpier_front::HeaderNames;
-use cloverpier_relay::prelude::*;
-use cloverpier_relay_standin::caller::{CallerRequest, Outcome, call};
-use cloverpier_relay_standin::link::Link;
-use cloverpier_relay_standin::server::{Ledger, ServerSpec, ServerStandIn, SharedLedger};
-use cloverpier_relay_standin::store::StoreStandIn;
+use cloverpier_router::HeaderNames;
+use cloverpier_router_policy::prelude::*;
+use cloverpier_router_standin::caller::{CallerRequest, Outcome, call};
+use cloverpier_router_standin::link::Link;
+use cloverpier_router_standin::server::{Ledger, ServerSpec, ServerStandIn, SharedLedger};
+use cloverpier_router_standin::store::StoreStandIn;
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -297,7 +297,7 @@
 
 /// The status of a simple GET; `None` without an answer.
 pub async fn status_of(address: SocketAddr, path: &str) -> Option<u16> {
-    let answer = cloverpier_front::Caller::new(address, Duration::from_millis(500));
+    let answer = cloverpier_router::Caller::new(address, Duration::from_millis(500));
     let local = tokio::task::LocalSet::new();
     let status = local.run_until(async { answer.get(path, Duration::from_secs(1)).await });
     status.await.ok().map(|a| a.status.as_u16())
@@ -306,7 +306,7 @@
 /// How many fronts a directory lists.
 pub async fn listed_fronts(directory: SocketAddr) -> usize {
     let path = platform_dialect().paths.directory;
-    let caller = cloverpier_front::Caller::new(directory, Duration::from_millis(500));
+    let caller = cloverpier_router::Caller::new(directory, Duration::from_millis(500));
     let local = tokio::task::LocalSet::new();
     let answer = local.run_until(async { caller.get(path, Duration::from_secs(1)).await });
     let body = answer.await.ok().map(|a| a.body).unwrap_or_default();
--- a/tools/src/load.rs
+++ b/tools/src/load.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::Fleet;
 use cloverpier_client::{Answer, CallError, Caller, Generate};
-use cloverpier_standin::{SpeechFault, check_speech};
+use cloverpier_daemon_standin::{SpeechFault, check_speech};
 use futures_util::future::join_all;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/tools/src/scenarios/basic.rs
+++ b/tools/src/scenarios/basic.rs
@@ -4,7 +4,7 @@
 use crate::load::{Load, Outcome, run as run_load};
 use crate::report::Figures;
 use crate::scenarios::meter::{Cost, figures};
-use cloverpier_standin::{EngineCounts, EngineFaults};
+use cloverpier_daemon_standin::{EngineCounts, EngineFaults};
 use std::io;
 use std::time::{Duration, Instant};
 
--- a/tools/src/scenarios/chaos.rs
+++ b/tools/src/scenarios/chaos.rs
@@ -8,7 +8,7 @@
 use crate::load::{Load, Outcome, faults as count_faults, run_with};
 use crate::report::{Figures, Spread};
 use crate::scenarios::Options;
-use cloverpier_standin::EngineModel;
+use cloverpier_daemon_standin::EngineModel;
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::Arc;
@@ -104,7 +104,7 @@
     calls: &[calls::Called],
     changes: &operators::Changes,
     struck: &faults::Struck,
-    executed: &[cloverpier_standin::ServiceCounts],
+    executed: &[cloverpier_daemon_standin::ServiceCounts],
 ) -> Figures {
     let counted = count_faults(outcomes);
     let mut figures = Figures {
--- a/tools/src/scenarios/chaos/calls.rs
+++ b/tools/src/scenarios/chaos/calls.rs
@@ -3,7 +3,7 @@
 use crate::fleet::Fleet;
 use crate::scenarios::chaos::Over;
 use cloverpier_client::Caller;
-use cloverpier_standin::ServiceCounts;
+use cloverpier_daemon_standin::ServiceCounts;
 use fastrand::Rng;
 use futures_util::future::join_all;
 use reqwest::Method;
--- a/tools/src/scenarios/chaos/faults.rs
+++ b/tools/src/scenarios/chaos/faults.rs
@@ -3,7 +3,7 @@
 use crate::fleet::Fleet;
 use crate::scenarios::Options;
 use crate::scenarios::chaos::Over;
-use cloverpier_standin::{EngineFaults, LinkFaults, PlatformFaults, ServiceFaults};
+use cloverpier_daemon_standin::{EngineFaults, LinkFaults, PlatformFaults, ServiceFaults};
 use fastrand::Rng;
 use std::io;
 use std::time::{Duration, Instant};
--- a/tools/src/scenarios/meter.rs
+++ b/tools/src/scenarios/meter.rs
@@ -3,7 +3,7 @@
 use crate::fleet::Fleet;
 use crate::load::{Outcome, between_tokens, faults, first_tokens, resume_times};
 use crate::report::{Figures, Spread};
-use cloverpier_standin::EngineCounts;
+use cloverpier_daemon_standin::EngineCounts;
 use std::time::Instant;
 
 /// Counters at one moment.
--- a/tools/src/soak.rs
+++ b/tools/src/soak.rs
@@ -92,7 +92,7 @@
             asked += 1;
             let request = site.request(&format!("last-{front}-{asked}"), load::path_at(asked));
             let outcome = site.call(front, &request).await;
-            if outcome == cloverpier_relay_standin::caller::Outcome::Whole {
+            if outcome == cloverpier_router_standin::caller::Outcome::Whole {
                 served += 1;
             } else if Instant::now() > until {
                 let what = format!("front {front} doesn't serve again: {outcome:?}");
--- a/tools/src/soak/inject.rs
+++ b/tools/src/soak/inject.rs
@@ -3,9 +3,9 @@
 use super::checks::Report;
 use super::plan::{Action, Injection};
 use crate::fronts::Site;
-use cloverpier_relay::prelude::{CatalogParts, Route};
-use cloverpier_relay_standin::link::Harm;
-use cloverpier_relay_standin::store::StoreFault;
+use cloverpier_router_policy::prelude::{CatalogParts, Route};
+use cloverpier_router_standin::link::Harm;
+use cloverpier_router_standin::store::StoreFault;
 use std::io;
 use std::time::{Duration, Instant};
 
--- a/tools/src/soak/plan.rs
+++ b/tools/src/soak/plan.rs
@@ -1,8 +1,8 @@
 //! What a soak does to a site, drawn from its seed.
 
-use cloverpier_relay_standin::link::Harm;
-use cloverpier_relay_standin::server::Fault;
-use cloverpier_relay_standin::store::StoreFault;
+use cloverpier_router_standin::link::Harm;
+use cloverpier_router_standin::server::Fault;
+use cloverpier_router_standin::store::StoreFault;
 use std::time::Duration;
 
 /// The size of a site under soak.
