--- a/crates/daemon/cloverpier_daemon/src/app.rs
+++ b/crates/daemon/cloverpier_daemon/src/app.rs
@@ -11,7 +11,7 @@
 use cloverpier_peer::{PeerReply, PeerRequest, Peers, Versions};
 use cloverpier_record::{Horizon, Records};
 use cloverpier_route::View;
-use cloverpier_settings::Settings;
+use cloverpier_settings::DaemonSettings;
 use cloverpier_upstream::Engines;
 use reqwest::Client;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct App {
     /// The settings.
-    pub settings: Settings,
+    pub settings: DaemonSettings,
     /// This process as a member.
     pub me: Member,
     /// Where log lines go.
@@ -68,7 +68,7 @@
 
 impl App {
     /// The state of a process that has just started.
-    pub fn new(settings: Settings) -> Arc<Self> {
+    pub fn new(settings: DaemonSettings) -> Arc<Self> {
         let clock: Arc<dyn Clock> = Arc::new(SystemClock);
         let incarnation = wall_ms();
         let me = Member::new(
--- a/crates/daemon/cloverpier_daemon/src/lib.rs
+++ b/crates/daemon/cloverpier_daemon/src/lib.rs
@@ -5,7 +5,7 @@
 //! there.
 //!
 //! ```no_run
-//! # async fn example(settings: cloverpier_settings::Settings) {
+//! # async fn example(settings: cloverpier_settings::DaemonSettings) {
 //! use cloverpier_daemon::prelude::*;
 //!
 //! let app = App::new(settings);
--- a/crates/daemon/cloverpier_daemon/src/main.rs
+++ b/crates/daemon/cloverpier_daemon/src/main.rs
@@ -3,7 +3,7 @@
 use argh::FromArgs;
 use cloverpier_daemon::prelude::*;
 use cloverpier_observe::init_logs;
-use cloverpier_settings::{Settings, read_settings};
+use cloverpier_settings::{DaemonSettings, read_settings};
 use std::process::ExitCode;
 
 const EXIT_SETTINGS: u8 = 2;
@@ -22,7 +22,7 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     let args: Args = argh::from_env();
-    let settings = match read_settings(args.settings.as_ref(), Settings::parse) {
+    let settings = match read_settings(args.settings.as_ref(), DaemonSettings::parse) {
         Ok(settings) => settings,
         Err(faults) => {
             eprintln!("{faults}");
--- a/crates/daemon/cloverpier_daemon/tests/support/mod.rs
+++ b/crates/daemon/cloverpier_daemon/tests/support/mod.rs
@@ -10,7 +10,7 @@
 use cloverpier_config::{Account, Intent, Repeatable, Service, Upstream};
 use cloverpier_daemon::prelude::*;
 use cloverpier_daemon_standin::{EngineModel, engine, platform, service};
-use cloverpier_settings::Settings;
+use cloverpier_settings::DaemonSettings;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -292,7 +292,7 @@
 }
 
 fn start_router(settings: &str, peers_at: SocketAddr) -> Process {
-    let settings = Settings::parse(settings).unwrap();
+    let settings = DaemonSettings::parse(settings).unwrap();
     Process::start(peers_at, async move {
         run(App::new(settings)).await;
     })
--- a/crates/router/cloverpier_router/src/decision_log.rs
+++ b/crates/router/cloverpier_router/src/decision_log.rs
@@ -34,7 +34,8 @@
     pub prompt: Option<PromptKey>,
     pub resumes_after: Option<u64>,
     pub from_copy: bool,
-    pub catalog_version: u64,
+    #[serde(rename = "catalog_version")]
+    pub configuration_version: u64,
     #[serde(rename = "fleet_revision")]
     pub upstreams_revision: u64,
     pub age_ms: u64,
@@ -74,7 +75,8 @@
     pub path: &'a str,
     pub status: u16,
     pub reason: &'a str,
-    pub catalog_version: Option<u64>,
+    #[serde(rename = "catalog_version")]
+    pub configuration_version: Option<u64>,
 }
 
 /// What is believed of a upstream has changed.
@@ -94,7 +96,7 @@
     pub reason: &'a str,
 }
 
-/// This front begins or ends to follow the store.
+/// This router begins or ends to follow the store.
 #[derive(Serialize)]
 pub(crate) struct FollowingChanged {
     pub follows: bool,
--- a/crates/router/cloverpier_router/src/dialect.rs
+++ b/crates/router/cloverpier_router/src/dialect.rs
@@ -1,4 +1,4 @@
-//! The words that the front speaks on the wire, as data.
+//! The words that the router speaks on the wire, as data.
 
 use hyper::header::HeaderName;
 use std::net::SocketAddr;
@@ -22,8 +22,8 @@
     pub deadline_ms: HeaderName,
     /// The caller's key.
     pub key: HeaderName,
-    /// The name of the tenant that holds the key, for upstreams.
-    pub tenant: HeaderName,
+    /// The name of the client account that holds the key, for upstreams.
+    pub account: HeaderName,
     /// The name of the upstream that is meant.
     pub expected_upstream: HeaderName,
     /// The name of the upstream that answered a health check.
--- a/crates/router/cloverpier_router/src/following.rs
+++ b/crates/router/cloverpier_router/src/following.rs
@@ -1,15 +1,15 @@
-//! Whether this front follows the platform's store, and what follows from that.
+//! Whether this router follows the platform's store, and what follows from that.
 
 use crate::decision_log::FollowingChanged;
-use crate::front::Front;
+use crate::router::Router;
 use cloverpier_router_policy::prelude::*;
 use std::time::{Duration, Instant};
 
 /// A follower's word from the store is fresh for this long.
 const STORE_WORD_FRESH: Duration = Duration::from_millis(1_300);
 
-impl Front {
-    /// Decides whether this front follows the store, and notes a change.
+impl Router {
+    /// Decides whether this router follows the store, and notes a change.
     pub(crate) fn decide_following(&self, now: Instant) -> bool {
         let silence = self.peer_silence();
         let directory = self.directory.borrow();
@@ -38,12 +38,12 @@
         following.is_due()
     }
 
-    /// Whether this front follows the store.
+    /// Whether this router follows the store.
     pub(crate) fn follows_store(&self) -> bool {
         self.following.get().is_due()
     }
 
-    /// Whether peers rely on this front's word from the store.
+    /// Whether peers rely on this router's word from the store.
     pub(crate) fn has_word_for_peers(&self, now: Instant) -> bool {
         let heard = self.store_heard.get();
         let is_fresh = |at| now.saturating_duration_since(at) <= STORE_WORD_FRESH;
--- a/crates/router/cloverpier_router/src/guards.rs
+++ b/crates/router/cloverpier_router/src/guards.rs
@@ -1,6 +1,6 @@
-//! What is under way at this front; each thing ends when its guard is dropped.
+//! What is under way at this router; each thing ends when its guard is dropped.
 
-use crate::front::Front;
+use crate::router::Router;
 use cloverpier_core::UpstreamName;
 use cloverpier_router_policy::prelude::*;
 use std::rc::Rc;
@@ -9,17 +9,17 @@
 /// Work at a upstream that ends when this is dropped.
 #[derive(Debug)]
 pub(crate) struct WorkGuard {
-    front: Rc<Front>,
+    router: Rc<Router>,
     upstream: UpstreamName,
     work: Work,
 }
 
 impl WorkGuard {
     /// Begins work at a upstream.
-    pub fn begin(front: &Rc<Front>, upstream: &UpstreamName, work: Work) -> Self {
-        front.upstreams.borrow_mut().begin(upstream, work);
+    pub fn begin(router: &Rc<Router>, upstream: &UpstreamName, work: Work) -> Self {
+        router.upstreams.borrow_mut().begin(upstream, work);
         Self {
-            front: Rc::clone(front),
+            router: Rc::clone(router),
             upstream: upstream.clone(),
             work,
         }
@@ -31,14 +31,14 @@
             unread_tokens: self.work.unread_tokens,
             ..Work::default()
         };
-        self.front.upstreams.borrow_mut().end(&self.upstream, read);
+        self.router.upstreams.borrow_mut().end(&self.upstream, read);
         self.work.unread_tokens = 0;
     }
 }
 
 impl Drop for WorkGuard {
     fn drop(&mut self) {
-        self.front
+        self.router
             .upstreams
             .borrow_mut()
             .end(&self.upstream, self.work);
@@ -48,7 +48,7 @@
 /// A running stream whose prompt's place peers are told of again and again.
 #[derive(Debug)]
 pub(crate) struct RunningStream {
-    front: Rc<Front>,
+    router: Rc<Router>,
     prompt: PromptKey,
     upstream: UpstreamKey,
 }
@@ -56,17 +56,17 @@
 impl RunningStream {
     /// Remembers where a prompt is being read, and has peers remember it.
     pub fn begin(
-        front: &Rc<Front>,
+        router: &Rc<Router>,
         prompt: PromptKey,
         upstream: &UpstreamName,
         now: Instant,
     ) -> Self {
         let upstream = UpstreamKey::of(upstream);
-        front.places.borrow_mut().on_read(prompt, upstream, now);
-        front.changed_places.borrow_mut().push((prompt, upstream));
-        front.running.borrow_mut().insert(prompt, upstream);
+        router.places.borrow_mut().on_read(prompt, upstream, now);
+        router.changed_places.borrow_mut().push((prompt, upstream));
+        router.running.borrow_mut().insert(prompt, upstream);
         Self {
-            front: Rc::clone(front),
+            router: Rc::clone(router),
             prompt,
             upstream,
         }
@@ -75,7 +75,7 @@
 
 impl Drop for RunningStream {
     fn drop(&mut self) {
-        let mut running = self.front.running.borrow_mut();
+        let mut running = self.router.running.borrow_mut();
         // The stream may have gone on elsewhere meanwhile.
         if running.get(&self.prompt) == Some(&self.upstream) {
             running.remove(&self.prompt);
@@ -85,13 +85,13 @@
 
 /// One request in flight; a planned stop waits for all of them.
 #[derive(Debug)]
-pub(crate) struct InFlight(Rc<Front>);
+pub(crate) struct InFlight(Rc<Router>);
 
 impl InFlight {
     /// Counts a request.
-    pub fn begin(front: &Rc<Front>) -> Self {
-        front.in_flight.set(front.in_flight.get() + 1);
-        Self(Rc::clone(front))
+    pub fn begin(router: &Rc<Router>) -> Self {
+        router.in_flight.set(router.in_flight.get() + 1);
+        Self(Rc::clone(router))
     }
 }
 
--- a/crates/router/cloverpier_router/src/intake.rs
+++ b/crates/router/cloverpier_router/src/intake.rs
@@ -2,8 +2,8 @@
 
 use crate::decision_log::RequestRejected;
 use crate::dialect::PromptSize;
-use crate::front::Front;
 use crate::reply::{Reply, own_reply, refusal, strip_hop_by_hop};
+use crate::router::Router;
 use bytes::Bytes;
 use cloverpier_core::hash_of;
 use cloverpier_router_policy::prelude::*;
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// When to come back to a front that has no configuration yet.
+/// When to come back to a router that has no configuration yet.
 const STARTING_PAUSE: Duration = Duration::from_millis(300);
 /// Lowest rank that upstreams know.
 const LOWEST_PRIORITY: u8 = 9;
@@ -30,16 +30,16 @@
     pub method: Method,
     /// Path and query, as received.
     pub target: String,
-    /// The headers that travel along, the front's own ones included.
+    /// The headers that travel along, the router's own ones included.
     pub headers: HeaderMap,
     /// Its body.
     pub body: Bytes,
     /// The route that took it.
     pub route: Arc<Route>,
     /// The service picked for it.
-    pub service: Arc<ServiceTraits>,
+    pub service: Arc<ServiceConfig>,
     /// The configuration that it was routed by.
-    pub catalog_version: u64,
+    pub configuration_version: u64,
     /// When its head was read.
     pub arrived: Instant,
     /// When it has to be answered at the latest.
@@ -90,115 +90,117 @@
 
 /// Reads a request, or answers it at once.
 pub(crate) async fn take_request(
-    front: &Rc<Front>,
+    router: &Rc<Router>,
     request: Request<Incoming>,
     now: Instant,
 ) -> Result<RelayRequest, Reply> {
     let (head, body) = request.into_parts();
-    let id = text_of(&head.headers, &front.dialect.headers.request_id);
+    let id = text_of(&head.headers, &router.dialect.headers.request_id);
     let id = id.unwrap_or_default().to_owned();
     let path = head.uri.path().to_owned();
-    match read_request(front, head, body, &id, now).await {
+    match read_request(router, head, body, &id, now).await {
         Ok(request) => Ok(request),
         Err(rejection) => {
-            log_rejection(front, &id, &path, &rejection);
+            log_rejection(router, &id, &path, &rejection);
             Err(rejection.into_reply())
         }
     }
 }
 
-fn log_rejection(front: &Front, id: &str, path: &str, rejection: &Rejection) {
-    front.metrics.requests.count("rejected");
-    front.log.info(
+fn log_rejection(router: &Router, id: &str, path: &str, rejection: &Rejection) {
+    router.metrics.requests.count("rejected");
+    router.log.info(
         "request.rejected",
         &RequestRejected {
             request: id,
             path,
             status: rejection.status.as_u16(),
             reason: rejection.reason,
-            catalog_version: front.catalog().map(|c| c.version()),
+            configuration_version: router.configuration().map(|c| c.version()),
         },
     );
 }
 
 async fn read_request(
-    front: &Front,
+    router: &Router,
     head: Parts,
     body: Incoming,
     id: &str,
     now: Instant,
 ) -> Result<RelayRequest, Rejection> {
-    let catalog = front.catalog().filter(|_| front.is_serving());
-    let catalog = catalog.ok_or_else(Rejection::starting)?;
-    let route = find_route(&catalog, &head)?;
-    let tenant = find_tenant(front, &catalog, &route, &head)?;
-    let body = read_body(body, catalog.limits().body_bytes).await?;
+    let configuration = router.configuration().filter(|_| router.is_serving());
+    let configuration = configuration.ok_or_else(Rejection::starting)?;
+    let route = find_route(&configuration, &head)?;
+    let account = find_account(router, &configuration, &route, &head)?;
+    let body = read_body(body, configuration.limits().body_bytes).await?;
     // The configuration may have changed while the body came.
-    let catalog = front.catalog().ok_or_else(Rejection::starting)?;
-    let route = find_route(&catalog, &head).unwrap_or(route);
-    let service = pick_service(front, &catalog, &route)?;
-    let names = &front.dialect.headers;
-    let tenant_priority = tenant.as_ref().and_then(|t| t.priority);
-    let priority = tenant_priority.unwrap_or(route.priority);
+    let configuration = router.configuration().ok_or_else(Rejection::starting)?;
+    let route = find_route(&configuration, &head).unwrap_or(route);
+    let service = pick_service(router, &configuration, &route)?;
+    let names = &router.dialect.headers;
+    let account_priority = account.as_ref().and_then(|t| t.priority);
+    let priority = account_priority.unwrap_or(route.priority);
     Ok(RelayRequest {
         id: id.to_owned(),
         method: head.method.clone(),
         target: target_of(&head),
         body,
-        deadline: now + allowed_time(front, &head.headers, &route),
+        deadline: now + allowed_time(router, &head.headers, &route),
         last_event: text_of(&head.headers, &names.last_event).and_then(|t| t.trim().parse().ok()),
-        size: prompt_size(front, &head.headers),
+        size: prompt_size(router, &head.headers),
         prompt: text_of(&head.headers, &names.prompt_parts)
-            .and_then(front.dialect.own_part)
+            .and_then(router.dialect.own_part)
             .map(hash_of)
             .map(PromptKey),
-        headers: forwarded_headers(front, head.headers, tenant.as_deref()),
+        headers: forwarded_headers(router, head.headers, account.as_deref()),
         priority: priority.min(LOWEST_PRIORITY),
         service,
         route,
-        catalog_version: catalog.version(),
+        configuration_version: configuration.version(),
         arrived: now,
     })
 }
 
-fn find_route(catalog: &Catalog, head: &Parts) -> Result<Arc<Route>, Rejection> {
+fn find_route(configuration: &ConfigurationIndex, head: &Parts) -> Result<Arc<Route>, Rejection> {
     let host = head.uri.host().or_else(|| {
         let host = head.headers.get(HOST)?.to_str().ok()?;
         Some(host.split(':').next().unwrap_or(host))
     });
     let host = host.unwrap_or_default().to_ascii_lowercase();
-    let route = catalog.route(&host, head.uri.path());
+    let route = configuration.route(&host, head.uri.path());
     let missing = Rejection::new(StatusCode::NOT_FOUND, "no route matches host and path");
     route.cloned().ok_or(missing)
 }
 
-fn find_tenant(
-    front: &Front,
-    catalog: &Catalog,
+fn find_account(
+    router: &Router,
+    configuration: &ConfigurationIndex,
     route: &Route,
     head: &Parts,
-) -> Result<Option<Arc<Tenant>>, Rejection> {
-    if !catalog.needs_keys() {
+) -> Result<Option<Arc<ClientAccount>>, Rejection> {
+    if !configuration.needs_keys() {
         return Ok(None);
     }
-    let key = text_of(&head.headers, &front.dialect.headers.key);
-    let tenant = key.and_then(|key| catalog.tenant_of(key)).cloned();
-    if tenant.is_none() && !route.public {
+    let key = text_of(&head.headers, &router.dialect.headers.key);
+    let account = key
+        .and_then(|key| configuration.account_of_key(key))
+        .cloned();
+    if account.is_none() && !route.public {
         return Err(Rejection::new(
             StatusCode::UNAUTHORIZED,
             "the key is unknown",
         ));
     }
-    Ok(tenant)
+    Ok(account)
 }
 
 fn pick_service(
-    front: &Front,
-    catalog: &Catalog,
+    router: &Router,
+    configuration: &ConfigurationIndex,
     route: &Route,
-) -> Result<Arc<ServiceTraits>, Rejection> {
-    let name = route.pick_target(&mut front.rng.borrow_mut()).cloned();
-    let service = name.and_then(|name| catalog.service(&name).cloned());
+) -> Result<Arc<ServiceConfig>, Rejection> {
+    let name = route.pick_target(&mut router.rng.borrow_mut()).cloned();
+    let service = name.and_then(|name| configuration.service(&name).cloned());
     let missing = Rejection::new(
         StatusCode::SERVICE_UNAVAILABLE,
         "the route's service is unknown",
@@ -226,28 +228,32 @@
     target.map_or_else(|| head.uri.path().to_owned(), ToString::to_string)
 }
 
-fn allowed_time(front: &Front, headers: &HeaderMap, route: &Route) -> Duration {
-    let deadline = text_of(headers, &front.dialect.headers.deadline_ms);
+fn allowed_time(router: &Router, headers: &HeaderMap, route: &Route) -> Duration {
+    let deadline = text_of(headers, &router.dialect.headers.deadline_ms);
     let ms = deadline.and_then(|t| t.trim().parse::<f64>().ok());
     let own = ms.filter(|ms| ms.is_finite() && *ms >= 0.0);
     let own = own.map(|ms| Duration::from_secs_f64(ms / 1e3));
     own.map_or(route.timeout, |own| own.min(route.timeout))
 }
 
-fn prompt_size(front: &Front, headers: &HeaderMap) -> PromptSize {
-    let text = text_of(headers, &front.dialect.headers.prompt_size);
-    let size = text.and_then(front.dialect.prompt_size);
+fn prompt_size(router: &Router, headers: &HeaderMap) -> PromptSize {
+    let text = text_of(headers, &router.dialect.headers.prompt_size);
+    let size = text.and_then(router.dialect.prompt_size);
     size.unwrap_or_default()
 }
 
 /// The headers that travel to upstreams: all but those of one connection, the
-/// key, and those that only the front may set.
-fn forwarded_headers(front: &Front, mut headers: HeaderMap, tenant: Option<&Tenant>) -> HeaderMap {
-    let names = &front.dialect.headers;
+/// key, and those that only the router may set.
+fn forwarded_headers(
+    router: &Router,
+    mut headers: HeaderMap,
+    account: Option<&ClientAccount>,
+) -> HeaderMap {
+    let names = &router.dialect.headers;
     strip_hop_by_hop(&mut headers);
     let own = [
         &names.key,
-        &names.tenant,
+        &names.account,
         &names.expected_upstream,
         &names.deadline_ms,
         &names.priority,
@@ -259,8 +265,8 @@
     }
     headers.remove(EXPECT);
     headers.remove(hyper::header::CONTENT_LENGTH);
-    if let Some(value) = tenant.and_then(|t| HeaderValue::from_str(&t.name).ok()) {
-        headers.insert(names.tenant.clone(), value);
+    if let Some(value) = account.and_then(|t| HeaderValue::from_str(&t.name).ok()) {
+        headers.insert(names.account.clone(), value);
     }
     headers
 }
--- a/crates/router/cloverpier_router/src/lib.rs
+++ b/crates/router/cloverpier_router/src/lib.rs
@@ -1,4 +1,4 @@
-//! The front: the process that takes callers' requests to upstreams.
+//! The router: the process that takes callers' requests to upstreams.
 //!
 //! It carries out what `cloverpier_router_policy` decides. One thread runs it all, so
 //! its state is shared by [`std::rc::Rc`] and borrowed for moments. The words
@@ -28,7 +28,6 @@
 mod dialect;
 mod directory;
 mod following;
-mod front;
 mod gossip;
 mod guards;
 mod intake;
@@ -41,6 +40,7 @@
 mod probe;
 mod prompt_search;
 mod reply;
+mod router;
 mod send;
 mod start;
 mod stop;
@@ -53,10 +53,10 @@
 pub mod prelude {
     pub use crate::connection::{CallError, Caller, SimpleAnswer};
     pub use crate::dialect::{Dialect, HeaderNames, Paths, PromptSize};
-    pub use crate::front::Front;
-    pub use crate::start::{StartError, run_front};
+    pub use crate::router::Router;
+    pub use crate::start::{StartError, run_router};
     pub use crate::sync::{
-        CatalogChange, ConfigurationSource, STORE_PATIENCE, SourceError, UpstreamChanges,
+        ConfigurationChange, ConfigurationSource, STORE_PATIENCE, SourceError, UpstreamChanges,
         UpstreamList,
     };
 }
--- a/crates/router/cloverpier_router/src/metrics.rs
+++ b/crates/router/cloverpier_router/src/metrics.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// All metrics of a front.
+/// All metrics of a router.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
--- a/crates/router/cloverpier_router/src/outcome.rs
+++ b/crates/router/cloverpier_router/src/outcome.rs
@@ -1,9 +1,9 @@
 //! How requests end, what their callers are told then, and the lines that say so.
 
 use crate::decision_log::{RequestEnded, UpstreamChosen, ms, ms_since};
-use crate::front::Front;
 use crate::intake::RelayRequest;
 use crate::reply::{Reply, own_reply, refusal};
+use crate::router::Router;
 use crate::send::{SendError, Silence};
 use cloverpier_router_policy::prelude::*;
 use hyper::StatusCode;
@@ -49,7 +49,7 @@
 
 /// Writes the line that ends a request.
 pub(crate) fn log_end(
-    front: &Front,
+    router: &Router,
     request: &RelayRequest,
     attempts: &Attempts,
     status: StatusCode,
@@ -57,8 +57,8 @@
     progress: &Progress,
 ) {
     let now = Instant::now();
-    front.metrics.requests.count(end);
-    front.log.info(
+    router.metrics.requests.count(end);
+    router.log.info(
         "request.ended",
         &RequestEnded {
             request: &request.id,
@@ -159,7 +159,7 @@
 
 /// Writes the line that tells which upstream gets a request, and why that one.
 pub(crate) fn log_choice(
-    front: &Front,
+    router: &Router,
     request: &RelayRequest,
     table: &UpstreamTable,
     upstream: &Upstream,
@@ -167,7 +167,7 @@
 ) {
     let own = table.get(&upstream.name).map(|s| s.own).unwrap_or_default();
     let peers = table.peer_work.at(UpstreamKey::of(&upstream.name));
-    front.log.info(
+    router.log.info(
         "server.chosen",
         &UpstreamChosen {
             request: &request.id,
@@ -182,7 +182,7 @@
             prompt: request.prompt,
             resumes_after: note.resumes_after,
             from_copy: note.from_copy,
-            catalog_version: request.catalog_version,
+            configuration_version: request.configuration_version,
             upstreams_revision: table.revision(),
             age_ms: ms_since(request.arrived, note.now),
         },
--- a/crates/router/cloverpier_router/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -2,7 +2,6 @@
 
 use crate::body::{AnswerBroken, ReplyBody};
 use crate::decision_log::{SendFailed, ms_since};
-use crate::front::Front;
 use crate::guards::WorkGuard;
 use crate::intake::RelayRequest;
 use crate::outcome::{
@@ -10,6 +9,7 @@
     work_of,
 };
 use crate::reply::{Reply, UpstreamAnswer, streamed_reply};
+use crate::router::Router;
 use crate::send::{Awaited, Opened, SendError, SendExtras, keep, send, while_alive};
 use bytes::{Bytes, BytesMut};
 use cloverpier_core::UpstreamName;
@@ -27,14 +27,14 @@
 const STUCK_AFTER_OBJECTIVES: f64 = 2.0;
 
 /// Relays a request to one upstream, and to others as far as that is allowed.
-pub(crate) async fn relay_plain(front: &Rc<Front>, request: &Rc<RelayRequest>) -> Reply {
-    let mut run = PlainRun::new(front, request);
+pub(crate) async fn relay_plain(router: &Rc<Router>, request: &Rc<RelayRequest>) -> Reply {
+    let mut run = PlainRun::new(router, request);
     let (reply, end) = match run.run().await {
         Ok(reply) => (reply, "answered"),
         Err(given_up) => give_up_reply(request, &given_up),
     };
     log_end(
-        front,
+        router,
         request,
         &run.attempts,
         reply.status(),
@@ -45,7 +45,7 @@
 }
 
 struct PlainRun<'a> {
-    front: &'a Rc<Front>,
+    router: &'a Rc<Router>,
     request: &'a Rc<RelayRequest>,
     attempts: Attempts,
     tried: Vec<UpstreamName>,
@@ -54,10 +54,10 @@
 }
 
 impl<'a> PlainRun<'a> {
-    fn new(front: &'a Rc<Front>, request: &'a Rc<RelayRequest>) -> Self {
+    fn new(router: &'a Rc<Router>, request: &'a Rc<RelayRequest>) -> Self {
         let route = &request.route;
         Self {
-            front,
+            router,
             request,
             attempts: Attempts::new(route.repeat(), route.max_attempts),
             tried: Vec::new(),
@@ -94,9 +94,9 @@
 
     fn choose(&mut self) -> Option<Upstream> {
         let now = Instant::now();
-        let connected = self.front.pool.borrow().connected(now);
-        let table = self.front.upstreams.borrow();
-        let settings = self.front.settings();
+        let connected = self.router.pool.borrow().connected(now);
+        let table = self.router.upstreams.borrow();
+        let settings = self.router.settings();
         let demand = Demand {
             service: &self.request.service.name,
             home: &settings.data_centre,
@@ -110,33 +110,33 @@
             now,
             overcommit: false,
         };
-        let choice = choose_upstream(&table, &demand, &mut self.front.rng.borrow_mut());
+        let choice = choose_upstream(&table, &demand, &mut self.router.rng.borrow_mut());
         let Choice::Upstream(upstream) = choice else {
             return None;
         };
         let note = ChoiceNote::of(&self.attempts, now);
-        log_choice(self.front, self.request, &table, &upstream, &note);
+        log_choice(self.router, self.request, &table, &upstream, &note);
         Some(upstream)
     }
 
     async fn send_once(&mut self, upstream: &Upstream) -> Result<Reply, SendError> {
-        let work = WorkGuard::begin(self.front, &upstream.name, work_of(self.request));
+        let work = WorkGuard::begin(self.router, &upstream.name, work_of(self.request));
         let sent_at = Instant::now();
         let mut liveness = Liveness::new(self.bounds(), sent_at);
         let extras = SendExtras {
             priority: self.request.priority,
             ..SendExtras::default()
         };
-        let opened = send(self.front, self.request, upstream, &extras, &mut liveness).await?;
+        let opened = send(self.router, self.request, upstream, &extras, &mut liveness).await?;
         let reply = self
             .read_answer(upstream, opened, &mut liveness, work)
             .await?;
         let now = Instant::now();
-        let mut table = self.front.upstreams.borrow_mut();
+        let mut table = self.router.upstreams.borrow_mut();
         table.on_pace(&upstream.name, now.saturating_duration_since(sent_at));
         table.on_result(&upstream.name, false);
         let since = now.saturating_duration_since(self.request.arrived);
-        self.front.metrics.first_answer.observe(since);
+        self.router.metrics.first_answer.observe(since);
         Ok(reply)
     }
 
@@ -146,7 +146,7 @@
             && self.attempts.sent() < self.request.route.max_attempts;
         LivenessBounds {
             ask_after: objective.mul_f64(ASK_AFTER_OBJECTIVES),
-            answer_within: self.front.settings().silence.answer_within,
+            answer_within: self.router.settings().silence.answer_within,
             stream_silence: if has_other {
                 objective.mul_f64(STUCK_AFTER_OBJECTIVES)
             } else {
@@ -170,7 +170,7 @@
             link,
         } = opened;
         let awaited = Awaited {
-            front: self.front,
+            router: self.router,
             upstream,
             link: &link,
             deadline: self.request.deadline,
@@ -200,7 +200,7 @@
                 return Ok(streamed_reply(head, ReplyBody::pieces(rest.into_stream())));
             }
         }
-        keep(self.front, &upstream.name, connection);
+        keep(self.router, &upstream.name, connection);
         let answer = UpstreamAnswer {
             status: head.status,
             headers: head.headers,
@@ -221,15 +221,15 @@
     ) -> Option<Result<Reply, GivenUp>> {
         let now = Instant::now();
         self.tried.push(upstream.name.clone());
-        let mut table = self.front.upstreams.borrow_mut();
+        let mut table = self.router.upstreams.borrow_mut();
         table.on_result(&upstream.name, error.outcome.may_have_run());
         drop(table);
-        let take = || self.front.take_repeat(&upstream.service, now);
+        let take = || self.router.take_repeat(&upstream.service, now);
         let next = self
             .attempts
             .on_outcome(error.outcome, !error.timed_out, take);
-        self.front.metrics.sends.count(outcome_name(error.outcome));
-        self.front.log.info(
+        self.router.metrics.sends.count(outcome_name(error.outcome));
+        self.router.log.info(
             "send.failed",
             &SendFailed {
                 request: &self.request.id,
--- a/crates/router/cloverpier_router/src/probe.rs
+++ b/crates/router/cloverpier_router/src/probe.rs
@@ -2,9 +2,9 @@
 
 use crate::connection::{CallError, Caller};
 use crate::decision_log::{UpstreamBelief, ms, ms_since};
-use crate::front::Front;
 use crate::intake::text_of;
 use crate::links::Link;
+use crate::router::Router;
 use cloverpier_router_policy::prelude::*;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,55 +17,55 @@
 pub(crate) const CHECK_PERIOD: Duration = Duration::from_millis(50);
 
 /// Asks a silent upstream whether it lives; the answer arrives at its link.
-pub(crate) fn ask(front: &Rc<Front>, upstream: &Upstream, link: &Rc<Link>, now: Instant) {
+pub(crate) fn ask(router: &Rc<Router>, upstream: &Upstream, link: &Rc<Link>, now: Instant) {
     if link.asked.get().is_some() {
         return;
     }
     link.asked.set(Some(now));
-    let (front, upstream, link) = (Rc::clone(front), upstream.clone(), Rc::clone(link));
+    let (router, upstream, link) = (Rc::clone(router), upstream.clone(), Rc::clone(link));
     tokio::task::spawn_local(async move {
-        let path = front.dialect.paths.engine_report;
+        let path = router.dialect.paths.engine_report;
         let answer = link.caller.get(path, ANSWER_PATIENCE).await;
         let now = Instant::now();
         link.asked.set(None);
         match answer {
             Ok(_) => {
-                front.metrics.probes.count("alive");
+                router.metrics.probes.count("alive");
                 link.on_heard(now);
             }
             Err(CallError::Connect { refused: true, .. }) => {
-                front.metrics.probes.count("refused");
-                declare_dead(&front, &upstream, "no process listens there", now);
+                router.metrics.probes.count("refused");
+                declare_dead(&router, &upstream, "no process listens there", now);
             }
-            Err(_) => front.metrics.probes.count("silent"),
+            Err(_) => router.metrics.probes.count("silent"),
         }
     });
 }
 
 /// Takes a upstream for dead: its runs go on elsewhere, and it gets nothing new until it answers.
-pub(crate) fn declare_dead(front: &Front, upstream: &Upstream, reason: &str, now: Instant) {
-    let link = front.links.of(upstream, now);
-    let is_new = front.upstreams.borrow_mut().suspect(&upstream.name, now);
-    front.pool.borrow_mut().close_all(&upstream.name);
+pub(crate) fn declare_dead(router: &Router, upstream: &Upstream, reason: &str, now: Instant) {
+    let link = router.links.of(upstream, now);
+    let is_new = router.upstreams.borrow_mut().suspect(&upstream.name, now);
+    router.pool.borrow_mut().close_all(&upstream.name);
     if !is_new {
         return;
     }
     let silent = now.saturating_duration_since(link.heard.get());
-    front.metrics.detection.observe(silent);
-    log_belief(front, "server.suspected", upstream, reason, ms(silent));
+    router.metrics.detection.observe(silent);
+    log_belief(router, "server.suspected", upstream, reason, ms(silent));
     link.on_dead();
-    front.tell_peers(&upstream.name);
-    front.links.renew(upstream, now);
+    router.tell_peers(&upstream.name);
+    router.links.renew(upstream, now);
 }
 
 fn log_belief(
-    front: &Front,
+    router: &Router,
     event: &'static str,
     upstream: &Upstream,
     reason: &str,
     silent_ms: u64,
 ) {
-    front.log.info(
+    router.log.info(
         event,
         &UpstreamBelief {
             upstream: upstream.name.as_str(),
@@ -77,18 +77,21 @@
 }
 
 /// Checks suspects for signs of life, for as long as the process runs.
-pub(crate) async fn check_suspects(front: Rc<Front>) {
+pub(crate) async fn check_suspects(router: Rc<Router>) {
     loop {
         tokio::time::sleep(CHECK_PERIOD).await;
-        let due = front.upstreams.borrow_mut().take_due_probes(Instant::now());
+        let due = router
+            .upstreams
+            .borrow_mut()
+            .take_due_probes(Instant::now());
         for upstream in due {
-            tokio::task::spawn_local(check(Rc::clone(&front), upstream));
+            tokio::task::spawn_local(check(Rc::clone(&router), upstream));
         }
     }
 }
 
-async fn check(front: Rc<Front>, upstream: Upstream) {
-    let health = front.catalog().and_then(|c| {
+async fn check(router: Rc<Router>, upstream: Upstream) {
+    let health = router.configuration().and_then(|c| {
         let service = c.service(&upstream.service)?;
         Some(service.health_path.clone())
     });
@@ -96,24 +99,24 @@
     let caller = Caller::new(upstream.address, CHECK_PATIENCE);
     let asked = Instant::now();
     let Ok(answer) = caller.get(&path, CHECK_PATIENCE).await else {
-        front.metrics.probes.count("suspect-silent");
+        router.metrics.probes.count("suspect-silent");
         return;
     };
-    let name = text_of(&answer.headers, &front.dialect.headers.answering_upstream);
+    let name = text_of(&answer.headers, &router.dialect.headers.answering_upstream);
     if name.is_some_and(|name| name != upstream.name.as_str()) {
-        front.metrics.probes.count("suspect-replaced");
-        front.upstreams.borrow_mut().on_replaced(&upstream.name);
-        log_belief(&front, "server.replaced", &upstream, "another answers", 0);
+        router.metrics.probes.count("suspect-replaced");
+        router.upstreams.borrow_mut().on_replaced(&upstream.name);
+        log_belief(&router, "server.replaced", &upstream, "another answers", 0);
         return;
     }
-    front.metrics.probes.count("suspect-alive");
-    let suspected = front
+    router.metrics.probes.count("suspect-alive");
+    let suspected = router
         .upstreams
         .borrow_mut()
         .on_alive(&upstream.name, Instant::now());
     if let Some(suspected) = suspected {
         let took = ms_since(asked, Instant::now());
         let reason = format!("answered a check in {took} ms");
-        log_belief(&front, "server.trusted", &upstream, &reason, ms(suspected));
+        log_belief(&router, "server.trusted", &upstream, &reason, ms(suspected));
     }
 }
--- a/crates/router/cloverpier_router/src/prompt_search.rs
+++ b/crates/router/cloverpier_router/src/prompt_search.rs
@@ -1,13 +1,13 @@
-//! Finds the engine that has read a prompt, where this front doesn't know it.
+//! Finds the engine that has read a prompt, where this router doesn't know it.
 //!
-//! A front that has just started knows nothing of the streams that callers come
-//! back for. Engines tell which prompts they have cached of late, so the front
+//! A router that has just started knows nothing of the streams that callers come
+//! back for. Engines tell which prompts they have cached of late, so the router
 //! asks them: those first that are most likely to have read this prompt, until
 //! one has, and none of them twice within a while.
 
 use crate::decision_log::{PromptSearched, ms_since};
-use crate::front::Front;
 use crate::intake::RelayRequest;
+use crate::router::Router;
 use cloverpier_core::{ServiceName, hash_of};
 use cloverpier_router_policy::prelude::*;
 use std::cell::{Cell, RefCell};
@@ -54,75 +54,75 @@
 }
 
 /// Asks engines for a prompt that a request goes on with, unless it is known where it is.
-pub(crate) async fn find_prompt(front: &Rc<Front>, request: &RelayRequest, prompt: PromptKey) {
-    if place_of(front, prompt).is_some() {
+pub(crate) async fn find_prompt(router: &Rc<Router>, request: &RelayRequest, prompt: PromptKey) {
+    if place_of(router, prompt).is_some() {
         return;
     }
     let begun = Instant::now();
     let service = &request.service.name;
     let patience = search_patience(request.time_left(begun));
     // Without an answer in time, the request goes on without it.
-    let _ = timeout(patience, search(front, service, prompt)).await;
-    let found = place_of(front, prompt);
-    front.log.info(
+    let _ = timeout(patience, search(router, service, prompt)).await;
+    let found = place_of(router, prompt);
+    router.log.info(
         "prompt.searched",
         &PromptSearched {
             request: &request.id,
             service: service.as_str(),
             prompt,
-            engines_asked_of_late: front.searches.asked.borrow().len(),
+            engines_asked_of_late: router.searches.asked.borrow().len(),
             found: found.is_some(),
             took_ms: ms_since(begun, Instant::now()),
         },
     );
 }
 
-fn place_of(front: &Front, prompt: PromptKey) -> Option<UpstreamKey> {
-    let places = front.places.borrow();
+fn place_of(router: &Router, prompt: PromptKey) -> Option<UpstreamKey> {
+    let places = router.places.borrow();
     places.engine_of(prompt, Instant::now())
 }
 
 /// Asks one engine after the other, some at a time, until one has the prompt.
-async fn search(front: &Rc<Front>, service: &ServiceName, prompt: PromptKey) {
-    let engines = search_order(&front.upstreams.borrow(), service, prompt);
+async fn search(router: &Rc<Router>, service: &ServiceName, prompt: PromptKey) {
+    let engines = search_order(&router.upstreams.borrow(), service, prompt);
     for engine in engines {
-        while front.searches.open.get() >= ASKED_AT_ONCE {
-            front.searches.news.notified().await;
+        while router.searches.open.get() >= ASKED_AT_ONCE {
+            router.searches.news.notified().await;
         }
-        if place_of(front, prompt).is_some() {
+        if place_of(router, prompt).is_some() {
             return;
         }
         let key = UpstreamKey::of(&engine.name);
-        if front.searches.begin(key, Instant::now()) {
-            tokio::task::spawn_local(ask(Rc::clone(front), engine));
+        if router.searches.begin(key, Instant::now()) {
+            tokio::task::spawn_local(ask(Rc::clone(router), engine));
         }
     }
-    while front.searches.open.get() > 0 && place_of(front, prompt).is_none() {
-        front.searches.news.notified().await;
+    while router.searches.open.get() > 0 && place_of(router, prompt).is_none() {
+        router.searches.news.notified().await;
     }
 }
 
 /// Asks one engine, and notes what it holds.
-async fn ask(front: Rc<Front>, engine: Upstream) {
-    let link = front.links.of(&engine, Instant::now());
-    let path = front.dialect.paths.engine_cache;
+async fn ask(router: Rc<Router>, engine: Upstream) {
+    let link = router.links.of(&engine, Instant::now());
+    let path = router.dialect.paths.engine_cache;
     let answer = link.caller.get(path, ANSWER_PATIENCE).await;
     match answer.ok().filter(|a| a.status.is_success()) {
         Some(answer) => {
-            front.metrics.probes.count("cache");
+            router.metrics.probes.count("cache");
             let now = Instant::now();
             link.on_heard(now);
-            let parts = (front.dialect.cached_parts)(&answer.body);
-            note_found(&front, &engine, &parts, now);
+            let parts = (router.dialect.cached_parts)(&answer.body);
+            note_found(&router, &engine, &parts, now);
         }
-        None => front.metrics.probes.count("cache-silent"),
+        None => router.metrics.probes.count("cache-silent"),
     }
-    front.searches.end();
+    router.searches.end();
 }
 
-fn note_found(front: &Front, engine: &Upstream, parts: &[String], now: Instant) {
+fn note_found(router: &Router, engine: &Upstream, parts: &[String], now: Instant) {
     let key = UpstreamKey::of(&engine.name);
-    let mut places = front.places.borrow_mut();
+    let mut places = router.places.borrow_mut();
     for part in parts {
         places.on_found(PromptKey(hash_of(part)), key, now);
     }
--- a/crates/router/cloverpier_router/src/reply.rs
+++ b/crates/router/cloverpier_router/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of the front's own, and upstreams' answers as callers get them.
+//! Answers of the router's own, and upstreams' answers as callers get them.
 
 use crate::body::ReplyBody;
 use bytes::Bytes;
@@ -40,7 +40,7 @@
     names.filter_map(|n| n.trim().parse().ok()).collect()
 }
 
-/// An answer of the front's own: a status and what is wrong.
+/// An answer of the router's own: a status and what is wrong.
 pub(crate) fn own_reply(status: StatusCode, error: &str) -> Reply {
     let text = serde_json::json!({ "error": error }).to_string();
     let mut reply = Response::new(ReplyBody::whole(text));
--- a/crates/router/cloverpier_router/src/front.rs
+++ b/crates/router/cloverpier_router/src/router.rs
@@ -1,4 +1,4 @@
-//! What the parts of a front share.
+//! What the parts of a router share.
 
 use crate::dialect::Dialect;
 use crate::links::Links;
@@ -9,7 +9,7 @@
 use cloverpier_core::{ServiceName, UpstreamName};
 use cloverpier_observe::Log;
 use cloverpier_router_policy::prelude::*;
-use cloverpier_settings::FrontSettings;
+use cloverpier_settings::RouterSettings;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -23,14 +23,14 @@
 /// Peers that hear of each heartbeat; with more of them they take turns.
 pub(crate) const PEERS_A_TURN: usize = 16;
 
-/// The state of one front; one thread uses it.
+/// The state of one router; one thread uses it.
 #[derive(Debug)]
-pub struct Front {
-    pub(crate) settings: RefCell<Rc<FrontSettings>>,
+pub struct Router {
+    pub(crate) settings: RefCell<Rc<RouterSettings>>,
     pub(crate) dialect: Dialect,
     pub(crate) log: Log,
     pub(crate) metrics: Metrics,
-    pub(crate) catalog: RefCell<Option<Rc<Catalog>>>,
+    pub(crate) configuration: RefCell<Option<Rc<ConfigurationIndex>>>,
     pub(crate) upstreams: RefCell<UpstreamTable>,
     /// Whether the list of upstreams was learned since the start.
     pub(crate) upstreams_known: Cell<bool>,
@@ -60,21 +60,21 @@
     pub(crate) store: StoreHealth,
     /// When the store answered last.
     pub(crate) store_heard: Cell<Option<Instant>>,
-    /// Whether this front follows the store, and why.
+    /// Whether this router follows the store, and why.
     pub(crate) following: Cell<Following>,
     /// Distinguishes this start from others at the same address.
     pub(crate) incarnation: u64,
 }
 
-impl Front {
-    /// A front that knows nothing yet.
-    pub fn new(settings: FrontSettings, dialect: Dialect, mut rng: fastrand::Rng) -> Self {
+impl Router {
+    /// A router that knows nothing yet.
+    pub fn new(settings: RouterSettings, dialect: Dialect, mut rng: fastrand::Rng) -> Self {
         Self {
             log: Log::new(settings.vm.as_str()),
             settings: RefCell::new(Rc::new(settings)),
             dialect,
             metrics: Metrics::default(),
-            catalog: RefCell::new(None),
+            configuration: RefCell::new(None),
             upstreams: RefCell::new(UpstreamTable::default()),
             upstreams_known: Cell::new(false),
             directory: RefCell::new(Directory::default()),
@@ -99,18 +99,18 @@
     }
 
     /// The settings in force.
-    pub(crate) fn settings(&self) -> Rc<FrontSettings> {
+    pub(crate) fn settings(&self) -> Rc<RouterSettings> {
         Rc::clone(&self.settings.borrow())
     }
 
     /// The configuration in force, once one was learned.
-    pub(crate) fn catalog(&self) -> Option<Rc<Catalog>> {
-        self.catalog.borrow().clone()
+    pub(crate) fn configuration(&self) -> Option<Rc<ConfigurationIndex>> {
+        self.configuration.borrow().clone()
     }
 
     /// Whether requests can be served.
     pub(crate) fn is_serving(&self) -> bool {
-        self.upstreams_known.get() && self.catalog.borrow().is_some()
+        self.upstreams_known.get() && self.configuration.borrow().is_some()
     }
 
     /// How long a peer may be silent before it isn't taken for alive.
@@ -139,16 +139,16 @@
     }
 
     /// Takes over a configuration unless it is older than the one in force.
-    pub(crate) fn apply_catalog(&self, parts: CatalogParts) -> bool {
-        let known = self.catalog.borrow().as_ref().map(|c| c.version());
+    pub(crate) fn set_configuration(&self, parts: Configuration) -> bool {
+        let known = self.configuration.borrow().as_ref().map(|c| c.version());
         if known.is_some_and(|version| version >= parts.version) {
             return false;
         }
-        *self.catalog.borrow_mut() = Some(Rc::new(Catalog::new(parts)));
+        *self.configuration.borrow_mut() = Some(Rc::new(ConfigurationIndex::new(parts)));
         true
     }
 
-    /// Takes a repeat at a service from this front's share of the budget.
+    /// Takes a repeat at a service from this router's share of the budget.
     pub(crate) fn take_repeat(&self, service: &ServiceName, now: Instant) -> bool {
         let silence = self.peer_silence();
         let directory = self.directory.borrow();
@@ -161,7 +161,7 @@
         self.with_budget(service, |budget| budget.take_repeat(now, &peers))
     }
 
-    /// What this front has spent of each service's retry budget.
+    /// What this router has spent of each service's retry budget.
     pub(crate) fn spent(&self, now: Instant) -> Vec<(ServiceKey, BudgetUse)> {
         let mut budgets = self.budgets.borrow_mut();
         let spent = budgets.iter_mut();
--- a/crates/router/cloverpier_router/src/send.rs
+++ b/crates/router/cloverpier_router/src/send.rs
@@ -1,11 +1,11 @@
 //! One send of a request to one upstream, up to the head of its answer.
 
 use crate::connection::{Connection, SendFailure, WholeRequest};
-use crate::front::Front;
 use crate::intake::{RelayRequest, text_of};
 use crate::links::Link;
 use crate::pool::{DEFAULT_IDLE_LIMIT, idle_limit};
 use crate::probe;
+use crate::router::Router;
 use cloverpier_core::UpstreamName;
 use cloverpier_router_policy::prelude::*;
 use futures_util::future::poll_immediate;
@@ -102,7 +102,7 @@
 
 /// A upstream that is waited for.
 pub(crate) struct Awaited<'a> {
-    pub front: &'a Rc<Front>,
+    pub router: &'a Rc<Router>,
     pub upstream: &'a Upstream,
     pub link: &'a Rc<Link>,
     pub deadline: Instant,
@@ -116,7 +116,7 @@
 ) -> Result<T, Silence> {
     let mut answer = pin!(answer);
     let Awaited {
-        front,
+        router,
         upstream,
         link,
         deadline,
@@ -137,11 +137,11 @@
         let wake_at = match liveness.step(link.heard.get(), link.asked.get(), now) {
             LivenessStep::WaitUntil(at) => at.min(*deadline),
             LivenessStep::Ask => {
-                probe::ask(front, upstream, link, now);
+                probe::ask(router, upstream, link, now);
                 continue;
             }
             LivenessStep::UpstreamDead => {
-                probe::declare_dead(front, upstream, "no answer to a question", now);
+                probe::declare_dead(router, upstream, "no answer to a question", now);
                 return Err(Silence::UpstreamDead);
             }
             LivenessStep::StreamStuck => return Err(Silence::Stuck),
@@ -164,23 +164,23 @@
 ///
 /// [`SendError`] for all that isn't the upstream's own answer to this request.
 pub(crate) async fn send(
-    front: &Rc<Front>,
+    router: &Rc<Router>,
     request: &RelayRequest,
     upstream: &Upstream,
     extras: &SendExtras,
     liveness: &mut Liveness,
 ) -> Result<Opened, SendError> {
-    let link = front.links.of(upstream, Instant::now());
+    let link = router.links.of(upstream, Instant::now());
     loop {
-        let mut connection = connect(front, request, upstream).await?;
+        let mut connection = connect(router, request, upstream).await?;
         let is_kept = connection.requests > 0;
         let now = Instant::now();
         if request.time_left(now) < LEAST_TIME {
             return Err(SendError::timed_out(SendOutcome::NotSent));
         }
-        let message = message(front, request, upstream, extras, now)?;
+        let message = message(router, request, upstream, extras, now)?;
         let awaited = Awaited {
-            front,
+            router,
             upstream,
             link: &link,
             deadline: request.deadline,
@@ -190,9 +190,9 @@
         match sent {
             // A kept connection that had ended meanwhile costs nothing.
             Ok(Err(SendFailure { unsent: true, .. })) if is_kept => {}
-            Ok(Err(failure)) => return Err(failed_send(front, upstream, failure)),
+            Ok(Err(failure)) => return Err(failed_send(router, upstream, failure)),
             Ok(Ok(response)) => {
-                return judge(front, request, upstream, response, connection, link);
+                return judge(router, request, upstream, response, connection, link);
             }
             Err(Silence::TimedOut) => return Err(SendError::timed_out(SendOutcome::Unknown)),
             Err(silence) => return Err(SendError::new(SendOutcome::Unknown, silence.reason())),
@@ -200,14 +200,14 @@
     }
 }
 
-fn failed_send(front: &Front, upstream: &Upstream, failure: SendFailure) -> SendError {
+fn failed_send(router: &Router, upstream: &Upstream, failure: SendFailure) -> SendError {
     let outcome = if failure.unsent {
         SendOutcome::NotSent
     } else {
         SendOutcome::Unknown
     };
     if upstream_seems_gone(&failure.reason) {
-        probe::declare_dead(front, upstream, &failure.reason, Instant::now());
+        probe::declare_dead(router, upstream, &failure.reason, Instant::now());
     }
     SendError::new(outcome, failure.reason)
 }
@@ -218,33 +218,33 @@
 }
 
 async fn connect(
-    front: &Rc<Front>,
+    router: &Rc<Router>,
     request: &RelayRequest,
     upstream: &Upstream,
 ) -> Result<Connection, SendError> {
     let now = Instant::now();
-    let kept = front.pool.borrow_mut().take(&upstream.name, now);
+    let kept = router.pool.borrow_mut().take(&upstream.name, now);
     if let Some(connection) = kept {
         return Ok(connection);
     }
-    front.metrics.connections.inc();
+    router.metrics.connections.inc();
     let patience = CONNECT_PATIENCE.min(request.time_left(now));
     let opened = Connection::open(upstream.address, patience, DEFAULT_IDLE_LIMIT).await;
     opened.map_err(|e| {
         let reason = format!("can't connect: {e}");
-        probe::declare_dead(front, upstream, &reason, Instant::now());
+        probe::declare_dead(router, upstream, &reason, Instant::now());
         SendError::new(SendOutcome::NotSent, reason)
     })
 }
 
 fn message(
-    front: &Front,
+    router: &Router,
     request: &RelayRequest,
     upstream: &Upstream,
     extras: &SendExtras,
     now: Instant,
 ) -> Result<WholeRequest, SendError> {
-    let names = &front.dialect.headers;
+    let names = &router.dialect.headers;
     let mut headers = request.headers.clone();
     let mut set = |name: &hyper::header::HeaderName, text: &str| {
         if let Ok(value) = HeaderValue::from_str(text) {
@@ -277,14 +277,14 @@
 
 /// Tells the upstream's own answer to this request from anything else.
 fn judge(
-    front: &Front,
+    router: &Router,
     request: &RelayRequest,
     upstream: &Upstream,
     response: Response<Incoming>,
     mut connection: Connection,
     link: Rc<Link>,
 ) -> Result<Opened, SendError> {
-    let names = &front.dialect.headers;
+    let names = &router.dialect.headers;
     let (head, body) = response.into_parts();
     let id = text_of(&head.headers, &names.request_id);
     let is_first = connection.requests == 1;
@@ -295,7 +295,7 @@
         ));
     }
     if head.status == StatusCode::MISDIRECTED_REQUEST {
-        on_misdirected(front, upstream, &head);
+        on_misdirected(router, upstream, &head);
         return Err(SendError::new(
             SendOutcome::Misdirected,
             "another server answers there",
@@ -326,21 +326,21 @@
     })
 }
 
-fn on_misdirected(front: &Front, upstream: &Upstream, head: &Parts) {
-    let names = &front.dialect.headers;
+fn on_misdirected(router: &Router, upstream: &Upstream, head: &Parts) {
+    let names = &router.dialect.headers;
     let answering = text_of(&head.headers, &names.answering_upstream);
     if answering.is_some_and(|name| name != upstream.name.as_str()) {
-        front.upstreams.borrow_mut().on_replaced(&upstream.name);
-        front.pool.borrow_mut().close_all(&upstream.name);
+        router.upstreams.borrow_mut().on_replaced(&upstream.name);
+        router.pool.borrow_mut().close_all(&upstream.name);
     }
 }
 
 /// Keeps a connection whose answer was read to its end.
-pub(crate) fn keep(front: &Rc<Front>, upstream: &UpstreamName, mut connection: Connection) {
-    let (front, upstream) = (Rc::clone(front), upstream.clone());
+pub(crate) fn keep(router: &Rc<Router>, upstream: &UpstreamName, mut connection: Connection) {
+    let (router, upstream) = (Rc::clone(router), upstream.clone());
     tokio::task::spawn_local(async move {
         if connection.settle().await {
-            front
+            router
                 .pool
                 .borrow_mut()
                 .put(&upstream, connection, Instant::now());
--- a/crates/router/cloverpier_router/src/stop.rs
+++ b/crates/router/cloverpier_router/src/stop.rs
@@ -1,17 +1,17 @@
 //! Signals: the planned stop and the reload of settings.
 
 use crate::decision_log::Dependency;
-use crate::front::Front;
+use crate::router::Router;
 use cloverpier_observe::NoFields;
-use cloverpier_settings::FrontSettings;
+use cloverpier_settings::RouterSettings;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// How often a stopping front looks whether it is idle.
+/// How often a stopping router looks whether it is idle.
 const CHECK: Duration = Duration::from_millis(50);
-/// A stopping front serves at least this long, as callers still hold its address.
+/// A stopping router serves at least this long, as callers still hold its address.
 const LEAST_STOP: Duration = Duration::from_millis(3_500);
 /// The process ends this long before it would be killed.
 const MARGIN: Duration = Duration::from_millis(300);
@@ -19,16 +19,16 @@
 const FILE_PERIOD: Duration = Duration::from_secs(1);
 
 /// Waits for a termination signal, then until the last answer is out.
-pub(crate) async fn wait_for_stop(front: &Rc<Front>, mut terminate: Signal) {
+pub(crate) async fn wait_for_stop(router: &Rc<Router>, mut terminate: Signal) {
     terminate.recv().await;
     let begun = Instant::now();
-    front.stopping.set(Some(begun));
-    front.log.info("process.stopping", &NoFields {});
-    let grace = front.settings().grace.saturating_sub(MARGIN);
+    router.stopping.set(Some(begun));
+    router.log.info("process.stopping", &NoFields {});
+    let grace = router.settings().grace.saturating_sub(MARGIN);
     loop {
         tokio::time::sleep(CHECK).await;
         let passed = begun.elapsed();
-        let is_idle = front.in_flight.get() == 0 && passed >= LEAST_STOP;
+        let is_idle = router.in_flight.get() == 0 && passed >= LEAST_STOP;
         if is_idle || passed >= grace {
             return;
         }
@@ -45,7 +45,7 @@
 }
 
 /// Reads the settings again whenever their file has changed or a signal says so.
-pub(crate) async fn reload_settings(front: Rc<Front>, path: PathBuf) {
+pub(crate) async fn reload_settings(router: Rc<Router>, path: PathBuf) {
     let Ok(mut hang_up) = signal(SignalKind::hangup()) else {
         return;
     };
@@ -60,18 +60,18 @@
             continue;
         };
         if text != known {
-            take_settings(&front, &text);
+            take_settings(&router, &text);
             known = text;
         }
     }
 }
 
 /// Takes over new settings; listeners stay where they are until a restart.
-fn take_settings(front: &Front, text: &str) {
-    match FrontSettings::parse(text) {
+fn take_settings(router: &Router, text: &str) {
+    match RouterSettings::parse(text) {
         Ok(settings) => {
-            *front.settings.borrow_mut() = Rc::new(settings);
-            front.log.info("settings.reloaded", &NoFields {});
+            *router.settings.borrow_mut() = Rc::new(settings);
+            router.log.info("settings.reloaded", &NoFields {});
         }
         Err(faults) => {
             let reason = faults.to_string();
@@ -79,7 +79,7 @@
                 name: "settings",
                 reason: &reason,
             };
-            front.log.warn("settings.rejected", &line);
+            router.log.warn("settings.rejected", &line);
         }
     }
 }
--- a/crates/router/cloverpier_router/src/stream/mod.rs
+++ b/crates/router/cloverpier_router/src/stream/mod.rs
@@ -5,13 +5,13 @@
 use crate::body::{AnswerBroken, ReplyBody};
 use crate::connection::Connection;
 use crate::decision_log::{SendFailed, ms_since};
-use crate::front::Front;
 use crate::guards::{RunningStream, WorkGuard};
 use crate::intake::RelayRequest;
 use crate::links::Link;
 use crate::outcome::{GivenUp, Progress, give_up_reply, log_end, outcome_name, silence_error};
 use crate::probe;
 use crate::reply::{Reply, UpstreamAnswer, streamed_reply};
+use crate::router::Router;
 use crate::send::{Awaited, SendError, keep, while_alive};
 use bytes::{Bytes, BytesMut};
 use cloverpier_core::UpstreamName;
@@ -29,12 +29,12 @@
 const RESUMED_PRIORITY: u8 = 0;
 
 /// Relays a request whose answer is an event stream.
-pub(crate) async fn relay_stream(front: &Rc<Front>, request: &Rc<RelayRequest>) -> Reply {
-    let mut run = StreamRun::new(front, request);
+pub(crate) async fn relay_stream(router: &Rc<Router>, request: &Rc<RelayRequest>) -> Reply {
+    let mut run = StreamRun::new(router, request);
     match run.first_piece().await {
         FirstPiece::Events(head, piece) => {
             let since = Instant::now().saturating_duration_since(request.arrived);
-            front.metrics.first_answer.observe(since);
+            router.metrics.first_answer.observe(since);
             let first = once(async { Ok(piece) });
             let body = ReplyBody::pieces(first.chain(run.into_stream()));
             streamed_reply(head, body)
@@ -99,7 +99,7 @@
 
 /// A stream on its way to its caller.
 struct StreamRun {
-    front: Rc<Front>,
+    router: Rc<Router>,
     request: Rc<RelayRequest>,
     attempts: Attempts,
     tried: Vec<UpstreamName>,
@@ -125,10 +125,10 @@
 }
 
 impl StreamRun {
-    fn new(front: &Rc<Front>, request: &Rc<RelayRequest>) -> Self {
+    fn new(router: &Rc<Router>, request: &Rc<RelayRequest>) -> Self {
         let route = &request.route;
         Self {
-            front: Rc::clone(front),
+            router: Rc::clone(router),
             request: Rc::clone(request),
             attempts: Attempts::new(route.repeat(), route.max_attempts),
             tried: Vec::new(),
@@ -147,7 +147,7 @@
     fn log_end(&mut self, status: StatusCode, end: &'static str) {
         self.ended = true;
         log_end(
-            &self.front,
+            &self.router,
             &self.request,
             &self.attempts,
             status,
@@ -265,7 +265,7 @@
     fn on_progress(&mut self, now: Instant) {
         if let Some(lost) = self.lost_since.take() {
             let pause = now.saturating_duration_since(lost);
-            self.front.metrics.resume_pause.observe(pause);
+            self.router.metrics.resume_pause.observe(pause);
         }
         let bounds = self.running_bounds();
         if let Some(source) = &mut self.source {
@@ -282,7 +282,7 @@
             return Err(Interruption::unknown("no server has the request"));
         };
         let awaited = Awaited {
-            front: &self.front,
+            router: &self.router,
             upstream: &source.upstream,
             link: &source.link,
             deadline: self.request.deadline,
@@ -299,7 +299,7 @@
                 let reason = format!("the stream broke: {}", crate::connection::describe(&e));
                 if reason.contains("reset") {
                     let now = Instant::now();
-                    probe::declare_dead(&self.front, &source.upstream, &reason, now);
+                    probe::declare_dead(&self.router, &source.upstream, &reason, now);
                 }
                 Err(Interruption::unknown(reason))
             }
@@ -313,10 +313,10 @@
 
     fn close_completed(&mut self) {
         if let Some(source) = self.source.take() {
-            let mut table = self.front.upstreams.borrow_mut();
+            let mut table = self.router.upstreams.borrow_mut();
             table.on_result(&source.upstream.name, false);
             drop(table);
-            keep(&self.front, &source.upstream.name, source.connection);
+            keep(&self.router, &source.upstream.name, source.connection);
         }
     }
 
@@ -334,9 +334,9 @@
     /// Decides whether another upstream may get the request.
     fn after_interruption(&mut self, interruption: &Interruption) -> Result<(), GivenUp> {
         let now = Instant::now();
-        let front = Rc::clone(&self.front);
+        let router = Rc::clone(&self.router);
         let service = self.request.service.name.clone();
-        let take = || front.take_repeat(&service, now);
+        let take = || router.take_repeat(&service, now);
         let has_time = !interruption.timed_out;
         let next = self
             .attempts
@@ -354,11 +354,11 @@
 
     fn log_failure(&self, interruption: &Interruption, next: NextStep, now: Instant) {
         let name = outcome_name(interruption.outcome);
-        self.front.metrics.sends.count(name);
+        self.router.metrics.sends.count(name);
         if self.progress.events > 0 && next == NextStep::SendAgain {
-            self.front.metrics.resumed.count(name);
+            self.router.metrics.resumed.count(name);
         }
-        self.front.log.info(
+        self.router.log.info(
             "send.failed",
             &SendFailed {
                 request: &self.request.id,
--- a/crates/router/cloverpier_router/src/stream/open.rs
+++ b/crates/router/cloverpier_router/src/stream/open.rs
@@ -29,7 +29,7 @@
                 Err(error) => error,
             };
             self.tried.push(upstream.name.clone());
-            let mut table = self.front.upstreams.borrow_mut();
+            let mut table = self.router.upstreams.borrow_mut();
             table.on_result(&upstream.name, error.outcome.may_have_run());
             drop(table);
             self.after_interruption(&error.into())?;
@@ -38,11 +38,11 @@
 
     /// The engine with the copy of the lost run, or the best of the others.
     fn choose(&mut self) -> Option<(Upstream, SendExtras)> {
-        let front = Rc::clone(&self.front);
+        let router = Rc::clone(&self.router);
         let now = Instant::now();
-        let connected = front.pool.borrow().connected(now);
-        let table = front.upstreams.borrow();
-        let settings = front.settings();
+        let connected = router.pool.borrow().connected(now);
+        let table = router.upstreams.borrow();
+        let settings = router.settings();
         let demand = Demand {
             service: &self.request.service.name,
             home: &settings.data_centre,
@@ -56,7 +56,7 @@
             now,
             overcommit: self.progress.events > 0,
         };
-        let mut rng = front.rng.borrow_mut();
+        let mut rng = router.rng.borrow_mut();
         let copy = self.copy.take().filter(|upstream| {
             table
                 .get(&upstream.name)
@@ -81,7 +81,7 @@
             from_copy,
             ..ChoiceNote::of(&self.attempts, now)
         };
-        log_choice(&front, &self.request, &table, &upstream, &note);
+        log_choice(&router, &self.request, &table, &upstream, &note);
         Some((upstream, extras))
     }
 
@@ -90,7 +90,7 @@
         let is_new = self.attempts.sent() == 0 && self.request.last_event.is_some();
         let is_engine = self.request.service.engine.is_some();
         if let Some(prompt) = self.request.prompt.filter(|_| is_new && is_engine) {
-            find_prompt(&self.front, &self.request, prompt).await;
+            find_prompt(&self.router, &self.request, prompt).await;
         }
     }
 
@@ -98,14 +98,14 @@
     fn read_at(&self, now: Instant) -> Option<UpstreamKey> {
         let prompt = self.request.prompt?;
         let is_continuation = self.request.last_event.is_some() && self.progress.events == 0;
-        let places = self.front.places.borrow();
+        let places = self.router.places.borrow();
         is_continuation
             .then(|| places.engine_of(prompt, now))
             .flatten()
     }
 
     fn extras(&self, upstream: &Upstream, backup: Option<Upstream>, from_copy: bool) -> SendExtras {
-        let copy_name = self.front.dialect.copy_name;
+        let copy_name = self.router.dialect.copy_name;
         let is_repeat = self.progress.events > 0;
         SendExtras {
             backup,
@@ -124,23 +124,30 @@
         if extras.resume_from.is_some() {
             work.unread_tokens = 0;
         }
-        let work = WorkGuard::begin(&self.front, &upstream.name, work);
+        let work = WorkGuard::begin(&self.router, &upstream.name, work);
         let now = Instant::now();
         let prompt = self.request.prompt;
-        let running = prompt.map(|p| RunningStream::begin(&self.front, p, &upstream.name, now));
-        self.front.tell_peers(&upstream.name);
+        let running = prompt.map(|p| RunningStream::begin(&self.router, p, &upstream.name, now));
+        self.router.tell_peers(&upstream.name);
         let backup = extras.backup.clone().map(|backup| {
             let copied = Work {
                 memory_tokens: work_of(&self.request).memory_tokens,
                 ..Work::default()
             };
-            let guard = WorkGuard::begin(&self.front, &backup.name, copied);
-            self.front.tell_peers(&backup.name);
+            let guard = WorkGuard::begin(&self.router, &backup.name, copied);
+            self.router.tell_peers(&backup.name);
             (backup, guard)
         });
         let now = Instant::now();
         let mut liveness = Liveness::new(self.waiting_bounds(), now);
-        let opened = send(&self.front, &self.request, upstream, &extras, &mut liveness).await?;
+        let opened = send(
+            &self.router,
+            &self.request,
+            upstream,
+            &extras,
+            &mut liveness,
+        )
+        .await?;
         let opened = self.judge_status(opened, upstream).await?;
         if self.progress.events == 0 {
             self.head = Some(opened.head);
@@ -175,7 +182,7 @@
             Ok(Err(e)) => return Err(SendError::new(SendOutcome::Unknown, e.to_string())),
             Err(_) => return Err(silence_error(crate::send::Silence::TimedOut)),
         };
-        keep(&self.front, &upstream.name, opened.connection);
+        keep(&self.router, &upstream.name, opened.connection);
         let reason = format!("the server answered {}", opened.head.status.as_u16());
         self.upstream_failure = Some(UpstreamAnswer {
             status: opened.head.status,
@@ -186,7 +193,7 @@
     }
 
     fn waiting_bounds(&self) -> LivenessBounds {
-        let silence = self.front.settings().silence;
+        let silence = self.router.settings().silence;
         LivenessBounds {
             ask_after: silence.ask_before_first,
             answer_within: silence.answer_before_first,
@@ -195,7 +202,7 @@
     }
 
     pub(super) fn running_bounds(&self) -> LivenessBounds {
-        let silence = self.front.settings().silence;
+        let silence = self.router.settings().silence;
         LivenessBounds {
             ask_after: silence.ask_after,
             answer_within: silence.answer_within,
--- a/crates/router/cloverpier_router/src/sync.rs
+++ b/crates/router/cloverpier_router/src/sync.rs
@@ -1,7 +1,7 @@
 //! Keeps configuration and upstreams as new as the platform's store.
 
 use crate::decision_log::{Dependency, VersionTaken};
-use crate::front::Front;
+use crate::router::Router;
 use cloverpier_core::jitter;
 use cloverpier_router_policy::prelude::*;
 use snafu::Snafu;
@@ -17,7 +17,7 @@
 pub const STORE_PATIENCE: Duration = Duration::from_millis(1_500);
 /// First pause after a failed call; it doubles up to the longest.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// A front that doesn't follow the store looks this often whether it should.
+/// A router that doesn't follow the store looks this often whether it should.
 const IDLE_PERIOD: Duration = Duration::from_millis(100);
 /// How often a follower makes sure that the store still answers, and how long that may take.
 const PING_PERIOD: Duration = Duration::from_millis(400);
@@ -26,7 +26,7 @@
 const GATHER: Duration = Duration::from_millis(300);
 
 /// The names of what is read from the store, in logs.
-const CATALOG: &str = "configuration";
+const CONFIGURATION: &str = "configuration";
 const UPSTREAMS: &str = "servers";
 
 /// The store gave no usable answer.
@@ -69,9 +69,9 @@
 
 /// The newest configuration up to a revision.
 #[derive(Debug)]
-pub struct CatalogChange {
+pub struct ConfigurationChange {
     /// The configuration; `None` when there is none, or no new one.
-    pub catalog: Option<CatalogParts>,
+    pub configuration: Option<Configuration>,
     /// The store's revision.
     pub revision: u64,
 }
@@ -79,14 +79,14 @@
 /// Where configuration and upstreams come from.
 pub trait ConfigurationSource {
     /// Reads the configuration.
-    fn read_catalog(&self) -> impl Future<Output = Result<CatalogChange, SourceError>>;
+    fn read_configuration(&self) -> impl Future<Output = Result<ConfigurationChange, SourceError>>;
 
     /// Waits for a configuration after a revision.
-    fn watch_catalog(
+    fn poll_configuration(
         &self,
         revision: u64,
         wait: Duration,
-    ) -> impl Future<Output = Result<CatalogChange, SourceError>>;
+    ) -> impl Future<Output = Result<ConfigurationChange, SourceError>>;
 
     /// Makes sure that the store answers, as cheaply as it allows.
     fn ping(&self, patience: Duration) -> impl Future<Output = Result<(), SourceError>>;
@@ -113,7 +113,7 @@
 /// What calls to the store have in common: whether they fail at present.
 #[derive(Debug, Default)]
 pub(crate) struct StoreHealth {
-    catalog: Rc<Cell<bool>>,
+    configuration: Rc<Cell<bool>>,
     upstreams: Rc<Cell<bool>>,
     /// Ends watches that may never be answered.
     watch_again: Notify,
@@ -128,25 +128,25 @@
         }
     }
 
-    fn on_success(&mut self, front: &Front) {
-        front.metrics.store_calls.count("answered");
-        front.store_heard.set(Some(Instant::now()));
+    fn on_success(&mut self, router: &Router) {
+        router.metrics.store_calls.count("answered");
+        router.store_heard.set(Some(Instant::now()));
         self.pause = FIRST_PAUSE;
-        note_regained(front, &self.lost, self.name);
+        note_regained(router, &self.lost, self.name);
     }
 
-    async fn after_failure(&mut self, front: &Front, error: &SourceError) {
-        front.metrics.store_calls.count("failed");
+    async fn after_failure(&mut self, router: &Router, error: &SourceError) {
+        router.metrics.store_calls.count("failed");
         if !self.lost.replace(true) {
-            log_dependency(front, "dependency.lost", self.name, &error.to_string());
+            log_dependency(router, "dependency.lost", self.name, &error.to_string());
         }
-        let pause = jitter(&mut front.rng.borrow_mut(), self.pause);
-        self.pause = (self.pause * 2).min(front.longest_store_pause(Instant::now()));
+        let pause = jitter(&mut router.rng.borrow_mut(), self.pause);
+        self.pause = (self.pause * 2).min(router.longest_store_pause(Instant::now()));
         tokio::time::sleep(pause).await;
     }
 }
 
-/// Whether it is a front's turn to call the store.
+/// Whether it is a router's turn to call the store.
 ///
 /// Where no follower has a fresh word, all others would call at the same
 /// moment; each waits for a part of the time in which all of them have a turn.
@@ -157,14 +157,14 @@
 
 impl Turn {
     /// Waits for a while; true when the store is to be called now.
-    async fn has_come(&mut self, front: &Front) -> bool {
-        let following = front.following.get();
+    async fn has_come(&mut self, router: &Router) -> bool {
+        let following = router.following.get();
         match following {
             Following::Chosen => true,
             Following::NobodyElse if self.has_waited => true,
             Following::NobodyElse => {
                 self.has_waited = true;
-                tokio::time::sleep(random_part(front)).await;
+                tokio::time::sleep(random_part(router)).await;
                 false
             }
             Following::LeftToOthers => {
@@ -177,117 +177,117 @@
 }
 
 /// A random part of the longest pause between calls.
-fn random_part(front: &Front) -> Duration {
-    let longest = front.longest_store_pause(Instant::now());
-    longest.mul_f64(front.rng.borrow_mut().f64())
+fn random_part(router: &Router) -> Duration {
+    let longest = router.longest_store_pause(Instant::now());
+    longest.mul_f64(router.rng.borrow_mut().f64())
 }
 
 /// Notes that the store answers again.
-fn note_regained(front: &Front, lost: &Cell<bool>, name: &str) {
+fn note_regained(router: &Router, lost: &Cell<bool>, name: &str) {
     if lost.replace(false) {
-        log_dependency(front, "dependency.regained", name, "it answers");
+        log_dependency(router, "dependency.regained", name, "it answers");
     }
 }
 
-fn log_dependency(front: &Front, event: &'static str, name: &str, reason: &str) {
-    front.log.info(event, &Dependency { name, reason });
+fn log_dependency(router: &Router, event: &'static str, name: &str, reason: &str) {
+    router.log.info(event, &Dependency { name, reason });
 }
 
 /// Follows the configuration for as long as the process runs.
-pub(crate) async fn follow_catalog(front: Rc<Front>, source: Rc<impl ConfigurationSource>) {
-    let mut backoff = Backoff::new(CATALOG, &front.store.catalog);
+pub(crate) async fn watch_configuration(router: Rc<Router>, source: Rc<impl ConfigurationSource>) {
+    let mut backoff = Backoff::new(CONFIGURATION, &router.store.configuration);
     let mut turn = Turn::default();
     let mut revision: Option<u64> = None;
     loop {
-        if front.catalog().is_some() && !turn.has_come(&front).await {
+        if router.configuration().is_some() && !turn.has_come(&router).await {
             continue;
         }
         let change = match revision {
-            None => source.read_catalog().await,
+            None => source.read_configuration().await,
             Some(at) => tokio::select! {
-                change = source.watch_catalog(at, WATCH_WAIT) => change,
-                () = front.store.watch_again.notified() => continue,
+                change = source.poll_configuration(at, WATCH_WAIT) => change,
+                () = router.store.watch_again.notified() => continue,
             },
         };
         match change {
             Ok(change) => {
-                backoff.on_success(&front);
+                backoff.on_success(&router);
                 revision = Some(change.revision);
-                if let Some(parts) = change.catalog {
-                    take_catalog(&front, parts, "store");
+                if let Some(parts) = change.configuration {
+                    apply_configuration(&router, parts, "store");
                 }
             }
             Err(error) => {
                 if error == SourceError::HistoryLost {
                     revision = None;
                 }
-                backoff.after_failure(&front, &error).await;
+                backoff.after_failure(&router, &error).await;
             }
         }
     }
 }
 
 /// Takes over a configuration if it is newer.
-pub(crate) fn take_catalog(front: &Front, parts: CatalogParts, from: &str) {
+pub(crate) fn apply_configuration(router: &Router, parts: Configuration, from: &str) {
     let version = parts.version;
-    if front.apply_catalog(parts) {
-        front.news.notify_one();
-        log_version(front, CATALOG, version, from);
+    if router.set_configuration(parts) {
+        router.news.notify_one();
+        log_version(router, CONFIGURATION, version, from);
     }
 }
 
 /// Takes over a whole list of upstreams if it isn't older.
-pub(crate) fn apply_upstream_list(front: &Front, list: UpstreamList, from: &str) {
+pub(crate) fn apply_upstream_list(router: &Router, list: UpstreamList, from: &str) {
     let revision = list.revision;
     let applied = {
-        let mut table = front.upstreams.borrow_mut();
+        let mut table = router.upstreams.borrow_mut();
         table.apply_list(list.upstreams, revision, Instant::now())
     };
     if applied {
-        front.upstreams_known.set(true);
-        log_version(front, UPSTREAMS, revision, from);
+        router.upstreams_known.set(true);
+        log_version(router, UPSTREAMS, revision, from);
     }
 }
 
-fn log_version(front: &Front, what: &str, version: u64, from: &str) {
+fn log_version(router: &Router, what: &str, version: u64, from: &str) {
     let line = VersionTaken {
         what,
         version,
         from,
     };
-    front.log.info("version.taken", &line);
+    router.log.info("version.taken", &line);
 }
 
 /// Follows the list of upstreams for as long as the process runs.
-pub(crate) async fn watch_upstreams(front: Rc<Front>, source: Rc<impl ConfigurationSource>) {
-    let mut backoff = Backoff::new(UPSTREAMS, &front.store.upstreams);
+pub(crate) async fn watch_upstreams(router: Rc<Router>, source: Rc<impl ConfigurationSource>) {
+    let mut backoff = Backoff::new(UPSTREAMS, &router.store.upstreams);
     let mut turn = Turn::default();
     let mut revision: Option<u64> = None;
     loop {
-        if front.upstreams_known.get() {
-            if !turn.has_come(&front).await {
+        if router.upstreams_known.get() {
+            if !turn.has_come(&router).await {
                 continue;
             }
             // Peers may have told more than the last watch did.
-            revision = revision.map(|at| at.max(front.upstreams.borrow().revision()));
+            revision = revision.map(|at| at.max(router.upstreams.borrow().revision()));
         }
         let done = match revision {
             None => source.read_upstreams().await.map(|list| {
                 let at = list.revision;
-                apply_upstream_list(&front, list, "store");
+                apply_upstream_list(&router, list, "store");
                 at
             }),
             Some(at) => {
                 let change = tokio::select! {
                     change = source.poll_upstreams(at, WATCH_WAIT) => change,
-                    () = front.store.watch_again.notified() => continue,
+                    () = router.store.watch_again.notified() => continue,
                 };
-                change.map(|change| apply_change(&front, change))
+                change.map(|change| apply_change(&router, change))
             }
         };
         match done {
             Ok(at) => {
-                backoff.on_success(&front);
+                backoff.on_success(&router);
                 revision = Some(at);
                 tokio::time::sleep(GATHER).await;
             }
@@ -295,57 +295,57 @@
                 if error == SourceError::HistoryLost {
                     revision = None;
                 }
-                backoff.after_failure(&front, &error).await;
+                backoff.after_failure(&router, &error).await;
             }
         }
     }
 }
 
-fn apply_change(front: &Front, change: UpstreamChanges) -> u64 {
+fn apply_change(router: &Router, change: UpstreamChanges) -> u64 {
     let at = change.revision;
     if !change.changes.is_empty() {
         let count = change.changes.len();
-        apply_upstream_changes(front, change, &format!("store, {count} changes"));
+        apply_upstream_changes(router, change, &format!("store, {count} changes"));
     }
     at
 }
 
 /// Takes over changes of upstreams if they are new.
-pub(crate) fn apply_upstream_changes(front: &Front, change: UpstreamChanges, from: &str) {
+pub(crate) fn apply_upstream_changes(router: &Router, change: UpstreamChanges, from: &str) {
     let revision = change.revision;
     let applied = {
-        let mut table = front.upstreams.borrow_mut();
+        let mut table = router.upstreams.borrow_mut();
         table.apply_changes(change.changes, revision, Instant::now())
     };
     if applied {
-        front.news.notify_one();
-        log_version(front, UPSTREAMS, revision, from);
+        router.news.notify_one();
+        log_version(router, UPSTREAMS, revision, from);
     }
 }
 
 /// Makes sure that the store still answers while a watch waits, for as long as the process runs.
-pub(crate) async fn ping_store(front: Rc<Front>, source: Rc<impl ConfigurationSource>) {
+pub(crate) async fn ping_store(router: Rc<Router>, source: Rc<impl ConfigurationSource>) {
     let mut is_silent = false;
     loop {
         tokio::time::sleep(PING_PERIOD).await;
-        if !is_ping_due(&front) {
+        if !is_ping_due(&router) {
             continue;
         }
         match source.ping(PING_PATIENCE).await {
             Ok(()) => {
                 if std::mem::take(&mut is_silent) {
                     // A silent store may have swallowed the watches, too.
-                    front.store.watch_again.notify_waiters();
+                    router.store.watch_again.notify_waiters();
                 }
-                front.metrics.store_calls.count("ping-answered");
-                front.store_heard.set(Some(Instant::now()));
-                note_regained(&front, &front.store.catalog, CATALOG);
-                note_regained(&front, &front.store.upstreams, UPSTREAMS);
+                router.metrics.store_calls.count("ping-answered");
+                router.store_heard.set(Some(Instant::now()));
+                note_regained(&router, &router.store.configuration, CONFIGURATION);
+                note_regained(&router, &router.store.upstreams, UPSTREAMS);
             }
             Err(error) => {
-                front.metrics.store_calls.count("ping-failed");
+                router.metrics.store_calls.count("ping-failed");
                 if !std::mem::replace(&mut is_silent, true) {
-                    log_dependency(&front, "store.silent", "ping", &error.to_string());
+                    log_dependency(&router, "store.silent", "ping", &error.to_string());
                 }
             }
         }
@@ -353,11 +353,11 @@
 }
 
 /// A chosen follower always pings; any other one only a store that answers its calls.
-fn is_ping_due(front: &Front) -> bool {
-    let health = &front.store;
-    match front.following.get() {
+fn is_ping_due(router: &Router) -> bool {
+    let health = &router.store;
+    match router.following.get() {
         Following::Chosen => true,
-        Following::NobodyElse => !health.catalog.get() && !health.upstreams.get(),
+        Following::NobodyElse => !health.configuration.get() && !health.upstreams.get(),
         Following::LeftToOthers => false,
     }
 }
--- a/crates/router/cloverpier_router/src/versions.rs
+++ b/crates/router/cloverpier_router/src/versions.rs
@@ -1,12 +1,12 @@
-//! Configuration and upstreams, handed from front to front over HTTP.
+//! Configuration and upstreams, handed from router to router over HTTP.
 
 use crate::body::ReplyBody;
 use crate::connection::Caller;
-use crate::front::Front;
 use crate::peer_messages::{UpstreamsReply, decode, encode};
 use crate::reply::{Reply, own_reply};
+use crate::router::Router;
 use crate::sync::{
-    UpstreamChanges, UpstreamList, apply_upstream_changes, apply_upstream_list, take_catalog,
+    UpstreamChanges, UpstreamList, apply_configuration, apply_upstream_changes, apply_upstream_list,
 };
 use cloverpier_router_policy::prelude::*;
 use hyper::body::Incoming;
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A front that follows the store gives it this much time to tell a version first.
+/// A router that follows the store gives it this much time to tell a version first.
 const STORE_FIRST: Duration = Duration::from_millis(400);
 /// How long a fetch may take.
 const PATIENCE: Duration = Duration::from_millis(800);
@@ -25,7 +25,7 @@
 /// After a fetch that failed.
 const FAILURE_PAUSE: Duration = Duration::from_millis(100);
 
-const CATALOG_PATH: &str = "/versions/catalog";
+const CONFIGURATION_PATH: &str = "/versions/catalog";
 const UPSTREAMS_PATH: &str = "/versions/fleet";
 
 /// A peer that knows a newer version.
@@ -34,19 +34,19 @@
     version: u64,
 }
 
-/// Fetches versions that peers have and this front lacks, for as long as the process runs.
-pub(crate) async fn fetch_newer(front: Rc<Front>) {
+/// Fetches versions that peers have and this router lacks, for as long as the process runs.
+pub(crate) async fn fetch_newer(router: Rc<Router>) {
     let mut callers = HashMap::new();
     loop {
         tokio::select! {
-            () = front.newer.notified() => {}
+            () = router.newer.notified() => {}
             () = tokio::time::sleep(PERIOD) => {}
         }
-        if front.follows_store() && front.is_serving() {
+        if router.follows_store() && router.is_serving() {
             tokio::time::sleep(STORE_FIRST).await;
         }
-        let fetched = fetch_catalog(&front, &mut callers).await
-            && fetch_upstreams(&front, &mut callers).await;
+        let fetched = fetch_configuration(&router, &mut callers).await
+            && fetch_upstreams(&router, &mut callers).await;
         if !fetched {
             callers.clear();
             tokio::time::sleep(FAILURE_PAUSE).await;
@@ -55,9 +55,9 @@
 }
 
 /// A live peer that knows a version above `known`; one of the newest, by chance.
-fn newer_at(front: &Front, known: u64, version: impl Fn(&PeerEntry) -> u64) -> Option<Newer> {
-    let silence = front.peer_silence();
-    let directory = front.directory.borrow();
+fn newer_at(router: &Router, known: u64, version: impl Fn(&PeerEntry) -> u64) -> Option<Newer> {
+    let silence = router.peer_silence();
+    let directory = router.directory.borrow();
     let versions: Vec<Newer> = directory
         .live(Instant::now(), silence)
         .map(|(peer, entry)| Newer {
@@ -69,7 +69,7 @@
     let newest = versions
         .into_iter()
         .filter(|n| n.version == newest && newest > known);
-    front.rng.borrow_mut().choice(newest.collect::<Vec<_>>())
+    router.rng.borrow_mut().choice(newest.collect::<Vec<_>>())
 }
 
 fn caller_of(callers: &mut HashMap<SocketAddr, Rc<Caller>>, peer: SocketAddr) -> Rc<Caller> {
@@ -78,29 +78,32 @@
 }
 
 /// Fetches a newer configuration; false when that failed.
-async fn fetch_catalog(front: &Front, callers: &mut HashMap<SocketAddr, Rc<Caller>>) -> bool {
-    let known = front.catalog().map_or(0, |c| c.version());
-    let Some(newer) = newer_at(front, known, |e| e.catalog_version) else {
+async fn fetch_configuration(
+    router: &Router,
+    callers: &mut HashMap<SocketAddr, Rc<Caller>>,
+) -> bool {
+    let known = router.configuration().map_or(0, |c| c.version());
+    let Some(newer) = newer_at(router, known, |e| e.configuration_version) else {
         return true;
     };
     let answer = caller_of(callers, newer.peer)
-        .get(CATALOG_PATH, PATIENCE)
+        .get(CONFIGURATION_PATH, PATIENCE)
         .await;
     let Ok(answer) = answer else { return false };
-    match decode::<CatalogParts>(&answer.body) {
-        Ok(parts) => take_catalog(front, parts, &format!("peer {}", newer.peer)),
+    match decode::<Configuration>(&answer.body) {
+        Ok(parts) => apply_configuration(router, parts, &format!("peer {}", newer.peer)),
         Err(_) => return false,
     }
     true
 }
 
 /// Fetches newer upstreams; false when that failed.
-async fn fetch_upstreams(front: &Front, callers: &mut HashMap<SocketAddr, Rc<Caller>>) -> bool {
-    let known = front.upstreams.borrow().revision();
-    let Some(newer) = newer_at(front, known, |e| e.upstreams_revision) else {
+async fn fetch_upstreams(router: &Router, callers: &mut HashMap<SocketAddr, Rc<Caller>>) -> bool {
+    let known = router.upstreams.borrow().revision();
+    let Some(newer) = newer_at(router, known, |e| e.upstreams_revision) else {
         return true;
     };
-    let path = if front.upstreams_known.get() {
+    let path = if router.upstreams_known.get() {
         format!("{UPSTREAMS_PATH}?after={known}")
     } else {
         UPSTREAMS_PATH.to_owned()
@@ -114,7 +117,7 @@
             revision,
         }) => {
             apply_upstream_list(
-                front,
+                router,
                 UpstreamList {
                     upstreams,
                     revision,
@@ -123,7 +126,7 @@
             );
         }
         Ok(UpstreamsReply::Changes { changes, revision }) => {
-            apply_upstream_changes(front, UpstreamChanges { changes, revision }, &from);
+            apply_upstream_changes(router, UpstreamChanges { changes, revision }, &from);
         }
         Err(_) => return false,
     }
@@ -131,11 +134,11 @@
 }
 
 /// Hands versions to peers.
-pub(crate) async fn on_peer(front: Rc<Front>, request: Request<Incoming>) -> Reply {
+pub(crate) async fn on_peer(router: Rc<Router>, request: Request<Incoming>) -> Reply {
     let packed = match request.uri().path() {
-        CATALOG_PATH => front.catalog().and_then(|c| encode(c.parts()).ok()),
-        UPSTREAMS_PATH if front.upstreams_known.get() => {
-            pack_upstreams(&front, asked_after(&request))
+        CONFIGURATION_PATH => router.configuration().and_then(|c| encode(c.parts()).ok()),
+        UPSTREAMS_PATH if router.upstreams_known.get() => {
+            pack_upstreams(&router, asked_after(&request))
         }
         _ => None,
     };
@@ -150,8 +153,8 @@
     query.strip_prefix("after=")?.parse().ok()
 }
 
-fn pack_upstreams(front: &Front, after: Option<u64>) -> Option<Vec<u8>> {
-    let table = front.upstreams.borrow();
+fn pack_upstreams(router: &Router, after: Option<u64>) -> Option<Vec<u8>> {
+    let table = router.upstreams.borrow();
     let revision = table.revision();
     let changes = after.and_then(|after| table.changes_after(after));
     let message = match changes {
--- a/crates/router/cloverpier_router/src/web.rs
+++ b/crates/router/cloverpier_router/src/web.rs
@@ -2,11 +2,11 @@
 
 use crate::body::ReplyBody;
 use crate::directory::directory_answer;
-use crate::front::Front;
 use crate::guards::InFlight;
 use crate::intake::take_request;
 use crate::plain::relay_plain;
 use crate::reply::{Reply, own_reply, refusal};
+use crate::router::Router;
 use crate::stream::relay_stream;
 use cloverpier_router_policy::prelude::*;
 use hyper::body::Incoming;
@@ -51,15 +51,15 @@
 }
 
 /// Accepts connections for as long as the process runs.
-pub(crate) async fn serve<H, F>(front: Rc<Front>, listener: TcpListener, handle: H)
+pub(crate) async fn serve<H, F>(router: Rc<Router>, listener: TcpListener, handle: H)
 where
-    H: Fn(Rc<Front>, Request<Incoming>) -> F + Copy + 'static,
+    H: Fn(Rc<Router>, Request<Incoming>) -> F + Copy + 'static,
     F: Future<Output = Reply> + 'static,
 {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(serve_connection(Rc::clone(&front), stream, handle));
+                tokio::task::spawn_local(serve_connection(Rc::clone(&router), stream, handle));
             }
             // Out of descriptors, or a connection that ended before it was taken.
             Err(_) => tokio::time::sleep(BIND_PAUSE).await,
@@ -67,14 +67,17 @@
     }
 }
 
-async fn serve_connection<H, F>(front: Rc<Front>, stream: TcpStream, handle: H)
+async fn serve_connection<H, F>(router: Rc<Router>, stream: TcpStream, handle: H)
 where
-    H: Fn(Rc<Front>, Request<Incoming>) -> F + Copy + 'static,
+    H: Fn(Rc<Router>, Request<Incoming>) -> F + Copy + 'static,
     F: Future<Output = Reply> + 'static,
 {
     // Without it events would wait for acknowledgements; its failure only costs time.
     let _ = stream.set_nodelay(true);
-    let limits = front.catalog().map(|c| c.limits()).unwrap_or_default();
+    let limits = router
+        .configuration()
+        .map(|c| c.limits())
+        .unwrap_or_default();
     let mut upstream = http1::Builder::new();
     upstream
         .timer(TokioTimer::new())
@@ -82,7 +85,7 @@
         .header_read_timeout(limits.idle_timeout.max(limits.header_timeout))
         .max_buf_size(limits.header_bytes.max(LEAST_HEADER_BYTES));
     let service = service_fn(move |request| {
-        let reply = handle(Rc::clone(&front), request);
+        let reply = handle(Rc::clone(&router), request);
         async move { Ok::<_, Infallible>(reply.await) }
     });
     // Errors of a caller's connection end that connection and concern nobody else.
@@ -92,35 +95,39 @@
 }
 
 /// Takes a caller's request.
-pub(crate) async fn on_caller(front: Rc<Front>, request: Request<Incoming>) -> Reply {
-    let in_flight = InFlight::begin(&front);
+pub(crate) async fn on_caller(router: Rc<Router>, request: Request<Incoming>) -> Reply {
+    let in_flight = InFlight::begin(&router);
     let now = Instant::now();
-    let mut reply = match take_request(&front, request, now).await {
-        Ok(request) => relay(&front, Rc::new(request), now).await,
+    let mut reply = match take_request(&router, request, now).await {
+        Ok(request) => relay(&router, Rc::new(request), now).await,
         Err(reply) => reply,
     };
-    if front.stopping.get().is_some() {
+    if router.stopping.get().is_some() {
         let close = HeaderValue::from_static("close");
         reply.headers_mut().insert(CONNECTION, close);
     }
     hold_until_sent(reply, in_flight)
 }
 
-async fn relay(front: &Rc<Front>, request: Rc<crate::intake::RelayRequest>, now: Instant) -> Reply {
-    front.on_request(&request.service.name, now);
-    if request.route.streaming && is_late_in_stop(front, now) {
+async fn relay(
+    router: &Rc<Router>,
+    request: Rc<crate::intake::RelayRequest>,
+    now: Instant,
+) -> Reply {
+    router.on_request(&request.service.name, now);
+    if request.route.streaming && is_late_in_stop(router, now) {
         return refusal("this router stops", STOP_PAUSE);
     }
     if request.route.streaming {
-        relay_stream(front, &request).await
+        relay_stream(router, &request).await
     } else {
-        relay_plain(front, &request).await
+        relay_plain(router, &request).await
     }
 }
 
 /// Whether a stream that begins now could not end before the process does.
-fn is_late_in_stop(front: &Front, now: Instant) -> bool {
-    let begun = front.stopping.get();
+fn is_late_in_stop(router: &Router, now: Instant) -> bool {
+    let begun = router.stopping.get();
     begun.is_some_and(|at| now.saturating_duration_since(at) > STREAMS_WHILE_STOPPING)
 }
 
@@ -152,11 +159,11 @@
 }
 
 /// Answers whether this router takes callers.
-pub(crate) async fn on_ready(front: Rc<Front>, request: Request<Incoming>) -> Reply {
-    if request.uri().path() != front.dialect.paths.ready {
+pub(crate) async fn on_ready(router: Rc<Router>, request: Request<Incoming>) -> Reply {
+    if request.uri().path() != router.dialect.paths.ready {
         return own_reply(StatusCode::NOT_FOUND, "no such path");
     }
-    match front.state() {
+    match router.state() {
         PeerState::Ready => Response::new(ReplyBody::whole("ready\n")),
         PeerState::Starting => own_reply(StatusCode::SERVICE_UNAVAILABLE, "starting"),
         PeerState::Leaving => own_reply(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
@@ -164,11 +171,11 @@
 }
 
 /// Answers which routers take callers.
-pub(crate) async fn on_directory(front: Rc<Front>, request: Request<Incoming>) -> Reply {
-    if request.method() != Method::GET || request.uri().path() != front.dialect.paths.directory {
+pub(crate) async fn on_directory(router: Rc<Router>, request: Request<Incoming>) -> Reply {
+    if request.method() != Method::GET || request.uri().path() != router.dialect.paths.directory {
         return own_reply(StatusCode::NOT_FOUND, "no such path");
     }
-    match directory_answer(&front, Instant::now()) {
+    match directory_answer(&router, Instant::now()) {
         Some(answer) => {
             let mut reply = Response::new(ReplyBody::whole(answer));
             let json = HeaderValue::from_static("application/json");
@@ -182,8 +189,8 @@
 }
 
 /// Serves metrics as text.
-pub(crate) async fn on_metrics(front: Rc<Front>, _request: Request<Incoming>) -> Reply {
-    let in_flight = i64::try_from(front.in_flight.get()).unwrap_or(i64::MAX);
-    front.metrics.in_flight.set(in_flight);
-    Response::new(ReplyBody::whole(front.metrics.text()))
+pub(crate) async fn on_metrics(router: Rc<Router>, _request: Request<Incoming>) -> Reply {
+    let in_flight = i64::try_from(router.in_flight.get()).unwrap_or(i64::MAX);
+    router.metrics.in_flight.set(in_flight);
+    Response::new(ReplyBody::whole(router.metrics.text()))
 }
--- a/crates/router/cloverpier_router/tests/peer_messages.rs
+++ b/crates/router/cloverpier_router/tests/peer_messages.rs
@@ -153,18 +153,18 @@
     }
 }
 
-fn services() -> Vec<ServiceTraits> {
+fn services() -> Vec<ServiceConfig> {
     vec![
-        ServiceTraits {
+        ServiceConfig {
             name: ServiceName::new("drafts"),
             health_path: "/health".to_owned(),
             max_connections: 32,
-            engine: Some(EngineTraits {
+            engine: Some(EngineConfig {
                 memory_tokens: 88_000,
                 backups: true,
             }),
         },
-        ServiceTraits {
+        ServiceConfig {
             name: ServiceName::new("lookups"),
             health_path: "/".to_owned(),
             max_connections: 8,
@@ -173,14 +173,14 @@
     ]
 }
 
-fn accounts() -> Vec<Tenant> {
+fn accounts() -> Vec<ClientAccount> {
     vec![
-        Tenant {
+        ClientAccount {
             name: "lab".to_owned(),
             priority: Some(2),
             keys: vec!["k1".to_owned(), "k2".to_owned()],
         },
-        Tenant {
+        ClientAccount {
             name: "desk".to_owned(),
             priority: None,
             keys: vec![],
@@ -190,11 +190,11 @@
 
 #[test]
 fn configurations_keep_their_bytes() {
-    let configuration = CatalogParts {
+    let configuration = Configuration {
         version: 17,
         routes: vec![route("drafts", true), route("status", false)],
         services: services(),
-        tenants: Some(accounts()),
+        accounts: Some(accounts()),
         limits: Limits {
             header_bytes: 9_000,
             body_bytes: 80_000,
@@ -203,6 +203,6 @@
         },
     };
     assert_is_golden("configuration", &configuration);
-    let without = CatalogParts::default();
+    let without = Configuration::default();
     assert_is_golden("configuration_without_accounts", &without);
 }
--- a/crates/router/cloverpier_router_policy/src/catalog.rs
+++ b/crates/router/cloverpier_router_policy/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, services, tenants and limits.
+//! The configuration in force: routes, services, client accounts and limits.
 
 use crate::attempts::Repeat;
 use cloverpier_core::ServiceName;
@@ -97,7 +97,7 @@
 
 /// What is known of a service whose upstreams are model engines.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct EngineTraits {
+pub struct EngineConfig {
     /// Tokens that fit into an engine's memory.
     pub memory_tokens: u64,
     /// Whether an engine can copy a run's memory to another as it grows.
@@ -106,7 +106,7 @@
 
 /// What is known of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ServiceTraits {
+pub struct ServiceConfig {
     /// Its name.
     pub name: ServiceName,
     /// Where its upstreams answer health checks.
@@ -114,12 +114,12 @@
     /// Connections that one upstream takes from all routers together.
     pub max_connections: u32,
     /// Set where its upstreams are model engines.
-    pub engine: Option<EngineTraits>,
+    pub engine: Option<EngineConfig>,
 }
 
 /// The owner of keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Tenant {
+pub struct ClientAccount {
     /// Its name.
     pub name: String,
     /// Its rank, which goes before its routes' ranks.
@@ -130,34 +130,34 @@
 
 /// A configuration as it travels between routers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct CatalogParts {
+pub struct Configuration {
     /// Its version; later ones are higher.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
     /// All services.
-    pub services: Vec<ServiceTraits>,
-    /// All tenants; `None` where requests carry no keys.
-    pub tenants: Option<Vec<Tenant>>,
+    pub services: Vec<ServiceConfig>,
+    /// All client accounts; `None` where requests carry no keys.
+    pub accounts: Option<Vec<ClientAccount>>,
     /// Bounds on clients.
     pub limits: Limits,
 }
 
 /// A configuration, indexed for requests.
 #[derive(Clone, Debug, Default)]
-pub struct Catalog {
-    parts: CatalogParts,
+pub struct ConfigurationIndex {
+    parts: Configuration,
     by_host: HashMap<String, Vec<Arc<Route>>>,
-    by_key: HashMap<String, Arc<Tenant>>,
-    services: HashMap<ServiceName, Arc<ServiceTraits>>,
+    by_key: HashMap<String, Arc<ClientAccount>>,
+    services: HashMap<ServiceName, Arc<ServiceConfig>>,
 }
 
-impl Catalog {
+impl ConfigurationIndex {
     /// Indexes a configuration.
-    pub fn new(parts: CatalogParts) -> Self {
+    pub fn new(parts: Configuration) -> Self {
         Self {
             by_host: index_routes(&parts.routes),
-            by_key: index_keys(parts.tenants.as_deref().unwrap_or_default()),
+            by_key: index_keys(parts.accounts.as_deref().unwrap_or_default()),
             services: parts
                 .services
                 .iter()
@@ -168,7 +168,7 @@
     }
 
     /// The configuration as it travels.
-    pub fn parts(&self) -> &CatalogParts {
+    pub fn parts(&self) -> &Configuration {
         &self.parts
     }
 
@@ -189,17 +189,17 @@
     }
 
     /// A service by its name.
-    pub fn service(&self, name: &ServiceName) -> Option<&Arc<ServiceTraits>> {
+    pub fn service(&self, name: &ServiceName) -> Option<&Arc<ServiceConfig>> {
         self.services.get(name)
     }
 
     /// Whether requests of routes that aren't public carry keys.
     pub fn needs_keys(&self) -> bool {
-        self.parts.tenants.is_some()
+        self.parts.accounts.is_some()
     }
 
-    /// The tenant that holds a key.
-    pub fn tenant_of(&self, key: &str) -> Option<&Arc<Tenant>> {
+    /// The client account that holds a key.
+    pub fn account_of_key(&self, key: &str) -> Option<&Arc<ClientAccount>> {
         self.by_key.get(key)
     }
 }
@@ -216,11 +216,11 @@
     by_host
 }
 
-fn index_keys(tenants: &[Tenant]) -> HashMap<String, Arc<Tenant>> {
+fn index_keys(accounts: &[ClientAccount]) -> HashMap<String, Arc<ClientAccount>> {
     let mut by_key = HashMap::new();
-    for tenant in tenants {
-        let shared = Arc::new(tenant.clone());
-        for key in &tenant.keys {
+    for account in accounts {
+        let shared = Arc::new(account.clone());
+        for key in &account.keys {
             by_key.insert(key.clone(), Arc::clone(&shared));
         }
     }
--- a/crates/router/cloverpier_router_policy/src/lib.rs
+++ b/crates/router/cloverpier_router_policy/src/lib.rs
@@ -18,8 +18,8 @@
 
 mod attempts;
 mod budget;
-mod catalog;
 mod choice;
+mod configuration;
 mod events;
 mod following;
 mod liveness;
@@ -33,10 +33,11 @@
 pub mod prelude {
     pub use crate::attempts::{Attempts, NextStep, Repeat, SendOutcome};
     pub use crate::budget::{BudgetBounds, BudgetUse, PeersUse, RetryBudget};
-    pub use crate::catalog::{
-        Catalog, CatalogParts, EngineTraits, Limits, Route, RouteTarget, ServiceTraits, Tenant,
-    };
     pub use crate::choice::{Choice, Demand, choose_backup, choose_upstream, search_order};
+    pub use crate::configuration::{
+        ClientAccount, Configuration, ConfigurationIndex, EngineConfig, Limits, Route, RouteTarget,
+        ServiceConfig,
+    };
     pub use crate::events::{EventError, EventSplitter, StreamEvent};
     pub use crate::following::{Candidate, Following, longest_pause, should_follow};
     pub use crate::liveness::{Liveness, LivenessBounds, LivenessStep};
--- a/crates/router/cloverpier_router_policy/src/peers.rs
+++ b/crates/router/cloverpier_router_policy/src/peers.rs
@@ -28,13 +28,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerEntry {
     /// Where it serves callers.
-    pub front: SocketAddr,
+    pub router: SocketAddr,
     /// Whether it takes new callers.
     pub state: PeerState,
     /// When it was heard last.
     pub heard: Instant,
     /// The configuration that it acts on.
-    pub catalog_version: u64,
+    pub configuration_version: u64,
     /// The revision of its list of upstreams.
     pub upstreams_revision: u64,
     /// The age of its last word from the store, when it follows it.
@@ -137,10 +137,15 @@
             .live(now, within)
             .map(|(_, e)| e)
             .filter(ready)
-            .map(|e| e.front)
+            .map(|e| e.router)
             .collect();
         if listed.is_empty() {
-            listed = self.peers.values().filter(ready).map(|e| e.front).collect();
+            listed = self
+                .peers
+                .values()
+                .filter(ready)
+                .map(|e| e.router)
+                .collect();
         }
         listed.extend(own);
         listed.truncate(MOST_LISTED);
--- a/crates/router/cloverpier_router_policy/tests/catalog.rs
+++ b/crates/router/cloverpier_router_policy/tests/configuration.rs
@@ -26,15 +26,15 @@
     }
 }
 
-fn catalog() -> Catalog {
-    Catalog::new(CatalogParts {
+fn configuration() -> ConfigurationIndex {
+    ConfigurationIndex::new(Configuration {
         version: 3,
         routes: vec![
             route("short", "/runs/", &[("lookups", 1.0)]),
             route("long", "/runs/signed/", &[("lookups", 1.0)]),
         ],
         services: Vec::new(),
-        tenants: Some(vec![Tenant {
+        accounts: Some(vec![ClientAccount {
             name: "lab".to_owned(),
             priority: None,
             keys: vec!["key-1".to_owned(), "key-2".to_owned()],
@@ -45,24 +45,24 @@
 
 #[test]
 fn the_longest_prefix_wins() {
-    let catalog = catalog();
+    let configuration = configuration();
     let name = |path| {
-        catalog
+        configuration
             .route("ledger.example", path)
             .map(|r| r.name.as_str())
     };
     assert_eq!(name("/runs/17"), Some("short"));
     assert_eq!(name("/runs/signed/17"), Some("long"));
     assert_eq!(name("/runs"), None);
-    assert!(catalog.route("other.example", "/runs/17").is_none());
+    assert!(configuration.route("other.example", "/runs/17").is_none());
 }
 
 #[test]
 fn a_key_belongs_to_its_tenant() {
-    let catalog = catalog();
-    assert!(catalog.needs_keys());
-    assert_eq!(catalog.tenant_of("key-2").unwrap().name, "lab");
-    assert!(catalog.tenant_of("key-3").is_none());
+    let configuration = configuration();
+    assert!(configuration.needs_keys());
+    assert_eq!(configuration.account_of_key("key-2").unwrap().name, "lab");
+    assert!(configuration.account_of_key("key-3").is_none());
 }
 
 #[test]
--- a/crates/router/cloverpier_router_policy/tests/routers.rs
+++ b/crates/router/cloverpier_router_policy/tests/routers.rs
@@ -13,10 +13,10 @@
 
 fn entry(port: u16, state: PeerState, heard: Instant) -> PeerEntry {
     PeerEntry {
-        front: address(port),
+        router: address(port),
         state,
         heard,
-        catalog_version: 1,
+        configuration_version: 1,
         upstreams_revision: 1,
         store_age: None,
         spent: Vec::new(),
--- a/crates/shared/cloverpier_settings/src/settings.rs
+++ b/crates/shared/cloverpier_settings/src/daemon.rs
@@ -1,15 +1,16 @@
-//! The settings of a router.
+//! The settings of `cloverpierd`; docs/OPERATIONS.md lists its keys.
 
-use crate::reader::{Reader, SettingFaults};
+use crate::reader::{Reader, SettingFaults, level};
 use cloverpier_core::{DataCentre, Secret, VmName};
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// Characters of a secret at least: 16 random ones are 96 bits in base 64.  Chosen.
 const MIN_SECRET: usize = 16;
 
-/// The settings of a router.
+/// The settings of `cloverpierd`.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct DaemonSettings {
     /// The VM's name.
     pub vm: VmName,
     /// Its data centre.
@@ -44,7 +45,7 @@
     pub log_level: String,
 }
 
-impl Settings {
+impl DaemonSettings {
     /// Reads settings from TOML.
     ///
     /// # Errors
@@ -85,12 +86,3 @@
     }
     Secret::new(text)
 }
-
-pub(crate) fn level(r: &mut Reader) -> String {
-    let expected = "\"error\", \"warn\", \"info\" or \"debug\"";
-    let text = r.text_or("log_level", expected, "info");
-    if !["error", "warn", "info", "debug"].contains(&text.as_str()) {
-        r.fault("log_level", expected);
-    }
-    text
-}
--- a/crates/shared/cloverpier_settings/src/reader.rs
+++ b/crates/shared/cloverpier_settings/src/reader.rs
@@ -157,3 +157,13 @@
 fn as_address(value: &Value) -> Option<SocketAddr> {
     value.as_str()?.parse().ok()
 }
+
+/// Reads the log level, which both programs have.
+pub(crate) fn level(r: &mut Reader) -> String {
+    let expected = "\"error\", \"warn\", \"info\" or \"debug\"";
+    let text = r.text_or("log_level", expected, "info");
+    if !["error", "warn", "info", "debug"].contains(&text.as_str()) {
+        r.fault("log_level", expected);
+    }
+    text
+}
--- a/crates/shared/cloverpier_settings/src/front.rs
+++ b/crates/shared/cloverpier_settings/src/router.rs
@@ -1,27 +1,29 @@
-//! The settings of a front.
+//! The settings of `cloverpier-front`.
+//!
+//! Each field has the name of its key where the key is a single word; docs/OPERATIONS.md
+//! lists all keys. On the platform the file is filled from `platform/settings.toml.template`.
 
-use crate::reader::{Reader, SettingFaults};
-use crate::settings::level;
+use crate::reader::{Reader, SettingFaults, level};
 use cloverpier_core::{DataCentre, VmName};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Where a front listens.
+/// Where a router listens.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FrontListen {
+pub struct RouterListen {
     /// For callers' requests.
     pub callers: SocketAddr,
-    /// For the platform's question whether the front is ready.
+    /// For the platform's question whether the router is ready.
     pub ready: SocketAddr,
     /// For callers' question which addresses to use.
     pub directory: SocketAddr,
-    /// For other fronts, over TCP and UDP.
+    /// For other routers, over TCP and UDP.
     pub peers: SocketAddr,
     /// For readers of metrics.
     pub metrics: Option<SocketAddr>,
 }
 
-/// Bounds on repeats, kept by all fronts together, for each service.
+/// Bounds on repeats, kept by all routers together, for each service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetrySettings {
     /// Repeats for each request.
@@ -49,24 +51,24 @@
     pub stuck_before_first: Duration,
 }
 
-/// The settings of a front.
+/// The settings of a router.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FrontSettings {
+pub struct RouterSettings {
     /// The VM's name.
     pub vm: VmName,
     /// Its data centre.
     pub data_centre: DataCentre,
     /// Where it listens.
-    pub listen: FrontListen,
+    pub listen: RouterListen,
     /// The platform's store.
     pub store: SocketAddr,
-    /// Some fronts to begin with; they may be gone.
+    /// Some routers to begin with; they may be gone.
     pub seeds: Vec<SocketAddr>,
     /// From a termination signal to the end of the process.
     pub grace: Duration,
     /// How long callers keep the directory's answer.
     pub directory_keep: Duration,
-    /// How often fronts tell each other of their work.
+    /// How often routers tell each other of their work.
     pub heartbeat: Duration,
     /// Bounds on repeats.
     pub retry: RetrySettings,
@@ -78,7 +80,7 @@
     pub log_level: String,
 }
 
-impl FrontSettings {
+impl RouterSettings {
     /// Reads settings from TOML.
     ///
     /// # Errors
@@ -105,8 +107,8 @@
     }
 }
 
-fn read_listen(r: &mut Reader) -> FrontListen {
-    FrontListen {
+fn read_listen(r: &mut Reader) -> RouterListen {
+    RouterListen {
         callers: r.address("callers_listen"),
         ready: r.address("ready_listen"),
         directory: r.address("directory_listen"),
--- a/crates/shared/cloverpier_settings/tests/keys.rs
+++ b/crates/shared/cloverpier_settings/tests/keys.rs
@@ -63,10 +63,10 @@
 
 #[test]
 fn every_key_is_known_and_checked() {
-    assert!(Settings::parse(&text_of(DAEMON)).is_ok());
-    assert!(FrontSettings::parse(&text_of(ROUTER_ON_PLATFORM)).is_ok());
-    let daemon = faults_of_all(DAEMON, Settings::parse);
-    let router = faults_of_all(ROUTER_ON_PLATFORM, FrontSettings::parse);
+    assert!(DaemonSettings::parse(&text_of(DAEMON)).is_ok());
+    assert!(RouterSettings::parse(&text_of(ROUTER_ON_PLATFORM)).is_ok());
+    let daemon = faults_of_all(DAEMON, DaemonSettings::parse);
+    let router = faults_of_all(ROUTER_ON_PLATFORM, RouterSettings::parse);
     assert_eq!(daemon.lines().count(), DAEMON.len());
     assert_eq!(router.lines().count(), ROUTER_ON_PLATFORM.len());
     insta::assert_snapshot!(format!(
@@ -88,7 +88,7 @@
     let keys = ROUTER_ON_PLATFORM
         .iter()
         .filter(|(key, _)| needed.contains(key));
-    let settings = FrontSettings::parse(&text_of(&keys.copied().collect::<Vec<_>>())).unwrap();
+    let settings = RouterSettings::parse(&text_of(&keys.copied().collect::<Vec<_>>())).unwrap();
     insta::assert_debug_snapshot!((
         settings.grace,
         settings.directory_keep,
--- a/crates/shared/cloverpier_settings/tests/settings.rs
+++ b/crates/shared/cloverpier_settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that can't stand are told all at once.
+//! DaemonSettings that can't stand are told all at once.
 
 use cloverpier_settings::prelude::*;
 
@@ -15,7 +15,7 @@
 
 #[test]
 fn good_settings_are_read_with_their_defaults() {
-    let settings = Settings::parse(GOOD).unwrap();
+    let settings = DaemonSettings::parse(GOOD).unwrap();
     assert_eq!(settings.callers_at, settings.callers_listen);
     assert_eq!(settings.addresses_ttl.as_secs(), 20);
     assert_eq!(settings.log_level, "info");
@@ -34,19 +34,19 @@
 copy_interval_ms = -1
 colour = "blue"
 "#;
-    let faults = Settings::parse(text).unwrap_err();
+    let faults = DaemonSettings::parse(text).unwrap_err();
     insta::assert_snapshot!(faults.to_string());
 }
 
 #[test]
 fn broken_toml_is_one_fault_of_the_file() {
-    let faults = Settings::parse("vm = ").unwrap_err();
+    let faults = DaemonSettings::parse("vm = ").unwrap_err();
     assert_eq!(faults.faults.len(), 1);
     assert_eq!(faults.faults[0].key, "(file)");
 }
 
 #[test]
 fn secrets_do_not_show_in_debug_output() {
-    let shown = format!("{:?}", Settings::parse(GOOD).unwrap());
+    let shown = format!("{:?}", DaemonSettings::parse(GOOD).unwrap());
     assert!(!shown.contains("sixteen"), "{shown}");
 }
--- a/crates/standins/cloverpier_router_standin/src/caller.rs
+++ b/crates/standins/cloverpier_router_standin/src/caller.rs
@@ -49,9 +49,9 @@
 }
 
 /// Sends a request over a new connection and checks the answer.
-pub async fn call(front: SocketAddr, names: &HeaderNames, request: &CallerRequest) -> Outcome {
+pub async fn call(router: SocketAddr, names: &HeaderNames, request: &CallerRequest) -> Outcome {
     let patience = request.deadline + Duration::from_secs(1);
-    let answered = timeout(patience, exchange(front, names, request)).await;
+    let answered = timeout(patience, exchange(router, names, request)).await;
     match answered {
         Ok(Ok(outcome)) => outcome,
         Ok(Err(_)) => Outcome::Broken(request.last_event.unwrap_or(0)),
@@ -67,9 +67,9 @@
 }
 
 impl KeptConnection {
-    /// Connects to a front.
-    pub async fn open(front: SocketAddr) -> Option<Self> {
-        let connecting = timeout(Duration::from_secs(1), TcpStream::connect(front));
+    /// Connects to a router.
+    pub async fn open(router: SocketAddr) -> Option<Self> {
+        let connecting = timeout(Duration::from_secs(1), TcpStream::connect(router));
         let stream = connecting.await.ok()?.ok()?;
         Some(Self {
             stream,
@@ -124,11 +124,11 @@
 }
 
 async fn exchange(
-    front: SocketAddr,
+    router: SocketAddr,
     names: &HeaderNames,
     request: &CallerRequest,
 ) -> io::Result<Outcome> {
-    let Ok(mut stream) = TcpStream::connect(front).await else {
+    let Ok(mut stream) = TcpStream::connect(router).await else {
         return Ok(Outcome::Unreachable);
     };
     stream
@@ -164,7 +164,7 @@
         format!("{}: {}", names.request_id, request.id),
         format!("{}: {}", names.deadline_ms, request.deadline.as_millis()),
         // A caller may claim to be whoever it likes.
-        format!("{}: somebody-else", names.tenant),
+        format!("{}: somebody-else", names.account),
     ];
     lines.extend(
         request
--- a/crates/standins/cloverpier_router_standin/src/lib.rs
+++ b/crates/standins/cloverpier_router_standin/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for what a front meets: upstreams, engines, a store, links, callers.
+//! Stand-ins for what a router meets: upstreams, engines, a store, links, callers.
 //!
 //! Each speaks the words that a [`cloverpier_router::Dialect`] and
 //! [`store::StoreShapes`] give it, so it stands in for any platform. Upstreams
 //! keep a ledger of what they ran, and callers check what they got, so that no
-//! check has to take a front's word. Bytes are written by hand, as the faults
+//! check has to take a router's word. Bytes are written by hand, as the faults
 //! include answers that no library would send.
 //!
 //! ```
--- a/crates/standins/cloverpier_router_standin/src/store.rs
+++ b/crates/standins/cloverpier_router_standin/src/store.rs
@@ -2,7 +2,7 @@
 
 use crate::http::{Head, read_head};
 use crate::upstream::lock;
-use cloverpier_router_policy::prelude::{CatalogParts, Upstream};
+use cloverpier_router_policy::prelude::{Configuration, Upstream};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::io;
@@ -57,20 +57,20 @@
     /// The content of a upstream's entry.
     pub upstream: fn(&Upstream) -> Value,
     /// The content of the configuration.
-    pub catalog: fn(&CatalogParts) -> Value,
+    pub configuration: fn(&Configuration) -> Value,
     /// The kind of upstreams, and the kind and name of the configuration.
     pub kinds: StoreKinds,
 }
 
-/// Kinds and names of the objects that fronts read.
+/// Kinds and names of the objects that routers read.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreKinds {
     /// The kind of upstreams.
     pub upstreams: &'static str,
     /// The kind of the configuration.
-    pub catalog: &'static str,
+    pub configuration: &'static str,
     /// The configuration's name.
-    pub catalog_name: &'static str,
+    pub configuration_name: &'static str,
 }
 
 /// How the store misbehaves.
@@ -176,10 +176,10 @@
     }
 
     /// Puts a configuration in force.
-    pub fn put_catalog(&self, catalog: &CatalogParts) {
-        let spec = (self.shapes.catalog)(catalog);
+    pub fn put_configuration(&self, configuration: &Configuration) {
+        let spec = (self.shapes.configuration)(configuration);
         let kinds = self.shapes.kinds;
-        self.change(kinds.catalog, kinds.catalog_name, Some(spec));
+        self.change(kinds.configuration, kinds.configuration_name, Some(spec));
     }
 
     /// Lets it misbehave, or not any more.
--- a/crates/standins/cloverpier_router_standin/src/upstream.rs
+++ b/crates/standins/cloverpier_router_standin/src/upstream.rs
@@ -48,8 +48,8 @@
     pub unexpected: u32,
     /// Keys of callers that reached a upstream.
     pub leaked_keys: u32,
-    /// Tenants that upstreams were told, by request.
-    pub tenants: HashMap<String, String>,
+    /// Client accounts that upstreams were told, by request.
+    pub accounts: HashMap<String, String>,
     /// Copies of runs' memory: where each lies.
     copies: HashSet<(SocketAddr, String)>,
     /// Streams that a upstream stopped as their connection was closed, by request.
@@ -379,8 +379,8 @@
         .or_default()
         .push(upstream.name.clone());
     ledger.leaked_keys += u32::from(head.get(names.key.as_str()).is_some());
-    if let Some(tenant) = head.get(names.tenant.as_str()) {
-        ledger.tenants.insert(id.clone(), tenant.to_owned());
+    if let Some(account) = head.get(names.account.as_str()) {
+        ledger.accounts.insert(id.clone(), account.to_owned());
     }
     let backup = head.get(names.backup_at.as_str());
     if let Some(at) = backup.and_then(|at| at.parse().ok()) {
--- a/tools/src/bin/soak.rs
+++ b/tools/src/bin/soak.rs
@@ -1,4 +1,4 @@
-//! `cargo soak`: real fronts as processes, harmed at random while they serve.
+//! `cargo soak`: real routers as processes, harmed at random while they serve.
 
 use argh::FromArgs;
 use cloverpier_tools::process::build_programs;
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// Harms real fronts at random while they serve, and checks what callers and upstreams see.
+/// Harms real routers at random while they serve, and checks what callers and upstreams see.
 #[derive(FromArgs)]
 struct Args {
     /// how long to go on with fresh seeds, in minutes (2)
@@ -22,9 +22,9 @@
     /// run this seed alone, again
     #[argh(option)]
     replay: Option<u64>,
-    /// fronts at most, each a process (24)
-    #[argh(option, default = "24")]
-    most_fronts: usize,
+    /// routers at most, each a process (24)
+    #[argh(option, long = "most-fronts", default = "24")]
+    most_routers: usize,
     /// where settings and logs lie (target/soak)
     #[argh(option, default = "PathBuf::from(\"target/soak\")")]
     dir: PathBuf,
@@ -79,7 +79,7 @@
     let spec = SoakSpec {
         seed,
         length: Duration::from_secs(args.seconds),
-        most_fronts: args.most_fronts,
+        most_routers: args.most_routers,
         dir: args.dir.clone(),
         program: None,
     };
--- a/tools/src/lib.rs
+++ b/tools/src/lib.rs
@@ -4,9 +4,9 @@
 //! routers' own word is used only for the bytes between them.
 
 pub mod fleet;
-pub mod fronts;
 pub mod load;
 pub mod process;
 pub mod report;
+pub mod router_site;
 pub mod scenarios;
 pub mod soak;
--- a/tools/src/fronts.rs
+++ b/tools/src/router_site.rs
@@ -1,4 +1,4 @@
-//! Fronts as real processes, before stand-ins for everything outside them.
+//! Routers as real processes, before stand-ins for everything outside them.
 
 use crate::process::{Process, free_addresses};
 use cloverpier_adapter::platform_dialect;
@@ -22,10 +22,10 @@
 pub const ENGINES: &str = "drafts";
 /// The plain service.
 pub const PLAIN: &str = "lookups";
-/// A key that the first configuration holds, and its tenant.
+/// A key that the first configuration holds, and its client account.
 pub const KEY: &str = "key-of-the-lab";
-/// The tenant of [`KEY`].
-pub const TENANT: &str = "lab";
+/// The client account of [`KEY`].
+pub const ACCOUNT: &str = "lab";
 /// Paths of the routes that every configuration holds.
 pub const STREAM_PATH: &str = "/drafts/";
 /// Streams that may not be taken up elsewhere.
@@ -38,12 +38,12 @@
 /// What a site is made of.
 #[derive(Clone, Debug)]
 pub struct SiteSpec {
-    /// The front's program.
+    /// The router's program.
     pub program: PathBuf,
     /// Where settings and logs lie.
     pub dir: PathBuf,
-    /// How many fronts.
-    pub fronts: usize,
+    /// How many routers.
+    pub routers: usize,
     /// How many model engines.
     pub engines: usize,
     /// How many plain upstreams.
@@ -60,7 +60,7 @@
         Self {
             program,
             dir: dir.to_path_buf(),
-            fronts: 1,
+            routers: 1,
             engines: 3,
             plain: 2,
             event_interval: Duration::from_millis(10),
@@ -69,9 +69,9 @@
     }
 }
 
-/// One front and how it is reached.
+/// One router and how it is reached.
 #[derive(Debug)]
-pub struct SiteFront {
+pub struct SiteRouter {
     /// The process, while it runs.
     pub process: Option<Process>,
     /// Where callers reach it.
@@ -80,7 +80,7 @@
     pub ready: SocketAddr,
     /// Where it tells its metrics.
     pub metrics: SocketAddr,
-    /// Where it says which fronts to use.
+    /// Where it says which routers to use.
     pub directory: SocketAddr,
     /// Its way to the store.
     pub store_link: Link,
@@ -109,10 +109,10 @@
     pub ledger: SharedLedger,
     /// The upstreams: engines first.
     pub upstreams: Vec<SiteUpstream>,
-    /// The fronts.
-    pub fronts: Vec<SiteFront>,
+    /// The routers.
+    pub routers: Vec<SiteRouter>,
     /// The configuration in force.
-    pub catalog: CatalogParts,
+    pub configuration: Configuration,
     /// The words spoken.
     pub names: HeaderNames,
     spec: SiteSpec,
@@ -128,22 +128,22 @@
     pub async fn start(spec: SiteSpec) -> io::Result<Self> {
         let store = StoreStandIn::start(store_shapes()).await?;
         let mut site = Self {
-            catalog: first_catalog(),
+            configuration: first_configuration(),
             names: platform_dialect().headers,
             ledger: Arc::new(Mutex::new(Ledger::default())),
             upstreams: Vec::new(),
-            fronts: Vec::new(),
+            routers: Vec::new(),
             starts: 0,
             store,
             spec,
         };
-        site.store.put_catalog(&site.catalog);
+        site.store.put_configuration(&site.configuration);
         for index in 0..site.spec.engines + site.spec.plain {
             site.add_upstream(index).await?;
         }
-        site.write_front_settings().await?;
-        for index in 0..site.spec.fronts {
-            site.start_front(index)?;
+        site.write_router_settings().await?;
+        for index in 0..site.spec.routers {
+            site.start_router(index)?;
         }
         Ok(site)
     }
@@ -203,9 +203,9 @@
         Ok(())
     }
 
-    async fn write_front_settings(&mut self) -> io::Result<()> {
-        let peers = free_addresses(self.spec.fronts)?;
-        for index in 0..self.spec.fronts {
+    async fn write_router_settings(&mut self) -> io::Result<()> {
+        let peers = free_addresses(self.spec.routers)?;
+        for index in 0..self.spec.routers {
             let addresses = free_addresses(4)?;
             let store_link = Link::start(self.store.address()).await?;
             let settings = self.spec.dir.join(format!("front-{index}.toml"));
@@ -225,7 +225,7 @@
                 seeds.join(", "),
             );
             std::fs::write(&settings, text)?;
-            self.fronts.push(SiteFront {
+            self.routers.push(SiteRouter {
                 process: None,
                 callers: addresses[0],
                 ready: addresses[1],
@@ -239,28 +239,28 @@
         Ok(())
     }
 
-    /// Starts a front, or starts it again.
+    /// Starts a router, or starts it again.
     ///
     /// # Errors
     ///
     /// What the system reports.
-    pub fn start_front(&mut self, index: usize) -> io::Result<()> {
-        let front = &mut self.fronts[index];
-        let args = [front.settings.display().to_string()];
-        front.process = None;
-        front.process = Some(Process::start_logged(
+    pub fn start_router(&mut self, index: usize) -> io::Result<()> {
+        let router = &mut self.routers[index];
+        let args = [router.settings.display().to_string()];
+        router.process = None;
+        router.process = Some(Process::start_logged(
             &self.spec.program,
             &args,
-            &front.log,
+            &router.log,
         )?);
         Ok(())
     }
 
-    /// Waits until all fronts that run are ready; false when that takes too long.
+    /// Waits until all routers that run are ready; false when that takes too long.
     pub async fn wait_ready(&self, patience: Duration) -> bool {
         let until = Instant::now() + patience;
-        for front in self.fronts.iter().filter(|f| f.process.is_some()) {
-            while status_of(front.ready, platform_dialect().paths.ready).await != Some(200) {
+        for router in self.routers.iter().filter(|f| f.process.is_some()) {
+            while status_of(router.ready, platform_dialect().paths.ready).await != Some(200) {
                 if Instant::now() > until {
                     return false;
                 }
@@ -271,10 +271,10 @@
     }
 
     /// Puts a changed configuration in force, under the next version.
-    pub fn change_catalog(&mut self, change: impl FnOnce(&mut CatalogParts)) {
-        change(&mut self.catalog);
-        self.catalog.version += 3;
-        self.store.put_catalog(&self.catalog);
+    pub fn change_configuration(&mut self, change: impl FnOnce(&mut Configuration)) {
+        change(&mut self.configuration);
+        self.configuration.version += 3;
+        self.store.put_configuration(&self.configuration);
     }
 
     /// A request that the first configuration allows.
@@ -292,9 +292,9 @@
         }
     }
 
-    /// Sends a request to a front.
-    pub async fn call(&self, front: usize, request: &CallerRequest) -> Outcome {
-        call(self.fronts[front].callers, &self.names, request).await
+    /// Sends a request to a router.
+    pub async fn call(&self, router: usize, request: &CallerRequest) -> Outcome {
+        call(self.routers[router].callers, &self.names, request).await
     }
 }
 
@@ -306,14 +306,14 @@
     status.await.ok().map(|a| a.status.as_u16())
 }
 
-/// How many fronts a directory lists.
-pub async fn listed_fronts(directory: SocketAddr) -> usize {
+/// How many routers a directory lists.
+pub async fn listed_routers(directory: SocketAddr) -> usize {
     let path = platform_dialect().paths.directory;
     let caller = cloverpier_router::Caller::new(directory, Duration::from_millis(500));
     let local = tokio::task::LocalSet::new();
     let answer = local.run_until(async { caller.get(path, Duration::from_secs(1)).await });
     let body = answer.await.ok().map(|a| a.body).unwrap_or_default();
-    // Whatever the words around them, each front stands there with its address.
+    // Whatever the words around them, each router stands there with its address.
     let text = String::from_utf8_lossy(&body);
     text.matches("127.0.0.1:").count()
 }
@@ -339,7 +339,7 @@
     }
 }
 
-fn first_catalog() -> CatalogParts {
+fn first_configuration() -> Configuration {
     let stream = Route {
         streaming: true,
         timeout: Duration::from_secs(20),
@@ -359,22 +359,22 @@
         max_attempts: 2,
         ..route("safe", SAFE_PATH, PLAIN)
     };
-    let service = |name: &str, engine| ServiceTraits {
+    let service = |name: &str, engine| ServiceConfig {
         name: ServiceName::new(name),
         health_path: "/healthz".to_owned(),
         max_connections: 100,
         engine,
     };
-    let engine = EngineTraits {
+    let engine = EngineConfig {
         memory_tokens: 88_000,
         backups: true,
     };
-    CatalogParts {
+    Configuration {
         version: 7,
         routes: vec![resumable, stream, safe, route("unsafe", UNSAFE_PATH, PLAIN)],
         services: vec![service(ENGINES, Some(engine)), service(PLAIN, None)],
-        tenants: Some(vec![Tenant {
-            name: TENANT.to_owned(),
+        accounts: Some(vec![ClientAccount {
+            name: ACCOUNT.to_owned(),
             priority: None,
             keys: vec![KEY.to_owned()],
         }]),
--- a/tools/src/soak.rs
+++ b/tools/src/soak.rs
@@ -1,7 +1,7 @@
-//! A randomized soak: real fronts as processes, harmed from outside while they serve.
+//! A randomized soak: real routers as processes, harmed from outside while they serve.
 //!
 //! A seed decides the site, the load and the harms. What must hold is checked
-//! from what callers and upstreams see, never from a front's word.
+//! from what callers and upstreams see, never from a router's word.
 
 mod checks;
 mod inject;
@@ -11,18 +11,18 @@
 pub use checks::{Report, Violation};
 pub use plan::{Action, Injection, Size, draw_injections};
 
-use crate::fronts::{Site, SiteSpec};
 use crate::process::bin_dir;
+use crate::router_site::{Site, SiteSpec};
 use load::Load;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Fronts have to serve again this long after the last harm.
+/// Routers have to serve again this long after the last harm.
 const RECOVERY: Duration = Duration::from_secs(20);
-/// Fronts have to be ready this long after their start.
+/// Routers have to be ready this long after their start.
 const START: Duration = Duration::from_secs(30);
-/// Requests that are asked of each front after the last harm.
+/// Requests that are asked of each router after the last harm.
 const LAST_REQUESTS: usize = 6;
 
 /// One run of the soak.
@@ -32,11 +32,11 @@
     pub seed: u64,
     /// How long harm is done.
     pub length: Duration,
-    /// Fronts at most.
-    pub most_fronts: usize,
+    /// Routers at most.
+    pub most_routers: usize,
     /// Where settings and logs lie; one folder a seed.
     pub dir: PathBuf,
-    /// The front's program; the one built beside this program if not set.
+    /// The router's program; the one built beside this program if not set.
     pub program: Option<PathBuf>,
 }
 
@@ -52,7 +52,7 @@
     }
     std::fs::create_dir_all(&dir)?;
     let mut rng = fastrand::Rng::with_seed(spec.seed);
-    let size = Size::draw(&mut rng, spec.most_fronts);
+    let size = Size::draw(&mut rng, spec.most_routers);
     let injections = draw_injections(&mut rng, size, spec.length);
     let mut site = Site::start(site_spec(spec, size, &dir)?).await?;
     let mut report = Report::new(spec.seed, size, dir);
@@ -75,27 +75,27 @@
         None => bin_dir()?.join("cloverpier-front"),
     };
     let mut site = SiteSpec::new(program, dir);
-    site.fronts = size.fronts;
+    site.routers = size.routers;
     site.engines = size.engines;
     site.plain = size.plain;
     site.seed = spec.seed;
     Ok(site)
 }
 
-/// Every front serves again once all harm is over.
+/// Every router serves again once all harm is over.
 async fn check_recovery(site: &Site, report: &mut Report) {
     let until = Instant::now() + RECOVERY;
-    for front in 0..site.fronts.len() {
+    for router in 0..site.routers.len() {
         let mut served = 0;
         let mut asked = 0;
         while served < LAST_REQUESTS {
             asked += 1;
-            let request = site.request(&format!("last-{front}-{asked}"), load::path_at(asked));
-            let outcome = site.call(front, &request).await;
+            let request = site.request(&format!("last-{router}-{asked}"), load::path_at(asked));
+            let outcome = site.call(router, &request).await;
             if outcome == cloverpier_router_standin::caller::Outcome::Whole {
                 served += 1;
             } else if Instant::now() > until {
-                let what = format!("front {front} doesn't serve again: {outcome:?}");
+                let what = format!("front {router} doesn't serve again: {outcome:?}");
                 report.violation("recovery", &what);
                 return;
             } else {
--- a/tools/src/soak/checks.rs
+++ b/tools/src/soak/checks.rs
@@ -3,7 +3,7 @@
 use super::inject::Disturbed;
 use super::load::Sent;
 use super::plan::Size;
-use crate::fronts::{FIXED_STREAM_PATH, Site, TENANT, UNSAFE_PATH};
+use crate::router_site::{ACCOUNT, FIXED_STREAM_PATH, Site, UNSAFE_PATH};
 use cloverpier_router_standin::caller::Outcome;
 use cloverpier_router_standin::upstream::{Ledger, lock};
 use std::collections::BTreeMap;
@@ -80,7 +80,7 @@
             f,
             "seed {}: {} fronts, {} engines, {} plain servers; {harms} harms, {requests} requests, {} violations",
             self.seed,
-            size.fronts,
+            size.routers,
             size.engines,
             size.plain,
             self.violations.len()
@@ -114,8 +114,8 @@
     if ledger.unexpected > 0 {
         report.violation("instance", "a request named no server");
     }
-    if let Some((id, tenant)) = ledger.tenants.iter().find(|(_, t)| *t != TENANT) {
-        report.violation("tenant", &format!("{id} ran as {tenant}"));
+    if let Some((id, account)) = ledger.accounts.iter().find(|(_, t)| *t != ACCOUNT) {
+        report.violation("tenant", &format!("{id} ran as {account}"));
     }
 }
 
@@ -174,7 +174,7 @@
         return;
     }
     let during = |d: &&Disturbed| {
-        d.front == sent.front && d.from <= sent.ended && sent.at <= d.until + AFTERMATH
+        d.router == sent.router && d.from <= sent.ended && sent.at <= d.until + AFTERMATH
     };
     let mut meanwhile = disturbed.iter().filter(during).peekable();
     let is_only_planned = meanwhile.peek().is_some() && meanwhile.all(|d| d.is_planned);
@@ -182,7 +182,7 @@
     let is_repeatable = !sent.request.path.starts_with(FIXED_STREAM_PATH);
     // Sends that failed and requests that never reached a upstream are others' faults.
     if is_only_planned && is_repeatable && reached == 1 && reached < MOST_SENDS {
-        let found = format!("{} was cut at front {}", sent.request.id, sent.front);
+        let found = format!("{} was cut at front {}", sent.request.id, sent.router);
         report.violation("planned stop", &found);
     }
 }
--- a/tools/src/soak/inject.rs
+++ b/tools/src/soak/inject.rs
@@ -2,8 +2,8 @@
 
 use super::checks::Report;
 use super::plan::{Action, Injection};
-use crate::fronts::Site;
-use cloverpier_router_policy::prelude::{CatalogParts, Route};
+use crate::router_site::Site;
+use cloverpier_router_policy::prelude::{Configuration, Route};
 use cloverpier_router_standin::link::Harm;
 use cloverpier_router_standin::store::StoreFault;
 use std::io;
@@ -13,14 +13,14 @@
 const FAULT_SHARE: f64 = 0.3;
 /// How often the running harms are looked at.
 const STEP: Duration = Duration::from_millis(10);
-/// A front that was asked to stop ends within its grace, and some.
+/// A router that was asked to stop ends within its grace, and some.
 const STOP_PATIENCE: Duration = Duration::from_secs(10);
 
-/// How a front was disturbed, and when.
+/// How a router was disturbed, and when.
 #[derive(Clone, Copy, Debug)]
 pub struct Disturbed {
-    /// The front.
-    pub front: usize,
+    /// The router.
+    pub router: usize,
     /// From when on.
     pub from: Instant,
     /// Until when; later effects included.
@@ -37,7 +37,7 @@
     process: Option<u32>,
 }
 
-/// Plays the harms; returns how fronts were disturbed.
+/// Plays the harms; returns how routers were disturbed.
 pub async fn play(
     site: &mut Site,
     injections: &[Injection],
@@ -70,19 +70,19 @@
 
 /// The number of the process that a planned stop is to end.
 fn process_of(site: &Site, action: &Action) -> Option<u32> {
-    let Action::StopFront(front) = action else {
+    let Action::StopFront(router) = action else {
         return None;
     };
-    let process = site.fronts[*front].process.as_ref();
+    let process = site.routers[*router].process.as_ref();
     process.map(crate::process::Process::id)
 }
 
 /// Begins a harm; false when it doesn't fit what goes on.
 fn begin(site: &mut Site, action: &Action, disturbed: &mut Vec<Disturbed>) -> bool {
     let now = Instant::now();
-    let mut note = |front: usize, is_planned: bool| {
+    let mut note = |router: usize, is_planned: bool| {
         disturbed.push(Disturbed {
-            front,
+            router,
             from: now,
             // Until the harm ends; moved back then.
             until: now + Duration::from_secs(3_600),
@@ -90,32 +90,32 @@
         });
     };
     match action {
-        Action::StopFront(front) => match &site.fronts[*front].process {
+        Action::StopFront(router) => match &site.routers[*router].process {
             Some(process) => {
-                note(*front, true);
+                note(*router, true);
                 process.terminate();
             }
             None => return false,
         },
-        Action::KillFront(front) => match site.fronts[*front].process.take() {
+        Action::KillFront(router) => match site.routers[*router].process.take() {
             Some(mut process) => {
-                note(*front, false);
+                note(*router, false);
                 process.kill();
             }
             None => return false,
         },
-        Action::FreezeFront(front) => match &mut site.fronts[*front].process {
+        Action::FreezeFront(router) => match &mut site.routers[*router].process {
             Some(process) => {
-                note(*front, false);
+                note(*router, false);
                 process.freeze();
             }
             None => return false,
         },
-        Action::ReloadFront(front) => match &site.fronts[*front].process {
+        Action::ReloadFront(router) => match &site.routers[*router].process {
             Some(process) => process.hang_up(),
             None => return false,
         },
-        Action::HarmStoreLink(front, harm) => site.fronts[*front].store_link.set_harm(*harm),
+        Action::HarmStoreLink(router, harm) => site.routers[*router].store_link.set_harm(*harm),
         Action::CrashServer(upstream) => site.crash_upstream(*upstream),
         Action::HarmServerLink(upstream, harm) => site.upstreams[*upstream].link.set_harm(*harm),
         Action::ResetConnections(upstream) => site.upstreams[*upstream].link.cut_connections(),
@@ -125,20 +125,20 @@
         }
         Action::StoreFault(fault) => site.store.set_fault(*fault),
         Action::ForgetHistory => site.store.forget_history(),
-        Action::ChangeCatalog => site.change_catalog(toggle_route),
+        Action::ChangeCatalog => site.change_configuration(toggle_route),
     }
     true
 }
 
 /// Adds a route that nobody uses, or removes it.
-fn toggle_route(catalog: &mut CatalogParts) {
+fn toggle_route(configuration: &mut Configuration) {
     const NAME: &str = "passing";
-    if catalog.routes.iter().any(|r| r.name == NAME) {
-        catalog.routes.retain(|r| r.name != NAME);
+    if configuration.routes.iter().any(|r| r.name == NAME) {
+        configuration.routes.retain(|r| r.name != NAME);
         return;
     }
-    let like = catalog.routes.first().cloned();
-    catalog.routes.extend(like.map(|route| Route {
+    let like = configuration.routes.first().cloned();
+    configuration.routes.extend(like.map(|route| Route {
         name: NAME.to_owned(),
         prefix: "/passing/".to_owned(),
         ..route
@@ -160,8 +160,8 @@
         if !end(site, &harm, disturbed).await? {
             if now > harm.until + STOP_PATIENCE {
                 report.violation("stop", &format!("{:?} doesn't end", harm.action));
-                if let Action::StopFront(front) = harm.action {
-                    site.fronts[front].process = None;
+                if let Action::StopFront(router) = harm.action {
+                    site.routers[router].process = None;
                 }
             }
             running.push(harm);
@@ -173,30 +173,30 @@
 /// Ends a harm; false while it can't be ended yet.
 async fn end(site: &mut Site, harm: &Running, disturbed: &mut [Disturbed]) -> io::Result<bool> {
     match &harm.action {
-        Action::StopFront(front) => {
-            let process = site.fronts[*front].process.as_mut();
+        Action::StopFront(router) => {
+            let process = site.routers[*router].process.as_mut();
             let is_same = process.as_ref().map(|p| p.id()) == harm.process;
             if is_same {
                 if !process.is_none_or(has_ended) {
                     return Ok(false);
                 }
-                site.start_front(*front)?;
+                site.start_router(*router)?;
             }
-            over(disturbed, *front);
+            over(disturbed, *router);
         }
-        Action::KillFront(front) => {
-            if site.fronts[*front].process.is_none() {
-                site.start_front(*front)?;
+        Action::KillFront(router) => {
+            if site.routers[*router].process.is_none() {
+                site.start_router(*router)?;
             }
-            over(disturbed, *front);
+            over(disturbed, *router);
         }
-        Action::FreezeFront(front) => {
-            if let Some(process) = &mut site.fronts[*front].process {
+        Action::FreezeFront(router) => {
+            if let Some(process) = &mut site.routers[*router].process {
                 process.wake();
             }
-            over(disturbed, *front);
+            over(disturbed, *router);
         }
-        Action::HarmStoreLink(front, _) => site.fronts[*front].store_link.set_harm(Harm::None),
+        Action::HarmStoreLink(router, _) => site.routers[*router].store_link.set_harm(Harm::None),
         Action::CrashServer(upstream) => site.restart_upstream(*upstream).await?,
         Action::HarmServerLink(upstream, _) => site.upstreams[*upstream].link.set_harm(Harm::None),
         Action::ServerFault(upstream, _) => {
@@ -215,9 +215,9 @@
     process.has_ended()
 }
 
-fn over(disturbed: &mut [Disturbed], front: usize) {
+fn over(disturbed: &mut [Disturbed], router: usize) {
     let now = Instant::now();
-    for entry in disturbed.iter_mut().filter(|d| d.front == front) {
+    for entry in disturbed.iter_mut().filter(|d| d.router == router) {
         entry.until = entry.until.min(now);
     }
 }
@@ -229,11 +229,11 @@
 /// What the system reports at a start.
 pub async fn heal(site: &mut Site) -> io::Result<()> {
     site.store.set_fault(StoreFault::None);
-    for index in 0..site.fronts.len() {
-        let front = &mut site.fronts[index];
-        front.store_link.set_harm(Harm::None);
-        if front.process.as_mut().is_none_or(has_ended) {
-            site.start_front(index)?;
+    for index in 0..site.routers.len() {
+        let router = &mut site.routers[index];
+        router.store_link.set_harm(Harm::None);
+        if router.process.as_mut().is_none_or(has_ended) {
+            site.start_router(index)?;
         }
     }
     for upstream in &site.upstreams {
--- a/tools/src/soak/load.rs
+++ b/tools/src/soak/load.rs
@@ -1,7 +1,7 @@
-//! Callers that send requests all the while, as they would: to listed fronts,
+//! Callers that send requests all the while, as they would: to listed routers,
 //! coming back after a refusal, going on with a stream that broke off.
 
-use crate::fronts::{FIXED_STREAM_PATH, SAFE_PATH, STREAM_PATH, Site, UNSAFE_PATH};
+use crate::router_site::{FIXED_STREAM_PATH, SAFE_PATH, STREAM_PATH, Site, UNSAFE_PATH};
 use cloverpier_router::HeaderNames;
 use cloverpier_router_standin::caller::{CallerRequest, KeptConnection, Outcome, call};
 use cloverpier_router_standin::upstream::lock;
@@ -22,8 +22,8 @@
 pub struct Sent {
     /// The request.
     pub request: CallerRequest,
-    /// The front that got it, by its position.
-    pub front: usize,
+    /// The router that got it, by its position.
+    pub router: usize,
     /// When it was sent.
     pub at: Instant,
     /// When it ended.
@@ -46,7 +46,7 @@
 /// What callers need to know.
 #[derive(Clone, Debug)]
 struct Callers {
-    fronts: Vec<SocketAddr>,
+    routers: Vec<SocketAddr>,
     names: HeaderNames,
     template: Vec<CallerRequest>,
     sent: SentLog,
@@ -61,7 +61,7 @@
     /// Starts callers of all kinds.
     pub fn start(site: &Site, mut rng: fastrand::Rng) -> Self {
         let callers = Callers {
-            fronts: site.fronts.iter().map(|f| f.callers).collect(),
+            routers: site.routers.iter().map(|f| f.callers).collect(),
             names: site.names.clone(),
             template: (0..4).map(|n| site.request("", path_at(n))).collect(),
             sent: Arc::default(),
@@ -136,17 +136,17 @@
 }
 
 async fn send(callers: &Callers, request: &CallerRequest, rng: &mut fastrand::Rng) -> Outcome {
-    let front = rng.usize(..callers.fronts.len());
+    let router = rng.usize(..callers.routers.len());
     let at = Instant::now();
-    let outcome = call(callers.fronts[front], &callers.names, request).await;
-    note(callers, request, front, at, outcome.clone());
+    let outcome = call(callers.routers[router], &callers.names, request).await;
+    note(callers, request, router, at, outcome.clone());
     outcome
 }
 
-fn note(callers: &Callers, request: &CallerRequest, front: usize, at: Instant, outcome: Outcome) {
+fn note(callers: &Callers, request: &CallerRequest, router: usize, at: Instant, outcome: Outcome) {
     lock(&callers.sent).push(Sent {
         request: request.clone(),
-        front,
+        router,
         at,
         ended: Instant::now(),
         outcome,
@@ -162,8 +162,8 @@
 ) {
     let mut count = 0;
     while !*stopped.borrow() {
-        let front = rng.usize(..callers.fronts.len());
-        let Some(mut connection) = KeptConnection::open(callers.fronts[front]).await else {
+        let router = rng.usize(..callers.routers.len());
+        let Some(mut connection) = KeptConnection::open(callers.routers[router]).await else {
             tokio::time::sleep(PAUSE).await;
             continue;
         };
@@ -174,7 +174,7 @@
             let at = Instant::now();
             let outcome = connection.call(&callers.names, &request).await;
             let goes_on = matches!(outcome, Outcome::Whole | Outcome::Status(..));
-            note(&callers, &request, front, at, outcome);
+            note(&callers, &request, router, at, outcome);
             if !goes_on {
                 break;
             }
--- a/tools/src/soak/plan.rs
+++ b/tools/src/soak/plan.rs
@@ -8,8 +8,8 @@
 /// The size of a site under soak.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Fronts, each a process.
-    pub fronts: usize,
+    /// Routers, each a process.
+    pub routers: usize,
     /// Model engines.
     pub engines: usize,
     /// Plain upstreams.
@@ -18,15 +18,15 @@
 
 impl Size {
     /// A size drawn from a seed; some are large.
-    pub fn draw(rng: &mut fastrand::Rng, most_fronts: usize) -> Self {
+    pub fn draw(rng: &mut fastrand::Rng, most_routers: usize) -> Self {
         let is_large = rng.u8(..10) == 0;
-        let fronts = if is_large {
-            most_fronts
+        let routers = if is_large {
+            most_routers
         } else {
             rng.usize(2..=5)
         };
         Self {
-            fronts: fronts.min(most_fronts),
+            routers: routers.min(most_routers),
             engines: rng.usize(3..=6),
             plain: rng.usize(2..=4),
         }
@@ -47,15 +47,15 @@
 /// What is done.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// A front is stopped as planned, and started again once it has ended.
+    /// A router is stopped as planned, and started again once it has ended.
     StopFront(usize),
-    /// A front is killed, and started again later.
+    /// A router is killed, and started again later.
     KillFront(usize),
-    /// A front stands still.
+    /// A router stands still.
     FreezeFront(usize),
-    /// A front is told to read its settings again.
+    /// A router is told to read its settings again.
     ReloadFront(usize),
-    /// A front loses its way to the store.
+    /// A router loses its way to the store.
     HarmStoreLink(usize, Harm),
     /// A upstream crashes and comes back under another name.
     CrashServer(usize),
@@ -120,14 +120,14 @@
 }
 
 fn draw_action(rng: &mut fastrand::Rng, size: Size) -> Action {
-    let front = rng.usize(..size.fronts);
+    let router = rng.usize(..size.routers);
     let upstream = rng.usize(..size.engines + size.plain);
     match rng.u8(..16) {
-        0 | 1 => Action::StopFront(front),
-        2 => Action::KillFront(front),
-        3 => Action::FreezeFront(front),
-        4 => Action::ReloadFront(front),
-        5 => Action::HarmStoreLink(front, draw_harm(rng)),
+        0 | 1 => Action::StopFront(router),
+        2 => Action::KillFront(router),
+        3 => Action::FreezeFront(router),
+        4 => Action::ReloadFront(router),
+        5 => Action::HarmStoreLink(router, draw_harm(rng)),
         6 | 7 => Action::CrashServer(upstream),
         8 | 9 => Action::HarmServerLink(upstream, draw_harm(rng)),
         10 => Action::ResetConnections(upstream),
