--- a/crates/router/cloverpier_router_policy/src/choice.rs
+++ b/crates/router/cloverpier_router_policy/src/choice.rs
@@ -1,55 +1,73 @@
-//! The choice of a upstream for one request.
+//! The choice of an upstream for one attempt.
 //!
-//! The cost of a upstream is the load before the request there: this router's
-//! own exactly, its peers' as they reported it a moment ago. Upstreams that fail
-//! more often than others, or are slower, cost more.
+//! - **Question.** Which upstream gets this attempt?
+//! - **Inputs.** A [`Demand`]: service, the load that the request adds, upstreams that it
+//!   was sent to already, where its prompt was read, connections at hand. The table of
+//!   upstreams with this router's own load, exactly, and its peers', as reported up to a
+//!   heartbeat ago.
+//! - **Answer.** A [`Choice`].
+//! - **Why.** Upstreams that may be dead come last, whatever their load: trying one costs
+//!   hundreds of milliseconds. Among the others the cost is the time that the request would
+//!   wait for the load before it. Engines that cost about the same are told apart by the
+//!   prompt's hash: routers that see the same do not all choose the same engine, and a
+//!   prompt that comes back finds the engine that has read it.
+//!
+//! Costs are in prompt tokens for model engines and in requests for plain upstreams. Owns no
+//! state.
 
 use crate::load::Load;
-use crate::prompt_locations::PromptKey;
 use crate::upstream::{Upstream, UpstreamKey, UpstreamState};
 use crate::upstream_table::UpstreamTable;
 use cloverpier_core::{DataCentre, ServiceName, UpstreamName, rank};
-use serde::Serialize;
-use std::collections::{BTreeMap, HashSet};
+use std::collections::HashSet;
 use std::time::Instant;
 
-/// A running request slows a newcomer as much as so many unread tokens.
+/// A running stream delays a newcomer like this many unread prompt tokens, and is delayed by
+/// it: reading 8,000 tokens holds up each stream beside it for about 0.8 s (9e05fa8: with 300
+/// ledger 0.698, fonts 0.583; with 6,000 0.707, 0.601).
 const TOKENS_PER_RUNNING: f64 = 6_000.0;
-/// A failure rate of one costs as much as so many requests.
+/// Engines whose costs differ by less, in tokens, count as equal (9e05fa8: 100, 800 and 3,000
+/// are within noise of each other).
+const EQUAL_COST_TOKENS: f64 = 3_000.0;
+/// Part of an engine's KV cache that may be filled; beyond it an engine preempts runs and
+/// reads their prompts again.  Chosen, not measured.
+const MAX_MEMORY_SHARE: f64 = 0.92;
+/// Cost, in tokens, of an engine whose KV cache would overflow: more than that of any load
+/// that its slots allow.  Chosen, not measured.
+const OVERFULL_TOKENS: f64 = 200_000.0;
+
+/// A plain upstream at which every request fails costs as much as one with this many requests
+/// more.  Chosen, not measured.
 const FAILURE_REQUESTS: f64 = 12.0;
-/// Another data centre costs as much as so many requests at a plain service.
+/// A plain upstream in another data centre costs as much as this many requests: a round trip
+/// of 2 to 3 ms against the time of a lookup.  Chosen, not measured.
 const FAR_REQUESTS: f64 = 0.4;
-/// A kept connection saves as much as so many requests at a plain service.
+/// A connection at hand saves as much as this many requests: new connections have a price and
+/// take a round trip.  Chosen, not measured.
 const CONNECTED_REQUESTS: f64 = 1.2;
-/// Part of an engine's memory that is filled before it is shunned.
-const FILLED_PART: f64 = 0.92;
-/// Cost, in tokens, of an engine whose memory would overflow.
-const OVERFULL_TOKENS: f64 = 200_000.0;
-/// Engines whose costs differ by less are taken for equal.
-const ABOUT_THE_SAME_TOKENS: f64 = 3000.0;
-/// Requests that may wait at a plain upstream, for each of its slots.
+/// Requests that may wait at a plain upstream, for each of its slots.  Chosen, not measured.
 const WAITING_PER_SLOT: u32 = 2;
-/// A pace below this many milliseconds tells nothing.
+/// A pace below this many milliseconds is measurement noise.  Chosen, not measured.
 const MIN_PACE_MS: f64 = 1.0;
 
-/// What a request asks of a upstream.
+/// What an attempt asks of an upstream.
 #[derive(Clone, Debug)]
 pub struct Demand<'a> {
     /// The service.
     pub service: &'a ServiceName,
-    /// Where this router stands.
+    /// This router's data centre.
     pub home: &'a DataCentre,
-    /// What the request adds.
+    /// The load that the request adds.
     pub load: Load,
-    /// Tokens that fit into an engine's memory; `None` at a plain service.
+    /// Tokens that fit into an engine's KV cache; `None` for a plain service.
     pub engine_memory: Option<u64>,
     /// A hash of the prompt: the same prompt prefers the same engine.
     pub affinity: Option<u64>,
-    /// The engine that has read the prompt for an earlier request that this one goes on with.
+    /// The engine that has read the prompt, for a request that continues a former one.
     pub prompt_location: Option<UpstreamKey>,
-    /// Whether an engine may have read the prompt already, for an earlier request.
+    /// Whether the request continues a former one, so that some engine has read its prompt.
     pub is_continuation: bool,
-    /// Upstreams that this request was sent to already.
+    /// Upstreams that the request was sent to already.
     pub tried: &'a [UpstreamName],
     /// Upstreams to which a connection is at hand.
     pub connected: &'a HashSet<UpstreamName>,
@@ -59,145 +77,86 @@
     pub now: Instant,
 }
 
-/// What came of a choice.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
+/// The result of a choice.
+#[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// This upstream gets the request.
+    /// This upstream gets the attempt.
     Upstream(Upstream),
-    /// Upstreams take load, and all are full.
-    Full,
-    /// No upstream takes load.
-    Nobody,
+    /// Some upstreams could take it, and all of them are full.
+    AllFull,
+    /// No upstream can take it.
+    NoneUsable,
 }
 
-/// Chooses the upstream with the lowest cost; equal ones by chance.
-///
-/// Engines that cost about the same are told apart by the prompt's hash, so
-/// that routers that see the same don't all choose the same engine, and a
-/// prompt that comes back finds the engine that has read it.
+/// Chooses an upstream: the one that has read the prompt, else the one of lowest cost.
 pub fn choose_upstream(
     table: &UpstreamTable,
     demand: &Demand<'_>,
     rng: &mut fastrand::Rng,
 ) -> Choice {
-    let able = candidates(table, demand);
-    if able.is_empty() {
-        return Choice::Nobody;
+    let candidates = candidates(table, demand);
+    if candidates.is_empty() {
+        return Choice::NoneUsable;
     }
-    let open: Vec<&UpstreamState> = able
-        .into_iter()
-        .filter(|s| demand.overcommit || has_place(table, demand, s))
-        .collect();
-    let prompt_location = open.iter().find(|s| Some(s.key) == demand.prompt_location);
-    if let Some(state) = prompt_location {
+    let with_capacity = filtered(&candidates, |s| {
+        demand.overcommit || has_capacity(table, demand, s)
+    });
+    let has_read_prompt = with_capacity
+        .iter()
+        .find(|s| Some(s.key) == demand.prompt_location);
+    if let Some(state) = has_read_prompt {
         return Choice::Upstream(state.upstream.clone());
     }
-    let best_pace = best_pace(&open);
+    let best_pace = best_pace(&with_capacity);
     let cost = |s: &UpstreamState| cost(table, demand, s, best_pace);
     let chosen = match (demand.engine_memory, demand.affinity) {
-        (Some(_), Some(prompt)) => by_prompt(&open, cost, prompt, tolerance(demand), demand.home),
-        _ => cheapest(&open, cost, rng),
+        (Some(_), Some(prompt)) => preferred_by_prompt(&with_capacity, cost, prompt, demand),
+        _ => cheapest(&with_capacity, cost, rng),
     };
     match chosen {
         Some(state) => Choice::Upstream(state.upstream.clone()),
-        None => Choice::Full,
+        None => Choice::AllFull,
     }
 }
 
-/// Chooses the engine that keeps a copy of a run's memory, in another data centre if it can be.
-pub fn choose_replica(
-    table: &UpstreamTable,
-    demand: &Demand<'_>,
-    primary: &Upstream,
-    rng: &mut fastrand::Rng,
-) -> Option<Upstream> {
-    let memory = demand.engine_memory?;
-    let roomy: Vec<&UpstreamState> = table
-        .of_service(demand.service)
-        .filter(|s| s.is_usable() && s.upstream.name != primary.name)
-        .filter(|s| !s.is_suspected_by_peer(demand.now))
-        .filter(|s| fits(table, s, demand.load, memory))
-        .collect();
-    let suspected_by_peer = table.suspect_data_centres(demand.service, demand.now);
-    let is_far = |s: &UpstreamState| s.upstream.data_centre != primary.data_centre;
-    let is_sound = |s: &UpstreamState| !suspected_by_peer.contains(&s.upstream.data_centre);
-    let far_and_sound = those(&roomy, |s| is_far(s) && is_sound(s));
-    let preferred = [far_and_sound, those(&roomy, is_far), roomy];
-    let pool = preferred.into_iter().find(|pool| !pool.is_empty())?;
-    let memory_at = |s: &UpstreamState| table.load_at(s).memory_tokens;
-    let least = pool.iter().map(|s| memory_at(s)).min()?;
-    // Routers that see the same would all choose the emptiest, and fill it.
-    let most = least.saturating_add(demand.load.memory_tokens);
-    let about_as_empty = pool.into_iter().filter(|s| memory_at(s) <= most);
-    let chosen = rng.choice(about_as_empty.collect::<Vec<_>>());
-    chosen.map(|s| s.upstream.clone())
-}
-
-/// The engines of a service in the order in which they are likely to have read a prompt.
+/// Who may get the attempt, from the first of these groups that has anybody left to try:
 ///
-/// Each router prefers its own data centre and then the prompt's hash, so the
-/// engines of each data centre are taken in turn, by the hash.
-pub fn search_order(
-    table: &UpstreamTable,
-    service: &ServiceName,
-    prompt: PromptKey,
-) -> Vec<Upstream> {
-    let usable = table.of_service(service).filter(|s| s.is_usable());
-    let mut by_centre: BTreeMap<&DataCentre, Vec<&UpstreamState>> = BTreeMap::new();
-    for state in usable {
-        let centre = by_centre.entry(&state.upstream.data_centre);
-        centre.or_default().push(state);
-    }
-    let mut ranked: Vec<(usize, &Upstream)> = Vec::new();
-    for states in by_centre.values() {
-        let in_order = rank(prompt.0, states, |s| s.upstream.name.as_str());
-        let in_order = in_order.into_iter().enumerate();
-        ranked.extend(in_order.map(|(location, s)| (location, &s.upstream)));
-    }
-    ranked.sort_by_key(|(location, _)| *location);
-    ranked
-        .into_iter()
-        .map(|(_, upstream)| upstream.clone())
-        .collect()
-}
-
-/// Usable upstreams that nobody doubts, in data centres that seem well; else usable ones; else suspects; else, where the whole list is empty, those
-/// whose entries vanished just now: the platform's outages do that to living upstreams.
+/// 1. usable upstreams that no peer suspects, in data centres that do not seem dead;
+/// 2. usable ones that no peer suspects;
+/// 3. usable ones;
+/// 4. all that are listed, suspected ones among them;
+/// 5. only where nothing of the service is listed: those whose entries vanished within
+///    [`crate::suspicion::RETURN_WINDOW`], as outages of the store do that to living ones.
 fn candidates<'a>(table: &'a UpstreamTable, demand: &Demand<'_>) -> Vec<&'a UpstreamState> {
-    let untried = |states: Vec<&'a UpstreamState>| -> Vec<&'a UpstreamState> {
-        let untried = |s: &&UpstreamState| !demand.tried.contains(&s.upstream.name);
-        states.into_iter().filter(untried).collect()
-    };
-    let of_service = || table.of_service(demand.service);
-    let usable = untried(of_service().filter(|s| s.is_usable()).collect());
-    let suspected_by_peer = table.suspect_data_centres(demand.service, demand.now);
-    let undoubted = |s: &UpstreamState| !s.is_suspected_by_peer(demand.now);
-    let sound =
-        |s: &UpstreamState| undoubted(s) && !suspected_by_peer.contains(&s.upstream.data_centre);
-    for trusted in [those(&usable, sound), those(&usable, undoubted)] {
-        if !trusted.is_empty() {
-            return trusted;
-        }
+    let of_service: Vec<&UpstreamState> = table.of_service(demand.service).collect();
+    let untried = |s: &UpstreamState| !demand.tried.contains(&s.upstream.name);
+    let usable = filtered(&of_service, |s| s.is_usable() && untried(s));
+    let unsuspected = filtered(&usable, |s| !s.is_suspected_by_peer(demand.now));
+    let suspect_data_centres = table.suspect_data_centres(demand.service, demand.now);
+    let sound = filtered(&unsuspected, |s| {
+        !suspect_data_centres.contains(&s.upstream.data_centre)
+    });
+    let trusted = [sound, unsuspected, usable];
+    if let Some(group) = trusted.into_iter().find(|group| !group.is_empty()) {
+        return group;
     }
-    if !usable.is_empty() {
-        return usable;
-    }
-    let listed: Vec<&UpstreamState> = of_service().filter(|s| s.is_listed()).collect();
+    let listed = filtered(&of_service, UpstreamState::is_listed);
     if !listed.is_empty() {
-        return untried(listed);
+        return filtered(&listed, untried);
     }
-    let may_be_back = |s: &&UpstreamState| s.may_still_serve() && s.vanished_recently(demand.now);
-    untried(of_service().filter(may_be_back).collect())
+    let may_be_back = |s: &UpstreamState| s.may_still_serve() && s.vanished_recently(demand.now);
+    filtered(&of_service, |s| may_be_back(s) && untried(s))
 }
 
-fn those<'a>(
+/// The upstreams of a list for which something holds.
+pub(crate) fn filtered<'a>(
     states: &[&'a UpstreamState],
-    which: impl Fn(&UpstreamState) -> bool,
+    holds: impl Fn(&UpstreamState) -> bool,
 ) -> Vec<&'a UpstreamState> {
-    states.iter().copied().filter(|s| which(s)).collect()
+    states.iter().copied().filter(|s| holds(s)).collect()
 }
 
-fn has_place(table: &UpstreamTable, demand: &Demand<'_>, state: &UpstreamState) -> bool {
+fn has_capacity(table: &UpstreamTable, demand: &Demand<'_>, state: &UpstreamState) -> bool {
     let requests = table.load_at(state).requests;
     let slots = state.upstream.slots.max(1);
     match demand.engine_memory {
@@ -206,18 +165,20 @@
     }
 }
 
-fn fits(table: &UpstreamTable, state: &UpstreamState, load: Load, memory: u64) -> bool {
+/// Whether a load fits into an engine's KV cache of `memory` tokens.
+pub(crate) fn fits(table: &UpstreamTable, state: &UpstreamState, load: Load, memory: u64) -> bool {
     let used = f64::from(table.load_at(state).memory_tokens) + f64::from(load.memory_tokens);
-    used <= memory as f64 * FILLED_PART
+    used <= memory as f64 * MAX_MEMORY_SHARE
 }
 
+/// The shortest known pace, in milliseconds; infinite where none is known.
 fn best_pace(states: &[&UpstreamState]) -> f64 {
     let paces = states.iter().map(|s| s.pace_ms);
     let known = paces.filter(|p| *p >= MIN_PACE_MS);
     known.fold(f64::INFINITY, f64::min)
 }
 
-/// How many times slower than the best a upstream is.
+/// How many times slower than the best an upstream is, 1 or more.
 fn slowness(state: &UpstreamState, best_pace: f64) -> f64 {
     if best_pace.is_finite() && state.pace_ms > best_pace {
         state.pace_ms / best_pace
@@ -233,6 +194,7 @@
     }
 }
 
+/// Cost of an engine, in prompt tokens to be read before the first event.
 fn engine_cost(
     table: &UpstreamTable,
     demand: &Demand<'_>,
@@ -251,6 +213,7 @@
     cost
 }
 
+/// Cost of a plain upstream, in requests before this one.
 fn plain_cost(
     table: &UpstreamTable,
     demand: &Demand<'_>,
@@ -269,40 +232,38 @@
     cost
 }
 
-/// How much more than the cheapest an engine may cost, in tokens.
+/// How much more than the cheapest, in tokens, an engine may cost that counts as equal.
+///
+/// The engine that has read the prompt of a continuation is worth the reading that it spares.
 fn tolerance(demand: &Demand<'_>) -> f64 {
     if demand.is_continuation {
-        f64::from(demand.load.unread_tokens).max(ABOUT_THE_SAME_TOKENS)
+        f64::from(demand.load.unread_tokens).max(EQUAL_COST_TOKENS)
     } else {
-        ABOUT_THE_SAME_TOKENS
+        EQUAL_COST_TOKENS
     }
 }
 
-/// Among the engines that cost about the least, the one that the prompt's hash prefers.
-fn by_prompt<'a>(
-    states: &[&'a UpstreamState],
+/// Among the engines of about the least cost, in the own data centre if any is there, the one
+/// that the prompt's hash prefers.
+fn preferred_by_prompt<'a>(
+    engines: &[&'a UpstreamState],
     cost: impl Fn(&UpstreamState) -> f64,
     prompt: u64,
-    tolerance: f64,
-    home: &DataCentre,
+    demand: &Demand<'_>,
 ) -> Option<&'a UpstreamState> {
-    let costs: Vec<f64> = states.iter().map(|s| cost(s)).collect();
-    let least = costs.iter().copied().fold(f64::INFINITY, f64::min);
-    let near = states
-        .iter()
-        .zip(&costs)
-        .filter(|(_, c)| **c <= least + tolerance);
-    let near: Vec<&UpstreamState> = near.map(|(s, _)| *s).collect();
-    let at_home: Vec<&UpstreamState> = near
+    let least = engines
         .iter()
-        .copied()
-        .filter(|s| s.upstream.data_centre == *home)
-        .collect();
-    let near = if at_home.is_empty() { near } else { at_home };
-    let ranked = rank(prompt, &near, |s| s.upstream.name.as_str());
+        .map(|s| cost(s))
+        .fold(f64::INFINITY, f64::min);
+    let most = least + tolerance(demand);
+    let equal = filtered(engines, |s| cost(s) <= most);
+    let at_home = filtered(&equal, |s| s.upstream.data_centre == *demand.home);
+    let equal = if at_home.is_empty() { equal } else { at_home };
+    let ranked = rank(prompt, &equal, |s| s.upstream.name.as_str());
     ranked.first().map(|s| **s)
 }
 
+/// The upstream of lowest cost; equal ones have the same chance.
 fn cheapest<'a>(
     states: &[&'a UpstreamState],
     cost: impl Fn(&UpstreamState) -> f64,
--- a/crates/router/cloverpier_router_policy/src/configuration.rs
+++ b/crates/router/cloverpier_router_policy/src/configuration.rs
@@ -1,4 +1,11 @@
 //! The configuration in force: routes, services, client accounts and limits.
+//!
+//! [`Configuration`] is what the operator set, as it travels between routers: the order of
+//! its fields is on the wire. [`ConfigurationIndex`] is the same, indexed for requests.
+//! Which route a request takes is decided here: the longest prefix of its host's routes
+//! wins, and of the route's services one by weight, at random.
+//!
+//! Relies on the adapter for the operator's format.
 
 use crate::attempts::RetryRule;
 use cloverpier_core::ServiceName;
@@ -7,16 +14,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bounds on what a client may send.
+/// Bounds on what a caller may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Most bytes of a request's head.
+    /// Bytes of a request's head at most.
     pub header_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Bytes of a request's body at most.
     pub body_bytes: usize,
     /// Longest time for a request's head.
     pub header_timeout: Duration,
-    /// Longest time that a connection may rest.
+    /// Longest time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
@@ -45,17 +52,17 @@
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// The host it holds for.
+    /// Its host, in lower case.
     pub host: String,
     /// The path's beginning, with a slash at both ends.
     pub prefix: String,
     /// Whether its answers are event streams.
     pub streaming: bool,
-    /// Whether its streams may be taken up elsewhere.
+    /// Whether another upstream may continue its streams.
     pub resumable: bool,
-    /// Whether its requests may run more than once.
+    /// Whether its requests are idempotent.
     pub safe: bool,
-    /// The longest that a request is held.
+    /// How long a request is held at most.
     pub timeout: Duration,
     /// The time within which an answer (a stream's first event) is on time.
     pub objective: Duration,
@@ -72,7 +79,7 @@
 }
 
 impl Route {
-    /// What may be repeated on this route.
+    /// Whether requests of this route may be retried.
     pub fn retry_rule(&self) -> RetryRule {
         match (self.streaming, self.safe, self.resumable) {
             (true, _, true) => RetryRule::Resumable,
@@ -95,29 +102,30 @@
     }
 }
 
-/// What is known of a service whose upstreams are model engines.
+/// Settings of a service whose upstreams are model engines.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineConfig {
-    /// Tokens that fit into an engine's memory.
+    /// Tokens that fit into an engine's KV cache.
     pub memory_tokens: u64,
-    /// Whether an engine can copy a run's memory to another as it grows.
+    /// Whether an engine can replicate a run's KV cache to another one as it grows.
     pub replicates_kv: bool,
 }
 
-/// What is known of a service.
+/// Settings of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceConfig {
     /// Its name.
     pub name: ServiceName,
     /// Where its upstreams answer health checks.
     pub health_path: String,
-    /// Connections that one upstream takes from all routers together.
+    /// Connections that one upstream takes from all routers together.  It travels with the
+    /// configuration, but nothing in the router reads it.
     pub max_connections: u32,
     /// Set where its upstreams are model engines.
     pub engine: Option<EngineConfig>,
 }
 
-/// The owner of keys.
+/// A client account.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClientAccount {
     /// Its name.
--- /dev/null
+++ b/crates/router/cloverpier_router_policy/src/connection_reuse.rs
@@ -0,0 +1,31 @@
+//! When a connection to an upstream is used again.
+//!
+//! - **Question.** Is this idle connection safe to send a request on?
+//! - **Inputs.** How long it has been idle; how long the upstream says that it keeps idle
+//!   connections; how many are kept already.
+//! - **Answer.** Yes or no.
+//! - **Why.** A connection that the upstream closes while a request is on its way leaves
+//!   open whether the request ran, which ends a request that runs at most once. So a
+//!   connection is given up well before the upstream would close it.
+
+use std::time::Duration;
+
+/// Connections kept to one upstream at most; beyond it the longest idle one is closed.
+/// Chosen, not measured.
+pub const MAX_KEPT: usize = 16;
+/// How long a connection is kept where the upstream does not say.  Chosen, not measured.
+pub const DEFAULT_IDLE_LIMIT: Duration = Duration::from_millis(4_000);
+/// A connection is given up this long before the upstream would close it: a request's way
+/// there, and a pause of either process.  Chosen, not measured.
+const IDLE_MARGIN: Duration = Duration::from_millis(700);
+/// How often connections that cannot be used again are closed.  Chosen, not measured.
+pub const SWEEP_PERIOD: Duration = Duration::from_millis(500);
+/// A connection to an upstream has to come up within this time.  One way between data
+/// centres takes about 1.5 ms (the brief), so only a lost packet or a dead host takes
+/// longer.  Chosen, not measured.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// Whether a connection that was idle for `idle` may carry another request.
+pub fn is_reusable(idle: Duration, idle_limit: Duration) -> bool {
+    idle < idle_limit.saturating_sub(IDLE_MARGIN)
+}
--- a/crates/router/cloverpier_router_policy/src/events.rs
+++ b/crates/router/cloverpier_router_policy/src/events.rs
@@ -1,11 +1,17 @@
 //! Cuts a byte stream into whole events with their ids.
 //!
-//! Follows the line rules of upstream-sent events (WHATWG HTML, "Upstream-sent
-//! events"), as far as a relay needs them: an event ends with an empty line.
+//! - **Question.** Which bytes form the next whole event, and what is its id?
+//! - **Why.** Only whole events are passed on: a stream that breaks in the middle of one
+//!   continues at another upstream after the last whole event, without a torn one before.
+//!
+//! Follows the line rules of server-sent events (WHATWG HTML, "Server-sent events") as far
+//! as a router needs them: an event ends with an empty line. [`EventSplitter`] owns the
+//! bytes that do not form a whole event yet.
 
 use std::fmt;
 
-/// Most bytes of one event.
+/// Bytes of one event at most, so that a stream without ends of events is not held in memory.
+/// Chosen, not measured.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// One whole event, as it was received.
@@ -17,7 +23,7 @@
     pub id: Option<u64>,
 }
 
-/// The stream holds no events.
+/// The bytes are no stream of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventError {
     /// An event is longer than a mebibyte.
--- /dev/null
+++ b/crates/router/cloverpier_router_policy/src/heartbeat.rs
@@ -0,0 +1,93 @@
+//! Which peers are sent what, and how long it counts.
+//!
+//! - **Question.** Who gets this heartbeat or change, and after what silence is a peer not
+//!   taken for alive any more?
+//! - **Inputs.** The heartbeat interval of the settings; the peers that are known; whether
+//!   peers rely on this router for the store.
+//! - **Answer.** Addresses; durations.
+//! - **Why.** Datagrams cost processor time and bytes, which must not grow with the fleet.
+//!   So a router sends each heartbeat to a bounded part of its peers, in turns, and a peer
+//!   is believed in for as many turns as it takes to hear from it. A lost datagram costs
+//!   little: the next heartbeat repeats everything.
+//!
+//! Owns the bounds of what one message holds. The messages themselves are the carrying-out
+//! crate's.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Peers that get each heartbeat; with more of them they take turns.  Chosen; the sweep in
+/// docs/CAPACITY.md shows 2.7% of a core and 45 kB/s at the middle of 300 routers with it.
+const PEERS_PER_TURN: usize = 16;
+/// Heartbeats of a peer that may be lost in a row.  Chosen, not measured.
+const MAX_LOST: u32 = 3;
+/// A peer is alive for at least this long after its last heartbeat, also where heartbeats are
+/// frequent: a VM may be paused.  Chosen, not measured.
+const MIN_PEER_TIMEOUT: Duration = Duration::from_millis(1_100);
+/// A report of load counts for at least this long.  Chosen, not measured.
+const MIN_LOAD_TTL: Duration = Duration::from_millis(1_500);
+/// Changes are sent to at most this many peers; they pay off most between routers that choose
+/// among the same few upstreams (9e05fa8).  Chosen, not measured; docs/CAPACITY.md says what
+/// it costs at 390 routers.
+const MAX_PEERS_PER_CHANGE: usize = 96;
+
+/// Peers that one heartbeat mentions, by which routers discover each other.  Chosen, not
+/// measured.
+pub const MENTIONED_PEERS: usize = 8;
+/// Upstreams, suspects or prompts in one message; with 64 of each a message stays within
+/// [`MAX_DATAGRAM`].  Chosen, not measured.
+pub const MAX_ENTRIES: usize = 64;
+/// Bytes of the longest datagram that is read.
+pub const MAX_DATAGRAM: usize = 8_192;
+/// Least pause between two rounds of sending, so that a burst of changes is one message.
+/// Chosen, not measured.
+pub const MIN_SEND_PAUSE: Duration = Duration::from_millis(10);
+/// How often the seeds of the settings are taken up again, as all peers may have been
+/// forgotten.  Chosen, not measured.
+pub const SEED_PERIOD: Duration = Duration::from_secs(2);
+
+/// How long after its last heartbeat a peer is taken for alive.
+pub fn peer_timeout(heartbeat_interval: Duration, known_peers: usize) -> Duration {
+    let turns = u32::try_from(known_peers.div_ceil(PEERS_PER_TURN)).unwrap_or(u32::MAX);
+    let between_two = heartbeat_interval * turns.max(1);
+    (between_two * MAX_LOST).max(MIN_PEER_TIMEOUT)
+}
+
+/// How long a peer's report of load counts.
+pub fn load_ttl(peer_timeout: Duration) -> Duration {
+    peer_timeout.max(MIN_LOAD_TTL)
+}
+
+/// Where the turns among peers have got to.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct HeartbeatTurn {
+    next: usize,
+}
+
+impl HeartbeatTurn {
+    /// The peers that get the next heartbeat: all, where peers rely on this router for the
+    /// store or are few; else those whose turn it is.
+    pub fn next_peers(
+        &mut self,
+        mut peers: Vec<SocketAddr>,
+        serves_peers: bool,
+    ) -> Vec<SocketAddr> {
+        if peers.len() <= PEERS_PER_TURN || serves_peers {
+            return peers;
+        }
+        peers.sort_unstable();
+        let start = self.next % peers.len();
+        self.next = self.next.wrapping_add(PEERS_PER_TURN);
+        peers.rotate_left(start);
+        peers.truncate(PEERS_PER_TURN);
+        peers
+    }
+}
+
+/// The peers that hear of a change at once: all, or some by chance where they are many.
+pub fn change_peers(peers: Vec<SocketAddr>, rng: &mut fastrand::Rng) -> Vec<SocketAddr> {
+    if peers.len() <= MAX_PEERS_PER_CHANGE {
+        return peers;
+    }
+    rng.choose_multiple(peers, MAX_PEERS_PER_CHANGE)
+}
--- a/crates/router/cloverpier_router_policy/src/lib.rs
+++ b/crates/router/cloverpier_router_policy/src/lib.rs
@@ -1,10 +1,35 @@
-//! Decisions of the relay: opaque requests and event streams taken to upstreams.
+//! Every decision of the router: opaque requests and event streams taken to upstreams.
 //!
-//! The relay forwards requests that it doesn't interpret. What it decides is
-//! here, as functions over plain data that know neither sockets nor HTTP: the
-//! route of a request, the upstream that gets it, whether another upstream may get
-//! it too, how long a silent upstream is believed in, and which routers callers
-//! are told of.
+//! The router forwards requests that it does not interpret. Each rule that routes, admits,
+//! places, retries or gives up is a function or a small state machine over plain data here;
+//! nothing here knows sockets, HTTP or a clock. The crate `cloverpier_router` carries the
+//! decisions out and holds none of its own.
+//!
+//! The modules, in the order in which a request meets them; each begins with its question,
+//! its inputs, its answer, the reason, and constants with their sources:
+//!
+//! | question | module |
+//! | --- | --- |
+//! | which route and service; what was configured | [`configuration`] |
+//! | admit or reject at arrival | [`arrival`] |
+//! | until when is it held | [`deadline`] |
+//! | which engine has read its prompt | [`prompt_locations`], [`prompt_search`] |
+//! | which upstream gets it | [`choice`] |
+//! | which engine keeps a replica | [`replica`] |
+//! | over which connection | [`connection_reuse`] |
+//! | when is a silent upstream probed, dead, or a stream stalled | [`liveness`] |
+//! | what does an answer, or its absence, prove | [`attempt_failure`] |
+//! | retry or stop | [`attempts`], [`budget`] |
+//! | when does a refused caller come back | [`refusal`] |
+//! | which upstreams may be dead, which data centres | [`suspicion`] |
+//! | which routers are callers told of | [`peers`] |
+//! | which peers are sent what, and how long it counts | [`heartbeat`] |
+//! | who watches the store, and how often | [`store_watch`] |
+//! | from which peer are newer versions fetched | [`version_fetch`] |
+//! | is this router ready; may it exit | [`lifecycle`] |
+//!
+//! State that several of them use: [`upstream_table`], [`upstream`], [`load`]. [`events`]
+//! cuts streams into events.
 //!
 //! ```
 //! use cloverpier_router_policy::prelude::*;
@@ -16,24 +41,36 @@
 //! assert_eq!(next, NextStep::Fail);
 //! ```
 
-mod attempts;
-mod budget;
-mod choice;
-mod configuration;
-mod events;
-mod liveness;
-mod load;
-mod peers;
-mod prompt_locations;
-mod store_watch;
-mod upstream;
-mod upstream_table;
+pub mod arrival;
+pub mod attempt_failure;
+pub mod attempts;
+pub mod budget;
+pub mod choice;
+pub mod configuration;
+pub mod connection_reuse;
+pub mod deadline;
+pub mod events;
+pub mod heartbeat;
+pub mod lifecycle;
+pub mod liveness;
+pub mod load;
+pub mod peers;
+pub mod prompt_locations;
+pub mod prompt_search;
+pub mod refusal;
+pub mod replica;
+pub mod store_watch;
+pub mod suspicion;
+pub mod upstream;
+pub mod upstream_table;
+pub mod version_fetch;
 
-/// What users of the crate need daily.
+/// The types that users of the crate need daily; rules and constants are named by module.
 pub mod prelude {
+    pub use crate::attempt_failure::AttemptFailure;
     pub use crate::attempts::{AttemptOutcome, Attempts, NextStep, RetryRule};
     pub use crate::budget::{BudgetBounds, BudgetUse, PeerBudgetUse, RetryBudget};
-    pub use crate::choice::{Choice, Demand, choose_replica, choose_upstream, search_order};
+    pub use crate::choice::{Choice, Demand, choose_upstream};
     pub use crate::configuration::{
         ClientAccount, Configuration, ConfigurationIndex, EngineConfig, Limits, Route, RouteTarget,
         ServiceConfig,
@@ -42,8 +79,9 @@
     pub use crate::liveness::{Liveness, LivenessBounds, LivenessStep};
     pub use crate::load::{Load, PeerLoad};
     pub use crate::peers::{PeerEntry, PeerState, PeerTable, ServiceKey};
-    pub use crate::prompt_locations::{PromptKey, PromptLocations, search_timeout};
-    pub use crate::store_watch::{Candidate, WatcherRole, max_store_backoff, watcher_role};
+    pub use crate::prompt_locations::{PromptKey, PromptLocations};
+    pub use crate::replica::choose_replica;
+    pub use crate::store_watch::WatcherRole;
     pub use crate::upstream::{Upstream, UpstreamChange, UpstreamKey, UpstreamState};
     pub use crate::upstream_table::UpstreamTable;
 }
--- a/crates/router/cloverpier_router_policy/src/load.rs
+++ b/crates/router/cloverpier_router_policy/src/load.rs
@@ -1,30 +1,34 @@
-//! Work in flight at upstreams, this router's own and its peers'.
+//! Load at upstreams: this router's own and what its peers reported.
+//!
+//! Owns the last report of each peer and the sums over all peers. Relies on peers to report
+//! all of their load with each heartbeat, so that a lost message is made good by the next,
+//! and on [`PeerLoad::forget_old`] being called, by which the load of dead peers ends.
 
 use crate::upstream::UpstreamKey;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Work in flight at one upstream.
+/// Load at one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
     /// Requests that have not ended.
     pub requests: u32,
-    /// Prompt tokens that are not read yet.
+    /// Prompt tokens that the upstream has not read yet.
     pub unread_tokens: u32,
-    /// Tokens in memory, or to come there.
+    /// Tokens in the KV cache, or to come there.
     pub memory_tokens: u32,
 }
 
 impl Load {
-    /// Adds other load.
+    /// Adds another load.
     pub fn add(&mut self, other: Load) {
         self.requests = self.requests.saturating_add(other.requests);
         self.unread_tokens = self.unread_tokens.saturating_add(other.unread_tokens);
         self.memory_tokens = self.memory_tokens.saturating_add(other.memory_tokens);
     }
 
-    /// Takes away other load.
+    /// Subtracts another load.
     pub fn subtract(&mut self, other: Load) {
         self.requests = self.requests.saturating_sub(other.requests);
         self.unread_tokens = self.unread_tokens.saturating_sub(other.unread_tokens);
@@ -44,7 +48,7 @@
     load: Vec<(UpstreamKey, Load)>,
 }
 
-/// Work that peers reported of late.
+/// Load that peers reported.
 #[derive(Clone, Debug, Default)]
 pub struct PeerLoad {
     reports: HashMap<SocketAddr, Report>,
--- a/crates/router/cloverpier_router_policy/src/peers.rs
+++ b/crates/router/cloverpier_router_policy/src/peers.rs
@@ -1,4 +1,14 @@
 //! The routers that a router knows, and which of them callers are told of.
+//!
+//! - **Question.** Which addresses does a caller get that asks which router to use?
+//! - **Inputs.** What peers reported in their heartbeats and when; this router's own state.
+//! - **Answer.** Addresses of routers that are ready and alive.
+//! - **Why.** An address that does not answer costs a caller a connection timeout, a missing
+//!   one costs only balance. But a router that hears from no peer is probably cut off
+//!   itself, and lists all of them.
+//!
+//! [`PeerTable`] owns the last heartbeat of each peer. Nothing of safety depends on it.
+//! How long a peer may be silent is decided in [`crate::heartbeat`].
 
 use crate::budget::BudgetUse;
 use cloverpier_core::{ServiceName, hash_of};
@@ -7,43 +17,45 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Most addresses in one answer.
+/// Addresses in one answer to callers at most; a caller tries a few.  Chosen, not measured.
 const MAX_LISTED: usize = 64;
-/// A peer that was not heard for this long is forgotten.
+/// A peer that was silent for this long is forgotten; until then it is still sent heartbeats,
+/// so that routers find each other again after a partition.  Chosen, not measured.
 const FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
 
 /// Whether a router takes new callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerState {
-    /// It has no configuration yet.
+    /// It does not know configuration or upstreams yet.
     Starting,
     /// It serves.
     Ready,
-    /// It ends soon.
+    /// It is stopping.
     Leaving,
 }
 
-/// What a router knows of a peer.
+/// What a peer reported in its last heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerEntry {
     /// Where it serves callers.
-    pub router: SocketAddr,
+    pub callers: SocketAddr,
     /// Whether it takes new callers.
     pub state: PeerState,
-    /// When it was heard last.
-    pub heard: Instant,
-    /// The configuration that it acts on.
+    /// When the heartbeat arrived.
+    pub last_heartbeat: Instant,
+    /// Version of the configuration that it uses.
     pub configuration_version: u64,
-    /// The revision of its list of upstreams.
+    /// Revision of its list of upstreams.
     pub upstreams_revision: u64,
-    /// The age of its last word from the store, when it watches it.
+    /// Time since its last successful store call, when the heartbeat left; `None` if it does
+    /// not watch the store.
     pub store_age: Option<Duration>,
-    /// What it has spent of each service's retry budget.
-    pub spent: Vec<(ServiceKey, BudgetUse)>,
+    /// Its use of each service's retry budget.
+    pub budget_use: Vec<(ServiceKey, BudgetUse)>,
 }
 
-/// A service's name in few bytes, for messages between routers.
+/// A service's name as a hash of eight bytes, for messages between routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ServiceKey(pub u64);
@@ -55,97 +67,83 @@
     }
 }
 
-/// The routers that a router has heard of, by their peer addresses.
+/// The routers that a router knows, by their addresses for peers.
 #[derive(Clone, Debug, Default)]
 pub struct PeerTable {
     peers: HashMap<SocketAddr, PeerEntry>,
-    /// Addresses that were named and not heard yet.
-    named: HashMap<SocketAddr, Instant>,
+    /// Addresses that settings or peers mentioned and that sent no heartbeat yet.
+    mentioned: HashMap<SocketAddr, Instant>,
 }
 
 impl PeerTable {
-    /// Notes what a peer says of itself.
-    pub fn on_heartbeat_or_activity(&mut self, peer: SocketAddr, entry: PeerEntry) {
-        self.named.remove(&peer);
+    /// Records a peer's heartbeat.
+    pub fn on_heartbeat(&mut self, peer: SocketAddr, entry: PeerEntry) {
+        self.mentioned.remove(&peer);
         self.peers.insert(peer, entry);
     }
 
-    /// Notes a peer that another one named; returns whether it is new.
-    pub fn on_named(&mut self, peer: SocketAddr, now: Instant) -> bool {
+    /// Records a peer that settings or another peer mentioned; returns whether it is new.
+    pub fn on_mentioned(&mut self, peer: SocketAddr, now: Instant) -> bool {
         if self.peers.contains_key(&peer) {
             return false;
         }
-        self.named.insert(peer, now).is_none()
+        self.mentioned.insert(peer, now).is_none()
     }
 
-    /// Forgets peers that have been silent for a minute.
+    /// Forgets peers that were silent for a minute.
     pub fn forget_old(&mut self, now: Instant) {
-        let is_new = |at: &Instant| now.saturating_duration_since(*at) < FORGOTTEN_AFTER;
-        self.peers.retain(|_, entry| is_new(&entry.heard));
-        self.named.retain(|_, at| is_new(at));
+        let is_recent = |at: &Instant| now.saturating_duration_since(*at) < FORGOTTEN_AFTER;
+        self.peers.retain(|_, peer| is_recent(&peer.last_heartbeat));
+        self.mentioned.retain(|_, at| is_recent(at));
     }
 
-    /// All peer addresses, heard or named.
+    /// The addresses of all peers, alive or not.
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        let all = self.peers.keys().chain(self.named.keys());
+        let all = self.peers.keys().chain(self.mentioned.keys());
         all.copied().collect()
     }
 
-    /// The peers that were heard.
-    pub fn heard(&self) -> impl Iterator<Item = (&SocketAddr, &PeerEntry)> {
-        self.peers.iter()
+    /// The peers whose last heartbeat arrived within `timeout`.
+    pub fn live(
+        &self,
+        now: Instant,
+        timeout: Duration,
+    ) -> impl Iterator<Item = (&SocketAddr, &PeerEntry)> {
+        let is_live =
+            move |p: &PeerEntry| now.saturating_duration_since(p.last_heartbeat) <= timeout;
+        self.peers.iter().filter(move |(_, peer)| is_live(peer))
     }
 
-    /// The routers alive, this one included.
-    pub fn alive(&self, now: Instant, within: Duration) -> usize {
-        1 + self.live(now, within).count()
+    /// Number of routers that are alive, this one included.
+    pub fn live_routers(&self, now: Instant, timeout: Duration) -> usize {
+        1 + self.live(now, timeout).count()
     }
 
-    /// What live peers have spent together of a service's retry budget.
-    pub fn spent(&self, service: ServiceKey, now: Instant, within: Duration) -> BudgetUse {
+    /// Use of a service's retry budget by all live peers together.
+    pub fn budget_use(&self, service: ServiceKey, now: Instant, timeout: Duration) -> BudgetUse {
         let mut total = BudgetUse::default();
-        let all = self.live(now, within).flat_map(|(_, e)| &e.spent);
-        for (_, spent) in all.filter(|(key, _)| *key == service) {
-            total.requests = total.requests.saturating_add(spent.requests);
-            total.retries = total.retries.saturating_add(spent.retries);
+        let all = self.live(now, timeout).flat_map(|(_, p)| &p.budget_use);
+        for (_, part) in all.filter(|(key, _)| *key == service) {
+            total.requests = total.requests.saturating_add(part.requests);
+            total.retries = total.retries.saturating_add(part.retries);
         }
         total
     }
 
-    /// The peers that were heard within a time.
-    pub fn live(
-        &self,
-        now: Instant,
-        within: Duration,
-    ) -> impl Iterator<Item = (&SocketAddr, &PeerEntry)> {
-        let is_live = move |e: &PeerEntry| now.saturating_duration_since(e.heard) <= within;
-        self.peers.iter().filter(move |(_, e)| is_live(e))
-    }
-
-    /// The addresses that callers are told: routers that are ready and alive.
-    ///
-    /// A router that hears none of its peers is itself cut off; it then lists
-    /// them all, as callers leave out what fails them.
-    pub fn listed(
+    /// The addresses that callers are told: routers that are ready and alive, and `own` if
+    /// this one is ready.
+    pub fn addresses_for_callers(
         &self,
         own: Option<SocketAddr>,
         now: Instant,
-        within: Duration,
+        timeout: Duration,
     ) -> Vec<SocketAddr> {
-        let ready = |e: &&PeerEntry| e.state == PeerState::Ready;
-        let mut listed: Vec<SocketAddr> = self
-            .live(now, within)
-            .map(|(_, e)| e)
-            .filter(ready)
-            .map(|e| e.router)
-            .collect();
+        let ready = |peer: &&PeerEntry| peer.state == PeerState::Ready;
+        let live = self.live(now, timeout).map(|(_, peer)| peer);
+        let mut listed: Vec<SocketAddr> = live.filter(ready).map(|p| p.callers).collect();
         if listed.is_empty() {
-            listed = self
-                .peers
-                .values()
-                .filter(ready)
-                .map(|e| e.router)
-                .collect();
+            let known = self.peers.values().filter(ready);
+            listed = known.map(|p| p.callers).collect();
         }
         listed.extend(own);
         listed.truncate(MAX_LISTED);
--- /dev/null
+++ b/crates/router/cloverpier_router_policy/src/refusal.rs
@@ -0,0 +1,53 @@
+//! When a refused caller should come back.
+//!
+//! - **Question.** A request was refused and has not run: after what time is it worth
+//!   sending again?
+//! - **Inputs.** Why it was refused; for a request that was tried, its route's objective.
+//! - **Answer.** A duration, which callers get as `Retry-After`.
+//! - **Why.** The request is refused at once, never held. Coming back too soon meets the
+//!   same state; too late misses the objective, the time within which an answer counts.
+
+use std::time::Duration;
+
+/// After a request that was tried: this part of its route's objective, so that a second try
+/// still has most of it.  Chosen, not measured (d199847).
+const OBJECTIVE_SHARE: f64 = 0.4;
+/// Bounds of that time.  Chosen, not measured.
+const MIN_WAIT: Duration = Duration::from_millis(40);
+const MAX_WAIT: Duration = Duration::from_millis(1_000);
+/// A router that starts learns the configuration soon or not at all.  Chosen, not measured.
+const STARTING_WAIT: Duration = Duration::from_millis(300);
+/// Another router serves at once.  Chosen, not measured.
+const STOPPING_WAIT: Duration = Duration::from_millis(10);
+/// A directory without a ready router learns of one by the next heartbeat (200 ms, the
+/// setting's default).
+const DIRECTORY_WAIT: Duration = Duration::from_millis(200);
+
+/// Why a caller is refused.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Refusal {
+    /// This router has no configuration or no list of upstreams yet.
+    Starting,
+    /// This router stops and the request would outlive it.
+    Stopping,
+    /// This router knows no router that callers could use.
+    NoRouterKnown,
+    /// No upstream could be given the request.
+    NoUpstream {
+        /// The route's objective.
+        objective: Duration,
+    },
+}
+
+/// The time after which the caller should come back.
+pub fn retry_after(refusal: Refusal) -> Duration {
+    match refusal {
+        Refusal::Starting => STARTING_WAIT,
+        Refusal::Stopping => STOPPING_WAIT,
+        Refusal::NoRouterKnown => DIRECTORY_WAIT,
+        Refusal::NoUpstream { objective } => {
+            let wait = objective.mul_f64(OBJECTIVE_SHARE);
+            wait.clamp(MIN_WAIT, MAX_WAIT)
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/cloverpier_router_policy/src/replica.rs
@@ -0,0 +1,66 @@
+//! The engine that keeps a replica of a run's KV cache.
+//!
+//! - **Question.** Where does a run's KV cache grow a second time, so that the stream
+//!   continues there when its engine dies?
+//! - **Inputs.** The engines and the load known there, the run's own load, its engine.
+//! - **Answer.** An engine, or none where no engine has room.
+//! - **Why.** Without a replica a stream whose engine dies waits about a second while its
+//!   prompt is read again. Engines of one data centre die together, so the replica is kept
+//!   in another one that does not seem dead. Routers see the same engine as the emptiest; if
+//!   all chose it they would fill it, and it would let replicas go (45a8168: quiet day of
+//!   the grown ledger 0.823 -> 0.881 with replicas spread).
+
+use crate::choice::{Demand, filtered, fits};
+use crate::upstream::{Upstream, UpstreamState};
+use crate::upstream_table::UpstreamTable;
+
+/// Chooses an engine for the replica of a run at `primary`.
+pub fn choose_replica(
+    table: &UpstreamTable,
+    demand: &Demand<'_>,
+    primary: &Upstream,
+    rng: &mut fastrand::Rng,
+) -> Option<Upstream> {
+    let candidates = preferred(table, demand, primary);
+    let memory_at = |s: &UpstreamState| table.load_at(s).memory_tokens;
+    let least = candidates.iter().map(|s| memory_at(s)).min()?;
+    let most = least.saturating_add(demand.load.memory_tokens);
+    let about_as_empty = candidates.into_iter().filter(|s| memory_at(s) <= most);
+    let chosen = rng.choice(about_as_empty.collect::<Vec<_>>());
+    chosen.map(|s| s.upstream.clone())
+}
+
+/// The engine with the replica of a lost run, if it can take the run: streams resume there
+/// before anywhere else.
+pub fn usable_replica(table: &UpstreamTable, replica: Option<Upstream>) -> Option<Upstream> {
+    replica.filter(|engine| {
+        let state = table.get(&engine.name);
+        state.is_some_and(UpstreamState::is_usable)
+    })
+}
+
+/// Engines with room: in another data centre that does not seem dead, else in another one,
+/// else any.
+fn preferred<'a>(
+    table: &'a UpstreamTable,
+    demand: &Demand<'_>,
+    primary: &Upstream,
+) -> Vec<&'a UpstreamState> {
+    let Some(memory) = demand.engine_memory else {
+        return Vec::new();
+    };
+    let with_room: Vec<&UpstreamState> = table
+        .of_service(demand.service)
+        .filter(|s| s.is_usable() && s.upstream.name != primary.name)
+        .filter(|s| !s.is_suspected_by_peer(demand.now))
+        .filter(|s| fits(table, s, demand.load, memory))
+        .collect();
+    let suspect_data_centres = table.suspect_data_centres(demand.service, demand.now);
+    let is_far = |s: &UpstreamState| s.upstream.data_centre != primary.data_centre;
+    let is_sound = |s: &UpstreamState| !suspect_data_centres.contains(&s.upstream.data_centre);
+    let far = filtered(&with_room, is_far);
+    let far_and_sound = filtered(&far, is_sound);
+    let by_preference = [far_and_sound, far, with_room];
+    let found = by_preference.into_iter().find(|list| !list.is_empty());
+    found.unwrap_or_default()
+}
--- a/crates/router/cloverpier_router_policy/src/upstream.rs
+++ b/crates/router/cloverpier_router_policy/src/upstream.rs
@@ -1,41 +1,41 @@
-//! One upstream: as the platform lists it, and what a router thinks of it.
+//! One upstream: as the platform lists it, and what a router knows of it.
+//!
+//! [`Upstream`] and [`UpstreamChange`] travel between routers, so the order of their fields
+//! and the names of variants are on the wire. [`UpstreamState`] is this router's own; it is
+//! changed only through [`crate::upstream_table::UpstreamTable`]. Relies on
+//! [`crate::suspicion`] for how long what it records counts.
 
 use crate::load::Load;
+use crate::suspicion::{PEER_SUSPICION_TTL, RETURN_WINDOW, Suspicion};
 use cloverpier_core::{DataCentre, ServiceName, UpstreamName, hash_of};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
-use std::time::{Duration, Instant};
-
-/// How long a peer's doubt about a upstream counts.
-const PEER_SUSPICION_TTL: Duration = Duration::from_millis(1_000);
-
-/// A living upstream's entry that vanished is back within this time.
-const BACK_WITHIN: Duration = Duration::from_millis(2_000);
+use std::time::Instant;
 
 /// One upstream, as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upstream {
-    /// The name of this start of it; a restarted upstream has another.
+    /// Names this start of the process; a restarted upstream has another name.
     pub name: UpstreamName,
     /// The service it belongs to.
     pub service: ServiceName,
     /// Where it listens.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Its data centre.
     pub data_centre: DataCentre,
     /// Requests that it works on at once.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether it announced that it is about to leave.
     pub draining: bool,
 }
 
-/// A upstream's name in few bytes, for messages between routers.
+/// An upstream's name as a hash of eight bytes, for messages between routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct UpstreamKey(pub u64);
 
 impl UpstreamKey {
-    /// The key of a upstream's name.
+    /// The key of an upstream's name.
     pub fn of(name: &UpstreamName) -> Self {
         Self(hash_of(name.as_str()))
     }
@@ -44,21 +44,13 @@
 /// A change of the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamChange {
-    /// The upstream is listed, or listed otherwise.
+    /// The upstream is new in the list, or its entry changed.
     Listed(Upstream),
-    /// The upstream isn't listed any more.
+    /// The upstream's entry is gone.
     Gone(UpstreamName),
 }
 
-/// Why a upstream gets no requests although it is listed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Suspicion {
-    pub since: Instant,
-    pub next_probe: Instant,
-    pub pause: Duration,
-}
-
-/// A upstream and what this router knows of it.
+/// An upstream and what this router knows of it.
 #[derive(Clone, Debug)]
 pub struct UpstreamState {
     /// As listed last.
@@ -67,14 +59,17 @@
     pub key: UpstreamKey,
     /// This router's own load there.
     pub own_load: Load,
-    /// Smoothed share of requests that failed there.
+    /// Smoothed share of requests that failed there, 0 to 1.
     pub failure_rate: f64,
-    /// Smoothed time of a unit of load, in milliseconds; 0 before the first sample.
+    /// Smoothed time of a plain request there, in milliseconds; 0 before the first sample.
     pub pace_ms: f64,
+    /// When its entry vanished.
     pub(crate) gone: Option<Instant>,
+    /// Whether another start of it was seen at its address.
     pub(crate) replaced: bool,
+    /// This router's own suspicion.
     pub(crate) suspicion: Option<Suspicion>,
-    /// When a peer said last that it suspects the upstream.
+    /// When a peer last reported that it suspects the upstream.
     pub(crate) suspected_by_peer: Option<Instant>,
 }
 
@@ -93,38 +88,36 @@
         }
     }
 
-    /// Whether a peer suspects it.
-    pub fn is_suspected_by_peer(&self, now: Instant) -> bool {
-        self.suspected_by_peer
-            .is_some_and(|at| now.saturating_duration_since(at) <= PEER_SUSPICION_TTL)
-    }
-
-    /// Whether it is listed, takes new load and answers, as far as known.
+    /// Whether it is listed, takes new requests and is not suspected by this router.
     pub fn is_usable(&self) -> bool {
-        self.is_listed() && self.suspicion.is_none()
+        self.is_listed() && !self.is_suspected()
     }
 
-    /// Whether it is listed, not leaving, and the newest start at its address.
+    /// Whether it is listed and may still serve.
     pub fn is_listed(&self) -> bool {
         self.gone.is_none() && self.may_still_serve()
     }
 
-    /// Whether nothing but its missing entry says that it left.
+    /// True unless the upstream announced that it is draining or another start took its
+    /// address; a missing store entry alone does not count.
     pub fn may_still_serve(&self) -> bool {
         !self.upstream.draining && !self.replaced
     }
 
-    /// Whether its entry vanished so short a time ago that it may still come back.
-    ///
-    /// Entries of living upstreams that lapsed in an outage of the platform are back within
-    /// two seconds of its end; one that is missing for longer means that the upstream left.
+    /// Whether its entry vanished so recently that an outage of the store may be the reason.
     pub fn vanished_recently(&self, now: Instant) -> bool {
         self.gone
-            .is_some_and(|at| now.saturating_duration_since(at) <= BACK_WITHIN)
+            .is_some_and(|at| now.saturating_duration_since(at) <= RETURN_WINDOW)
     }
 
-    /// Whether it is suspected to be dead.
+    /// Whether this router suspects it to be dead.
     pub fn is_suspected(&self) -> bool {
         self.suspicion.is_some()
     }
+
+    /// Whether a peer suspects it to be dead.
+    pub fn is_suspected_by_peer(&self, now: Instant) -> bool {
+        self.suspected_by_peer
+            .is_some_and(|at| now.saturating_duration_since(at) <= PEER_SUSPICION_TTL)
+    }
 }
--- a/crates/router/cloverpier_router_policy/tests/configuration.rs
+++ b/crates/router/cloverpier_router_policy/tests/configuration.rs
@@ -97,7 +97,7 @@
 /// What a router knows of its peers, up to a second old.
 fn peers(spent: BudgetUse, routers: usize) -> PeerBudgetUse {
     PeerBudgetUse {
-        spent,
+        total: spent,
         routers,
         staleness: Duration::from_secs(1),
     }
--- a/crates/router/cloverpier_router_policy/tests/liveness.rs
+++ b/crates/router/cloverpier_router_policy/tests/liveness.rs
@@ -27,7 +27,7 @@
     let mut liveness = Liveness::new(BOUNDS, start);
     let ask_at = wait(&mut liveness, start, None, start);
     assert_eq!(ask_at, start + ms(150));
-    assert_eq!(liveness.step(start, None, ask_at), LivenessStep::Ask);
+    assert_eq!(liveness.step(start, None, ask_at), LivenessStep::Probe);
     let dead_at = wait(&mut liveness, start, Some(ask_at), ask_at);
     assert_eq!(dead_at, start + ms(350));
     let step = liveness.step(start, Some(ask_at), dead_at);
--- /dev/null
+++ b/crates/router/cloverpier_router_policy/tests/pace.rs
@@ -0,0 +1,104 @@
+//! Rules about time between routers, to the store, on connections and at the end.
+
+use cloverpier_router_policy::connection_reuse::is_reusable;
+use cloverpier_router_policy::heartbeat::{HeartbeatTurn, change_peers, load_ttl, peer_timeout};
+use cloverpier_router_policy::lifecycle::{StopStep, router_state, stop_step, takes_streams};
+use cloverpier_router_policy::prelude::*;
+use cloverpier_router_policy::store_watch::{CallPacing, CallStep};
+use cloverpier_router_policy::version_fetch::peer_to_fetch_from;
+use std::collections::HashSet;
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+fn ms(ms: u64) -> Duration {
+    Duration::from_millis(ms)
+}
+
+fn peers(count: u16) -> Vec<SocketAddr> {
+    (1..=count).map(|n| ([127, 0, 0, 1], n).into()).collect()
+}
+
+#[test]
+fn a_peer_may_miss_three_heartbeats_of_its_turn() {
+    assert_eq!(peer_timeout(ms(200), 8), ms(1_100));
+    assert_eq!(peer_timeout(ms(400), 8), ms(1_200));
+    // 64 peers are four turns.
+    assert_eq!(peer_timeout(ms(200), 64), ms(2_400));
+    assert_eq!(load_ttl(ms(1_100)), ms(1_500));
+    assert_eq!(load_ttl(ms(2_400)), ms(2_400));
+}
+
+#[test]
+fn heartbeats_reach_every_peer_in_turns() {
+    let mut turn = HeartbeatTurn::default();
+    let all = peers(64);
+    let reached: HashSet<SocketAddr> = (0..4)
+        .flat_map(|_| turn.next_peers(all.clone(), false))
+        .collect();
+    assert_eq!(reached.len(), 64);
+    assert_eq!(turn.next_peers(all.clone(), true).len(), 64);
+    assert_eq!(turn.next_peers(peers(16), false).len(), 16);
+}
+
+#[test]
+fn changes_reach_a_bounded_number_of_peers() {
+    let mut rng = fastrand::Rng::with_seed(1);
+    assert_eq!(change_peers(peers(96), &mut rng).len(), 96);
+    assert_eq!(change_peers(peers(300), &mut rng).len(), 96);
+}
+
+#[test]
+fn versions_are_fetched_from_a_peer_with_the_newest() {
+    let mut rng = fastrand::Rng::with_seed(1);
+    let all = peers(3);
+    let versions = || all.iter().copied().zip([4, 7, 5]);
+    assert_eq!(peer_to_fetch_from(4, versions(), &mut rng), Some(all[1]));
+    assert_eq!(peer_to_fetch_from(7, versions(), &mut rng), None);
+    assert_eq!(peer_to_fetch_from(0, [], &mut rng), None);
+}
+
+#[test]
+fn a_fallback_waits_once_before_it_calls_the_store() {
+    let mut pacing = CallPacing::default();
+    let mut step = |role| pacing.step(role, || 0.25);
+    assert_eq!(step(WatcherRole::Chosen), CallStep::Call);
+    assert_eq!(step(WatcherRole::Fallback), CallStep::CheckAfterPart(0.25));
+    assert_eq!(step(WatcherRole::Fallback), CallStep::Call);
+    assert_eq!(step(WatcherRole::Standby), CallStep::CheckAfter(ms(100)));
+    assert_eq!(step(WatcherRole::Fallback), CallStep::CheckAfterPart(0.25));
+}
+
+#[test]
+fn a_fallback_spares_a_store_that_fails_it() {
+    assert!(WatcherRole::Chosen.pings(true));
+    assert!(!WatcherRole::Fallback.pings(true));
+    assert!(WatcherRole::Fallback.pings(false));
+    assert!(!WatcherRole::Standby.pings(false));
+    let now = Instant::now();
+    let later = now + ms(1_400);
+    assert!(WatcherRole::Chosen.serves_peers(None, now));
+    assert!(WatcherRole::Fallback.serves_peers(Some(now), now));
+    assert!(!WatcherRole::Fallback.serves_peers(Some(now), later));
+}
+
+#[test]
+fn a_connection_is_given_up_before_its_upstream_closes_it() {
+    assert!(is_reusable(ms(3_299), ms(4_000)));
+    assert!(!is_reusable(ms(3_300), ms(4_000)));
+    assert!(!is_reusable(ms(0), ms(700)));
+}
+
+#[test]
+fn a_stopping_router_serves_a_while_and_exits_before_it_is_killed() {
+    let grace = ms(8_000);
+    assert_eq!(stop_step(ms(3_499), 0, grace), StopStep::Serve);
+    assert_eq!(stop_step(ms(3_500), 0, grace), StopStep::Exit);
+    assert_eq!(stop_step(ms(7_699), 1, grace), StopStep::Serve);
+    assert_eq!(stop_step(ms(7_700), 1, grace), StopStep::Exit);
+    assert!(takes_streams(None));
+    assert!(takes_streams(Some(ms(2_500))));
+    assert!(!takes_streams(Some(ms(2_501))));
+    assert_eq!(router_state(true, true), PeerState::Leaving);
+    assert_eq!(router_state(false, true), PeerState::Ready);
+    assert_eq!(router_state(false, false), PeerState::Starting);
+}
--- a/crates/router/cloverpier_router_policy/tests/routers.rs
+++ b/crates/router/cloverpier_router_policy/tests/routers.rs
@@ -1,6 +1,8 @@
 //! What routers know of each other: the directory, and who watches the store.
 
 use cloverpier_router_policy::prelude::*;
+use cloverpier_router_policy::prompt_search::search_timeout;
+use cloverpier_router_policy::store_watch::{ReadyPeer, max_backoff, watcher_role};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,13 +15,13 @@
 
 fn entry(port: u16, state: PeerState, heard: Instant) -> PeerEntry {
     PeerEntry {
-        router: address(port),
+        callers: address(port),
         state,
-        heard,
+        last_heartbeat: heard,
         configuration_version: 1,
         upstreams_revision: 1,
         store_age: None,
-        spent: Vec::new(),
+        budget_use: Vec::new(),
     }
 }
 
@@ -28,11 +30,11 @@
     let start = Instant::now();
     let now = start + Duration::from_secs(5);
     let mut directory = PeerTable::default();
-    directory.on_heartbeat_or_activity(address(1), entry(11, PeerState::Ready, now));
-    directory.on_heartbeat_or_activity(address(2), entry(12, PeerState::Leaving, now));
-    directory.on_heartbeat_or_activity(address(3), entry(13, PeerState::Starting, now));
-    directory.on_heartbeat_or_activity(address(4), entry(14, PeerState::Ready, start));
-    let listed = directory.listed(Some(address(10)), now, WITHIN);
+    directory.on_heartbeat(address(1), entry(11, PeerState::Ready, now));
+    directory.on_heartbeat(address(2), entry(12, PeerState::Leaving, now));
+    directory.on_heartbeat(address(3), entry(13, PeerState::Starting, now));
+    directory.on_heartbeat(address(4), entry(14, PeerState::Ready, start));
+    let listed = directory.addresses_for_callers(Some(address(10)), now, WITHIN);
     assert_eq!(listed, [address(11), address(10)]);
 }
 
@@ -40,10 +42,10 @@
 fn a_router_that_hears_nobody_lists_all_that_it_knows() {
     let start = Instant::now();
     let mut directory = PeerTable::default();
-    directory.on_heartbeat_or_activity(address(1), entry(11, PeerState::Ready, start));
+    directory.on_heartbeat(address(1), entry(11, PeerState::Ready, start));
     let now = start + Duration::from_secs(5);
     let listed: HashSet<_> = directory
-        .listed(Some(address(10)), now, WITHIN)
+        .addresses_for_callers(Some(address(10)), now, WITHIN)
         .into_iter()
         .collect();
     assert_eq!(listed, HashSet::from([address(10), address(11)]));
@@ -53,18 +55,21 @@
 fn a_router_that_is_not_ready_lists_others() {
     let now = Instant::now();
     let mut directory = PeerTable::default();
-    directory.on_heartbeat_or_activity(address(1), entry(11, PeerState::Ready, now));
-    assert_eq!(directory.listed(None, now, WITHIN), [address(11)]);
+    directory.on_heartbeat(address(1), entry(11, PeerState::Ready, now));
+    assert_eq!(
+        directory.addresses_for_callers(None, now, WITHIN),
+        [address(11)]
+    );
 }
 
 #[test]
 fn named_peers_are_told_until_they_are_heard_or_forgotten() {
     let start = Instant::now();
     let mut directory = PeerTable::default();
-    assert!(directory.on_named(address(1), start));
-    assert!(!directory.on_named(address(1), start), "named already");
+    assert!(directory.on_mentioned(address(1), start));
+    assert!(!directory.on_mentioned(address(1), start), "named already");
     assert_eq!(directory.addresses(), [address(1)]);
-    directory.on_heartbeat_or_activity(address(1), entry(11, PeerState::Ready, start));
+    directory.on_heartbeat(address(1), entry(11, PeerState::Ready, start));
     assert_eq!(directory.addresses(), [address(1)]);
     directory.forget_old(start + Duration::from_secs(90));
     assert!(directory.addresses().is_empty());
@@ -74,13 +79,13 @@
 fn followers(routers: &[SocketAddr], store_age: Option<Duration>) -> Vec<SocketAddr> {
     let follows = |own: &SocketAddr| {
         let others = routers.iter().filter(|r| *r != own);
-        let live: Vec<Candidate> = others
-            .map(|peer| Candidate {
+        let live: Vec<ReadyPeer> = others
+            .map(|peer| ReadyPeer {
                 peer: *peer,
                 store_age,
             })
             .collect();
-        watcher_role(*own, &live, WITHIN).watches()
+        watcher_role(*own, &live).watches()
     };
     routers.iter().copied().filter(|r| follows(r)).collect()
 }
@@ -105,14 +110,14 @@
     let routers: Vec<SocketAddr> = (1..=72).map(address).collect();
     let pause_of = |own: &SocketAddr| {
         let others = routers.iter().filter(|r| *r != own);
-        max_store_backoff(*own, &others.copied().collect::<Vec<_>>())
+        max_backoff(*own, &others.copied().collect::<Vec<_>>())
     };
     let pauses: Vec<Duration> = routers.iter().map(pause_of).collect();
     let second = Duration::from_secs(1);
     assert_eq!(pauses.iter().filter(|p| **p == second).count(), 3);
     let calls_a_second: f64 = pauses.iter().map(|p| 1.0 / p.as_secs_f64()).sum();
     assert!(calls_a_second < 13.0, "{calls_a_second}");
-    assert_eq!(max_store_backoff(address(1), &[]), second);
+    assert_eq!(max_backoff(address(1), &[]), second);
 }
 
 #[test]
--- a/crates/router/cloverpier_router_policy/tests/upstreams.rs
+++ b/crates/router/cloverpier_router_policy/tests/upstreams.rs
@@ -2,6 +2,7 @@
 
 use cloverpier_core::{DataCentre, ServiceName, UpstreamName};
 use cloverpier_router_policy::prelude::*;
+use cloverpier_router_policy::prompt_search::search_order;
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
@@ -51,7 +52,7 @@
     };
     match choose_upstream(table, &demand, &mut fastrand::Rng::with_seed(1)) {
         Choice::Upstream(upstream) => Some(upstream.name.to_string()),
-        Choice::Full | Choice::Nobody => None,
+        Choice::AllFull | Choice::NoneUsable => None,
     }
 }
 
@@ -141,7 +142,7 @@
     let mut probes = Vec::new();
     for ms in (0..4_000).step_by(50) {
         let now = start + Duration::from_millis(ms);
-        if !table.take_due_probes(now).is_empty() {
+        if !table.start_due_checks(now).is_empty() {
             probes.push(ms);
         }
     }
@@ -190,7 +191,7 @@
     };
     match choose_upstream(table, &demand, &mut fastrand::Rng::with_seed(seed)) {
         Choice::Upstream(upstream) => Some(upstream.name.to_string()),
-        Choice::Full | Choice::Nobody => None,
+        Choice::AllFull | Choice::NoneUsable => None,
     }
 }
 
@@ -205,7 +206,7 @@
             unread_tokens: if index == 0 { 0 } else { 1_000 },
             memory_tokens: 8_800,
         };
-        table.begin(&UpstreamName::new(name), running);
+        table.add_load(&UpstreamName::new(name), running);
     }
     table
 }
@@ -316,7 +317,7 @@
             memory_tokens: 3_000,
             ..Load::default()
         };
-        table.begin(&format!("engine-{index}").as_str().into(), load);
+        table.add_load(&format!("engine-{index}").as_str().into(), load);
     }
     let (service, home) = (ServiceName::new(SERVICE), DataCentre::new("hall-a"));
     let connected = HashSet::new();
