--- a/crates/router/cloverpier_router_policy/src/deadline.rs
+++ b/crates/router/cloverpier_router_policy/src/deadline.rs
@@ -19,7 +19,7 @@
 pub enum CallerLimit {
     /// Nothing.
     Absent,
-    /// Something that is not a non-negative number of milliseconds.
+    /// Something that is not a number of milliseconds, or one that no duration can be.
     Unreadable,
     /// An answer within this time.
     Within(Duration),
@@ -34,10 +34,10 @@
         let Ok(ms) = text.trim().parse::<f64>() else {
             return Self::Unreadable;
         };
-        if !ms.is_finite() || ms < 0.0 {
-            return Self::Unreadable;
+        match Duration::try_from_secs_f64(ms / 1e3) {
+            Ok(limit) => Self::Within(limit),
+            Err(_) => Self::Unreadable,
         }
-        Self::Within(Duration::from_secs_f64(ms / 1e3))
     }
 
     /// The time that a request with this limit has on a route.
--- a/crates/router/cloverpier_router_policy/tests/answers.rs
+++ b/crates/router/cloverpier_router_policy/tests/answers.rs
@@ -121,7 +121,8 @@
     assert_eq!(time(Some("1500.5")), Duration::from_micros(1_500_500));
     assert_eq!(time(Some(" 9000 ")), route);
     assert_eq!(time(None), route);
-    for unreadable in ["soon", "-1", "NaN", "inf", ""] {
+    // The last one is longer than a duration can hold.
+    for unreadable in ["soon", "-1", "NaN", "inf", "", "1e300"] {
         assert_eq!(
             CallerLimit::parse(Some(unreadable)),
             CallerLimit::Unreadable
