--- a/crates/router/cloverpier_router_policy/src/peers.rs
+++ b/crates/router/cloverpier_router_policy/src/peers.rs
@@ -17,7 +17,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Addresses in one answer to callers at most; a caller tries a few.  Chosen, not measured.
+/// Addresses in one answer to callers at most: the bound of the platform's protocol.
 const MAX_LISTED: usize = 64;
 /// A peer that was silent for this long is forgotten; until then it is still sent heartbeats,
 /// so that routers find each other again after a partition.  Chosen, not measured.
