--- a/crates/standins/cloverpier_router_standin/src/store.rs
+++ b/crates/standins/cloverpier_router_standin/src/store.rs
@@ -177,7 +177,16 @@
 
     /// Puts a configuration in force.
     pub fn put_configuration(&self, configuration: &Configuration) {
-        let spec = (self.shapes.configuration)(configuration);
+        self.put_configuration_spec(self.configuration_spec(configuration));
+    }
+
+    /// A configuration as the store holds it.
+    pub fn configuration_spec(&self, configuration: &Configuration) -> Value {
+        (self.shapes.configuration)(configuration)
+    }
+
+    /// Puts any content in the place of the configuration.
+    pub fn put_configuration_spec(&self, spec: Value) {
         let kinds = self.shapes.kinds;
         self.change(kinds.configuration, kinds.configuration_name, Some(spec));
     }
