--- a/crates/router/cloverpier_router/src/body.rs
+++ b/crates/router/cloverpier_router/src/body.rs
@@ -1,4 +1,7 @@
-//! Bodies of answers to callers.
+//! Bodies of replies to callers: whole, or piece by piece.
+//!
+//! A body that cannot be completed ends with [`AnswerBroken`], on which `hyper` breaks the
+//! connection off: a caller must never take a torn answer for a whole one.
 
 use bytes::Bytes;
 use futures_util::{Stream, StreamExt};
@@ -23,11 +26,11 @@
 
 type LocalStream = Pin<Box<dyn Stream<Item = Result<Bytes, AnswerBroken>>>>;
 
-/// The body of an answer.
+/// The body of a reply.
 pub(crate) enum ReplyBody {
     /// All of it is at hand.
     Whole(Full<Bytes>),
-    /// It comes piece by piece.
+    /// It arrives piece by piece.
     Pieces(LocalStream),
 }
 
@@ -37,7 +40,7 @@
         Self::Whole(Full::new(bytes.into()))
     }
 
-    /// A body that comes piece by piece.
+    /// A body that arrives piece by piece.
     pub fn pieces(stream: impl Stream<Item = Result<Bytes, AnswerBroken>> + 'static) -> Self {
         Self::Pieces(Box::pin(stream))
     }
--- a/crates/router/cloverpier_router/src/intake.rs
+++ b/crates/router/cloverpier_router/src/intake.rs
@@ -167,10 +167,7 @@
         deadline: now + limit.time_on_route(route.timeout),
         last_event: last_event(router, &head.headers, id),
         size: prompt_size(router, &head.headers, id),
-        prompt: text_of(&head.headers, &names.prompt_parts)
-            .and_then(router.wire_names.own_part)
-            .map(hash_of)
-            .map(PromptKey),
+        prompt: prompt_key(router, &head.headers),
         headers: forwarded_headers(router, head.headers, account.as_deref()),
         priority: priority(&route, account.as_deref()),
         service,
@@ -240,6 +237,13 @@
     })
 }
 
+/// The prompt, by the part of it that no other prompt shares.
+fn prompt_key(router: &Router, headers: &HeaderMap) -> Option<PromptKey> {
+    let parts = text_of(headers, &router.wire_names.headers.prompt_parts)?;
+    let own = (router.wire_names.own_part)(parts)?;
+    Some(PromptKey(hash_of(own)))
+}
+
 fn log_unreadable(router: &Router, id: &str, header: &HeaderName) {
     let line = UnreadableHeader {
         request: id,
--- a/crates/router/cloverpier_router/src/metrics.rs
+++ b/crates/router/cloverpier_router/src/metrics.rs
@@ -1,4 +1,8 @@
-//! Counters and latency histograms, in the usual text exposition format.
+//! Counters and latency histograms of the router, in the usual text exposition format.
+//!
+//! Owns all metrics of the process. Names, kinds and help texts are what dashboards rely on;
+//! a golden file of the adapter's tests holds them. They are not `cadence`'s, as readers
+//! fetch them here.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -20,7 +24,7 @@
 pub(crate) struct ByKind(Family<Kind, Counter>);
 
 impl ByKind {
-    /// Counts one.
+    /// Counts one of a kind.
     pub fn count(&self, kind: &'static str) {
         self.0.get_or_create(&Kind { kind }).inc();
     }
@@ -49,13 +53,13 @@
     registry: Registry,
     /// Requests by how they ended.
     pub requests: ByKind,
-    /// Sends to upstreams by what came of them.
+    /// Sends to upstreams by outcome.
     pub sends: ByKind,
     /// Streams that went on elsewhere, by cause.
     pub resumed: ByKind,
-    /// Calls to the platform's store by what came of them.
+    /// Calls to the platform's store by outcome.
     pub store_calls: ByKind,
-    /// Questions to silent upstreams by what came of them.
+    /// Probes, checks and searches by outcome.
     pub probes: ByKind,
     /// New connections to upstreams.
     pub connections: Counter,
@@ -135,7 +139,7 @@
     /// All metrics as text.
     pub fn text(&self) -> String {
         let mut text = String::new();
-        // Writing to a string doesn't fail.
+        // Writing to a string does not fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
--- a/crates/router/cloverpier_router/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -199,12 +199,8 @@
             }
         }
         keep(self.router, &upstream.name, connection);
-        let answer = UpstreamAnswer {
-            status: head.status,
-            headers: head.headers,
-            body: held.freeze(),
-        };
-        self.check_status(answer).map(UpstreamAnswer::into_reply)
+        self.check_status(UpstreamAnswer::new(head, held.freeze()))
+            .map(UpstreamAnswer::into_reply)
     }
 
     /// An upstream's own failure is kept, to be passed on if no other upstream helps.
--- a/crates/router/cloverpier_router/src/reply.rs
+++ b/crates/router/cloverpier_router/src/reply.rs
@@ -78,6 +78,15 @@
 }
 
 impl UpstreamAnswer {
+    /// A whole answer of a head and a body.
+    pub fn new(head: Parts, body: Bytes) -> Self {
+        Self {
+            status: head.status,
+            headers: head.headers,
+            body,
+        }
+    }
+
     /// The answer as the caller gets it.
     pub fn into_reply(self) -> Reply {
         with_head(self.status, self.headers, ReplyBody::whole(self.body))
--- a/crates/router/cloverpier_router/src/stream/mod.rs
+++ b/crates/router/cloverpier_router/src/stream/mod.rs
@@ -164,11 +164,7 @@
     /// A stream that ended before its first event, as after the last event of a former one.
     fn empty_answer(&mut self) -> FirstPiece {
         match self.head.take() {
-            Some(head) => FirstPiece::Answer(UpstreamAnswer {
-                status: head.status,
-                headers: head.headers,
-                body: Bytes::new(),
-            }),
+            Some(head) => FirstPiece::Answer(UpstreamAnswer::new(head, Bytes::new())),
             None => self.without_events(GivenUp::invalid("the answer is empty")),
         }
     }
--- a/crates/router/cloverpier_router/src/stream/open.rs
+++ b/crates/router/cloverpier_router/src/stream/open.rs
@@ -49,6 +49,7 @@
     fn choose(&mut self) -> Option<(Upstream, SendExtras)> {
         let router = Rc::clone(&self.router);
         let now = router.now();
+        let lost_replica = self.replica.take();
         let connected = router.pool.borrow().connected(now);
         let table = router.upstreams.borrow();
         let settings = router.settings();
@@ -66,18 +67,9 @@
             overcommit: self.is_resuming(),
         };
         let mut rng = router.rng.borrow_mut();
-        let with_replica = usable_replica(&table, self.replica.take());
-        let from_replica = with_replica.is_some();
-        let upstream = match with_replica {
-            Some(upstream) => upstream,
-            None => match choose_upstream(&table, &demand, &mut rng) {
-                Choice::Upstream(upstream) => upstream,
-                Choice::AllFull | Choice::NoneUsable => return None,
-            },
-        };
-        let engine = self.request.service.engine;
-        let replicates = settings.backups && engine.is_some_and(|e| e.replicates_kv);
-        let replica = replicates
+        let (upstream, from_replica) = pick(&table, &demand, lost_replica, &mut rng)?;
+        let replica = self
+            .replicates()
             .then(|| choose_replica(&table, &demand, &upstream, &mut rng))
             .flatten();
         let extras = self.extras(&upstream, replica, from_replica);
@@ -91,6 +83,12 @@
         Some((upstream, extras))
     }
 
+    /// Whether runs of this service keep a replica of their KV cache.
+    fn replicates(&self) -> bool {
+        let engine = self.request.service.engine;
+        self.router.settings().backups && engine.is_some_and(|e| e.replicates_kv)
+    }
+
     /// Whether the caller has events of a run that was lost.
     fn is_resuming(&self) -> bool {
         self.progress.events > 0
@@ -208,11 +206,7 @@
         };
         keep(&self.router, &upstream.name, opened.connection);
         let status = opened.head.status.as_u16();
-        self.upstream_failure = Some(UpstreamAnswer {
-            status: opened.head.status,
-            headers: opened.head.headers,
-            body,
-        });
+        self.upstream_failure = Some(UpstreamAnswer::new(opened.head, body));
         Err(AttemptFailure::UpstreamError { status })
     }
 
@@ -237,3 +231,19 @@
         bounds.with_gap_objective(self.request.route.gap_objective)
     }
 }
+
+/// The upstream of the next run, and whether it has the replica of the lost one.
+fn pick(
+    table: &UpstreamTable,
+    demand: &Demand<'_>,
+    lost_replica: Option<Upstream>,
+    rng: &mut fastrand::Rng,
+) -> Option<(Upstream, bool)> {
+    if let Some(engine) = usable_replica(table, lost_replica) {
+        return Some((engine, true));
+    }
+    match choose_upstream(table, demand, rng) {
+        Choice::Upstream(upstream) => Some((upstream, false)),
+        Choice::AllFull | Choice::NoneUsable => None,
+    }
+}
--- a/crates/router/cloverpier_router/src/wire_names.rs
+++ b/crates/router/cloverpier_router/src/wire_names.rs
@@ -1,4 +1,6 @@
-//! The words that the router speaks on the wire, as data.
+//! Names and formats on the wire that differ between deployments, as data.
+//!
+//! Filled by the adapter of a platform; the router knows each by its meaning alone.
 
 use hyper::header::HeaderName;
 use std::net::SocketAddr;
@@ -9,7 +11,7 @@
 pub struct PromptSize {
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Most tokens of the answer.
+    /// Tokens of the answer at most.
     pub answer_tokens: u32,
 }
 
@@ -59,7 +61,7 @@
     pub engine_cache: &'static str,
 }
 
-/// All words that differ between deployments.
+/// Everything on the wire that differs between deployments.
 #[derive(Clone, Debug)]
 pub struct WireNames {
     /// Names of headers.
@@ -68,7 +70,7 @@
     pub paths: Paths,
     /// Writes the directory's answer: addresses, and how long they may be kept.
     pub directory_answer: fn(&[SocketAddr], Duration) -> Vec<u8>,
-    /// Writes where a copy of a run's memory lies: the engine and the run's request id.
+    /// Names a replica of a run's KV cache, by its engine and the run's request id.
     pub replica_id: fn(SocketAddr, &str) -> String,
     /// Reads the tokens of a request.
     pub prompt_size: fn(&str) -> Option<PromptSize>,
--- a/crates/router/cloverpier_router_policy/src/configuration.rs
+++ b/crates/router/cloverpier_router_policy/src/configuration.rs
@@ -27,13 +27,23 @@
     pub idle_timeout: Duration,
 }
 
+/// The bounds until a configuration is known, when requests are refused anyway.  All four
+/// are chosen, not measured.
+const DEFAULT_HEADER_BYTES: usize = 16 * 1024;
+/// As above.  Chosen, not measured.
+const DEFAULT_BODY_BYTES: usize = 4 * 1024 * 1024;
+/// As above.  Chosen, not measured.
+const DEFAULT_HEADER_TIMEOUT: Duration = Duration::from_secs(3);
+/// As above.  Chosen, not measured.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            header_bytes: 16 * 1024,
-            body_bytes: 4 * 1024 * 1024,
-            header_timeout: Duration::from_secs(3),
-            idle_timeout: Duration::from_secs(15),
+            header_bytes: DEFAULT_HEADER_BYTES,
+            body_bytes: DEFAULT_BODY_BYTES,
+            header_timeout: DEFAULT_HEADER_TIMEOUT,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
         }
     }
 }
--- a/crates/router/cloverpier_router_policy/src/refusal.rs
+++ b/crates/router/cloverpier_router_policy/src/refusal.rs
@@ -14,6 +14,7 @@
 const OBJECTIVE_SHARE: f64 = 0.4;
 /// Bounds of that time.  Chosen, not measured.
 const MIN_WAIT: Duration = Duration::from_millis(40);
+/// The upper one.  Chosen, not measured.
 const MAX_WAIT: Duration = Duration::from_millis(1_000);
 /// A router that starts learns the configuration soon or not at all.  Chosen, not measured.
 const STARTING_WAIT: Duration = Duration::from_millis(300);
--- a/crates/shared/cloverpier_core/src/chain.rs
+++ b/crates/shared/cloverpier_core/src/chain.rs
@@ -1,4 +1,7 @@
 //! A digest of an answer that grows token by token.
+//!
+//! `cloverpierd` puts it into event ids and at the end of answers, so that two texts are
+//! joined only where they agree, and callers can check what they got.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
--- a/crates/shared/cloverpier_core/src/clock.rs
+++ b/crates/shared/cloverpier_core/src/clock.rs
@@ -1,4 +1,8 @@
 //! The clock as an interface that is passed in.
+//!
+//! Decisions get the present moment as an argument; whoever carries them out asks a
+//! [`Clock`]. [`SystemClock`] is the only place of the programs that reads the machine's
+//! monotonic clock, and [`ManualClock`] stands still in tests.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/shared/cloverpier_core/src/name.rs
+++ b/crates/shared/cloverpier_core/src/name.rs
@@ -1,4 +1,7 @@
 //! Names as shared immutable strings, one newtype per kind of thing.
+//!
+//! A name of one kind cannot be passed for one of another. Cloning one is counting a
+//! reference. On the wire each is plain text.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
--- a/crates/shared/cloverpier_core/src/secret.rs
+++ b/crates/shared/cloverpier_core/src/secret.rs
@@ -1,4 +1,6 @@
 //! Secrets that never show in logs, and keys kept as digests.
+//!
+//! Relies on `sha2` for digests and on `subtle` for comparisons whose time tells nothing.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
--- a/crates/shared/cloverpier_core/src/sync.rs
+++ b/crates/shared/cloverpier_core/src/sync.rs
@@ -1,4 +1,7 @@
 //! Locks that a panic elsewhere doesn't poison.
+//!
+//! For the multi-threaded programs and stand-ins; the router on the platform runs on one
+//! thread and has no locks.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
--- a/crates/shared/cloverpier_core/src/weigh.rs
+++ b/crates/shared/cloverpier_core/src/weigh.rs
@@ -1,4 +1,7 @@
 //! Rendezvous hashing and seeded jitter.
+//!
+//! Functions without state. The hash is part of what routers agree on without talking
+//! (who watches the store, who holds a slot), so it must be the same in every release.
 
 use std::time::Duration;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
--- a/crates/shared/cloverpier_observe/src/bounded.rs
+++ b/crates/shared/cloverpier_observe/src/bounded.rs
@@ -1,4 +1,9 @@
-//! A log writer that never blocks its callers and bounds what it takes.
+//! A log writer that never blocks its callers and bounds what it accepts.
+//!
+//! Owns the lines that wait for the reader of the log and the thread that writes them. A
+//! request must not wait for a log reader, so what comes too fast, or while too much waits,
+//! is dropped and counted. It reads the machine's clock itself: the log facade hands over
+//! bytes alone.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -7,10 +12,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Lines that wait for a slow reader at most.
-const MOST_WAITING: usize = 2_048;
-/// Lines taken in a second at most.
-const MOST_A_SECOND: u32 = 1_000;
+/// Lines that wait for a slow reader at most: about a megabyte.  Chosen, not measured.
+const MAX_WAITING: usize = 2_048;
+/// Lines accepted in one window at most.  Chosen, not measured.
+const MAX_PER_WINDOW: u32 = 1_000;
+/// The window of that bound.
+const WINDOW: Duration = Duration::from_secs(1);
 
 /// Counts the lines that were dropped.
 #[derive(Clone, Debug, Default)]
@@ -33,21 +40,21 @@
     lines: SyncSender<Vec<u8>>,
     line: Vec<u8>,
     dropped: DroppedLines,
-    second: Instant,
-    taken: u32,
+    window_began: Instant,
+    accepted: u32,
 }
 
 impl BoundedWriter {
     /// Starts the thread that writes to `output`.
     pub fn new(output: impl Write + Send + 'static, dropped: DroppedLines) -> Self {
-        let (lines, waiting) = sync_channel(MOST_WAITING);
+        let (lines, waiting) = sync_channel(MAX_WAITING);
         thread::spawn(move || write_lines(&waiting, output));
         Self {
             lines,
             line: Vec::new(),
             dropped,
-            second: Instant::now(),
-            taken: 0,
+            window_began: Instant::now(),
+            accepted: 0,
         }
     }
 
@@ -59,12 +66,13 @@
     }
 
     fn is_within_rate(&mut self) -> bool {
-        if self.second.elapsed() >= Duration::from_secs(1) {
-            self.second = Instant::now();
-            self.taken = 0;
+        let now = Instant::now();
+        if now.saturating_duration_since(self.window_began) >= WINDOW {
+            self.window_began = now;
+            self.accepted = 0;
         }
-        self.taken += 1;
-        self.taken <= MOST_A_SECOND
+        self.accepted += 1;
+        self.accepted <= MAX_PER_WINDOW
     }
 }
 
@@ -87,6 +95,7 @@
 /// Writes lines until their sender is gone; a reader that is gone costs only the lines.
 fn write_lines(waiting: &Receiver<Vec<u8>>, mut output: impl Write) {
     while let Ok(line) = waiting.recv() {
+        // Where the log cannot be written there is nowhere left to say so.
         let _ = output.write_all(&line);
         for line in waiting.try_iter() {
             let _ = output.write_all(&line);
--- a/crates/shared/cloverpier_observe/src/line.rs
+++ b/crates/shared/cloverpier_observe/src/line.rs
@@ -1,4 +1,7 @@
-//! One JSON object a line.
+//! Log lines: one JSON object each, with time, level, VM and event before its own fields.
+//!
+//! Owns the form of a line and the set-up of the process's log. Relies on `log` and
+//! `simplelog`, all of whose prefixes are off. Events are named `subject.verb`.
 
 use crate::bounded::{BoundedWriter, DroppedLines};
 use cloverpier_core::wall_ms;
@@ -66,6 +69,7 @@
             event,
             fields,
         };
+        // Fields are structs of plain values, which can always be written.
         if let Ok(text) = serde_json::to_string(&line) {
             log::log!(target: "cloverpier", level, "{text}");
         }
@@ -98,5 +102,6 @@
         .set_location_level(LevelFilter::Off)
         .add_filter_allow_str("cloverpier")
         .build();
+    // A second call finds a logger in place, which stays.
     let _ = WriteLogger::init(level, config, output);
 }
--- a/crates/shared/cloverpier_observe/src/metrics.rs
+++ b/crates/shared/cloverpier_observe/src/metrics.rs
@@ -1,10 +1,15 @@
-//! Counters, gauges and timers over statsd.
+//! Counters, gauges and timers over statsd, for `cloverpierd`.
+//!
+//! Metrics are best effort: a value that cannot be sent is no fault of the request that it is
+//! about, so errors of sending are dropped here, in one place. The router on the platform
+//! serves its metrics as text instead (`cloverpier_router`).
 
 use cadence::{BufferedUdpMetricSink, Counted, Gauged, QueuingMetricSink, StatsdClient, Timed};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Every metric's name begins with this.
 const PREFIX: &str = "cloverpier";
 
 /// Metrics of one process; without an address they go nowhere.
@@ -24,7 +29,6 @@
     /// Adds to a counter.
     pub fn count(&self, name: &'static str, by: i64) {
         if let Some(client) = &self.client {
-            // Metrics are best effort: a lost one is no fault of the request.
             let _ = client.count(name, by);
         }
     }
@@ -44,6 +48,7 @@
     }
 }
 
+/// A client of a statsd server; without a socket, metrics go nowhere.
 fn client(statsd: SocketAddr) -> Option<StatsdClient> {
     let socket = UdpSocket::bind("127.0.0.1:0").ok()?;
     let sink = BufferedUdpMetricSink::from(statsd, socket).ok()?;
