--- a/crates/router/cloverpier_router/src/decision_log.rs
+++ b/crates/router/cloverpier_router/src/decision_log.rs
@@ -18,7 +18,7 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// A request was sent to a upstream.
+/// A request was sent to an upstream.
 #[derive(Serialize)]
 pub(crate) struct UpstreamChosen<'a> {
     pub request: &'a str,
@@ -89,7 +89,7 @@
     pub header: &'a str,
 }
 
-/// What is believed of a upstream has changed.
+/// What is believed of an upstream has changed.
 #[derive(Serialize)]
 pub(crate) struct UpstreamBelief<'a> {
     #[serde(rename = "server")]
--- a/crates/router/cloverpier_router/src/metrics.rs
+++ b/crates/router/cloverpier_router/src/metrics.rs
@@ -71,7 +71,7 @@
     pub first_answer: Latency,
     /// From the last event of a lost run to the first one of the next.
     pub resume_pause: Latency,
-    /// From the last sign of life to the verdict that a upstream is dead.
+    /// From the last sign of life to the verdict that an upstream is dead.
     pub detection: Latency,
 }
 
--- a/crates/router/cloverpier_router/src/wire_names.rs
+++ b/crates/router/cloverpier_router/src/wire_names.rs
@@ -30,11 +30,11 @@
     pub expected_upstream: HeaderName,
     /// The name of the upstream that answered a health check.
     pub answering_upstream: HeaderName,
-    /// Set by a upstream that did not run the request.
+    /// Set by an upstream that did not run the request.
     pub not_run: HeaderName,
     /// The upstream's mark on its answers.
     pub signature: HeaderName,
-    /// The rank of a request at a upstream.
+    /// The rank of a request at an upstream.
     pub priority: HeaderName,
     /// The last event that the caller has.
     pub last_event: HeaderName,
--- a/crates/router/cloverpier_router_policy/src/load.rs
+++ b/crates/router/cloverpier_router_policy/src/load.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// What all peers have in flight at a upstream.
+    /// What all peers have in flight at an upstream.
     pub fn at(&self, key: UpstreamKey) -> Load {
         self.totals.get(&key).copied().unwrap_or_default()
     }
--- a/crates/standins/cloverpier_router_standin/src/answers.rs
+++ b/crates/standins/cloverpier_router_standin/src/answers.rs
@@ -1,6 +1,7 @@
-//! The answers of a upstream, right and wrong, byte by byte.
+//! The answers of an upstream, right and wrong, byte by byte.
 
-use crate::upstream::{Asked, Fault};
+use crate::ledger::Fault;
+use crate::upstream::Asked;
 use std::io;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -13,63 +14,78 @@
     format!("answer to {id}")
 }
 
+/// What an upstream does with its connection after an answer.
+enum Then {
+    /// Waits for the next request.
+    Keep,
+    /// Closes it.
+    Close,
+    /// Resets it.
+    Reset,
+    /// Says nothing more.
+    Hang,
+}
+
+/// Answers a plain request; false when the connection is to end.
 pub(crate) async fn answer_plainly(stream: &mut TcpStream, asked: &Asked) -> io::Result<bool> {
-    let body = plain_body(&asked.id);
-    let id = (asked.names.request_id.as_str(), asked.id.as_str());
-    let signature = (asked.names.signature.as_str(), asked.upstream.name.as_str());
-    match asked.fault {
-        None | Some(Fault::Refuse) => {
-            write_answer(stream, 200, &[id, signature], body.as_bytes()).await?;
-            Ok(true)
-        }
-        Some(Fault::Fail) => {
-            write_answer(stream, 500, &[id, signature], b"failed").await?;
-            Ok(true)
+    let (bytes, then) = plain_answer(asked);
+    stream.write_all(&bytes).await?;
+    match then {
+        Then::Keep => Ok(true),
+        Then::Close => Ok(false),
+        Then::Reset => {
+            stream.flush().await?;
+            // Closing at once with a zero linger resets instead of ending cleanly.
+            stream.set_zero_linger()?;
+            Ok(false)
         }
-        Some(Fault::LoseAnswer) => Ok(false),
-        Some(Fault::Mute) => {
+        Then::Hang => {
             std::future::pending::<()>().await;
             Ok(false)
         }
+    }
+}
+
+/// The bytes of a plain answer, right or with the fault that was asked for.
+fn plain_answer(asked: &Asked) -> (Vec<u8>, Then) {
+    let body = plain_body(&asked.id);
+    let id = (asked.names.request_id.as_str(), asked.id.as_str());
+    let wrong_id = (asked.names.request_id.as_str(), "another");
+    let signature = (asked.names.signature.as_str(), asked.upstream.name.as_str());
+    let whole = || answer_bytes(200, &[id, signature], body.as_bytes());
+    match asked.fault {
+        None | Some(Fault::Refuse) => (whole(), Then::Keep),
+        Some(Fault::Fail) => (answer_bytes(500, &[id, signature], b"failed"), Then::Keep),
+        Some(Fault::LoseAnswer) => (Vec::new(), Then::Close),
+        Some(Fault::Mute) => (Vec::new(), Then::Hang),
         Some(Fault::BreakOff) => {
-            let whole = head_text(200, &[id, signature], body.len());
-            stream.write_all(whole.as_bytes()).await?;
-            stream.write_all(&body.as_bytes()[..body.len() / 2]).await?;
-            Ok(false)
-        }
-        Some(Fault::ResetUnframed) => {
-            let head = format!(
-                "HTTP/1.1 200 OK\r\n{}: {}\r\n{}: {}\r\n\r\n",
-                id.0, id.1, signature.0, signature.1
-            );
-            stream.write_all(head.as_bytes()).await?;
-            stream.write_all(&body.as_bytes()[..body.len() / 2]).await?;
-            stream.flush().await?;
-            // Closing at once with a zero linger resets instead of ending cleanly.
-            stream.set_zero_linger()?;
-            Ok(false)
+            let mut half = whole();
+            half.truncate(half.len() - body.len().div_ceil(2));
+            (half, Then::Close)
         }
+        Some(Fault::ResetUnframed) => (unframed_half(&[id, signature], &body), Then::Reset),
         Some(Fault::WrongId) => {
-            let wrong = (asked.names.request_id.as_str(), "another");
-            write_answer(stream, 200, &[wrong, signature], b"another's answer").await?;
-            Ok(true)
-        }
-        Some(Fault::Unsigned) => {
-            write_answer(stream, 200, &[id], body.as_bytes()).await?;
-            Ok(true)
+            let answer = answer_bytes(200, &[wrong_id, signature], b"another's answer");
+            (answer, Then::Keep)
         }
+        Some(Fault::Unsigned) => (answer_bytes(200, &[id], body.as_bytes()), Then::Keep),
         Some(Fault::Surplus) => {
-            let mut bytes = head_text(200, &[id, signature], body.len()).into_bytes();
-            bytes.extend_from_slice(body.as_bytes());
-            let wrong = (asked.names.request_id.as_str(), "another");
-            bytes.extend_from_slice(head_text(200, &[wrong, signature], 4).as_bytes());
-            bytes.extend_from_slice(b"more");
-            stream.write_all(&bytes).await?;
-            Ok(true)
+            let surplus = answer_bytes(200, &[wrong_id, signature], b"more");
+            ([whole(), surplus].concat(), Then::Keep)
         }
     }
 }
 
+/// A head without a length, and half of the body.
+fn unframed_half(headers: &[(&str, &str)], body: &str) -> Vec<u8> {
+    let lines: String = headers
+        .iter()
+        .map(|(n, v)| format!("{n}: {v}\r\n"))
+        .collect();
+    let half = &body[..body.len() / 2];
+    format!("HTTP/1.1 200 OK\r\n{lines}\r\n{half}").into_bytes()
+}
+
 /// The bytes of one event of the stream that a prompt gets.
 pub fn event_bytes(prompt: &str, id: u64) -> Vec<u8> {
     format!("id: {id}\ndata: {prompt}-{id}\n\n").into_bytes()
@@ -120,9 +136,13 @@
     headers: &[(&str, &str)],
     body: &[u8],
 ) -> io::Result<()> {
+    stream.write_all(&answer_bytes(status, headers, body)).await
+}
+
+fn answer_bytes(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut bytes = head_text(status, headers, body.len()).into_bytes();
     bytes.extend_from_slice(body);
-    stream.write_all(&bytes).await
+    bytes
 }
 
 fn head_text(status: u16, headers: &[(&str, &str)], length: usize) -> String {
--- /dev/null
+++ b/crates/standins/cloverpier_router_standin/src/ledger.rs
@@ -0,0 +1,55 @@
+//! What the upstreams of a test ran, and the faults that they are given.
+//!
+//! The ledger is the checks' own record: no check has to take a router's word for what ran.
+
+use cloverpier_core::UpstreamName;
+use std::collections::{BTreeMap, HashMap, HashSet};
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex};
+
+/// What an upstream does wrong.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Fault {
+    /// It refuses, and says that it did not run the request.
+    Refuse,
+    /// It runs the request and its answer is lost with the connection.
+    LoseAnswer,
+    /// It runs the request and breaks its answer off in the middle.
+    BreakOff,
+    /// It answers with another request's id.
+    WrongId,
+    /// It answers with a success that isn't signed.
+    Unsigned,
+    /// It answers, and a second answer follows.
+    Surplus,
+    /// It runs the request and never answers.
+    Mute,
+    /// It answers with a failure of its own.
+    Fail,
+    /// Its answer has no length and ends with the connection, in the middle.
+    ResetUnframed,
+}
+
+/// What the upstreams of a test did, in one place.
+#[derive(Debug, Default)]
+pub struct Ledger {
+    /// How often each request ran, by its id.
+    pub runs: HashMap<String, u32>,
+    /// Requests that an upstream saw without the header that names it.
+    pub unexpected: u32,
+    /// Keys of callers that reached an upstream.
+    pub leaked_keys: u32,
+    /// Client accounts that upstreams were told, by request.
+    pub accounts: HashMap<String, String>,
+    /// Copies of runs' memory: where each lies.
+    pub(crate) copies: HashSet<(SocketAddr, String)>,
+    /// Streams that an upstream stopped as their connection was closed, by request.
+    pub stopped: HashSet<String>,
+    /// Upstreams that each request reached, in order.
+    pub reached: HashMap<String, Vec<UpstreamName>>,
+    /// The headers that each request had when it ran last, by name.
+    pub heads: HashMap<String, BTreeMap<String, String>>,
+}
+
+/// A ledger that upstreams share.
+pub type SharedLedger = Arc<Mutex<Ledger>>;
--- a/crates/standins/cloverpier_router_standin/src/lib.rs
+++ b/crates/standins/cloverpier_router_standin/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod answers;
 pub mod caller;
 mod http;
+pub mod ledger;
 pub mod link;
 pub mod store;
 pub mod upstream;
--- a/crates/standins/cloverpier_router_standin/src/link.rs
+++ b/crates/standins/cloverpier_router_standin/src/link.rs
@@ -1,6 +1,7 @@
 //! A link that can be delayed, cut one way, silenced or reset.
 
-use crate::upstream::{bind_when_free, lock};
+use crate::upstream::bind_when_free;
+use cloverpier_core::lock;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/crates/standins/cloverpier_router_standin/src/store.rs
+++ b/crates/standins/cloverpier_router_standin/src/store.rs
@@ -1,7 +1,7 @@
 //! The platform's store: objects by kind and name, watches, outages.
 
 use crate::http::{Head, read_head};
-use crate::upstream::lock;
+use cloverpier_core::lock;
 use cloverpier_router_policy::prelude::{Configuration, Upstream};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -54,7 +54,7 @@
     pub list: fn(&[StoredObject], u64) -> Value,
     /// Writes changes up to a revision.
     pub events: fn(&[StoredEvent], u64) -> Value,
-    /// The content of a upstream's entry.
+    /// The content of an upstream's entry.
     pub upstream: fn(&Upstream) -> Value,
     /// The content of the configuration.
     pub configuration: fn(&Configuration) -> Value,
@@ -160,7 +160,7 @@
         lock(&self.state).calls
     }
 
-    /// Lists a upstream, or lists it otherwise.
+    /// Lists an upstream, or lists it otherwise.
     pub fn put_upstream(&self, upstream: &Upstream) {
         let spec = (self.shapes.upstream)(upstream);
         self.change(
@@ -170,7 +170,7 @@
         );
     }
 
-    /// Takes a upstream off the list.
+    /// Takes an upstream off the list.
     pub fn remove_upstream(&self, name: &str) {
         self.change(self.shapes.kinds.upstreams, name, None);
     }
--- a/crates/standins/cloverpier_router_standin/src/upstream.rs
+++ b/crates/standins/cloverpier_router_standin/src/upstream.rs
@@ -1,14 +1,17 @@
-//! A upstream: answers plain requests and streams events, with faults.
+//! An upstream: answers plain requests and streams events, with faults.
+//!
+//! Speaks the names that it is given and writes what it ran into the shared ledger. Answers
+//! are written in [`crate::answers`], byte by byte.
 
 use crate::answers::{answer_plainly, stream_events, write_answer};
 use crate::http::{Head, read_body, read_head};
-use cloverpier_core::{DataCentre, ServiceName, UpstreamName};
+use crate::ledger::{Fault, SharedLedger};
+use cloverpier_core::{DataCentre, ServiceName, UpstreamName, lock};
 use cloverpier_router::HeaderNames;
 use cloverpier_router_policy::prelude::Upstream;
-use std::collections::{BTreeMap, HashMap, HashSet};
 use std::io;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
@@ -16,58 +19,6 @@
 /// Tries to listen at an address that is still taken.
 const BIND_TRIES: u32 = 300;
 
-/// What a upstream does wrong.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// It refuses, and says that it did not run the request.
-    Refuse,
-    /// It runs the request and its answer is lost with the connection.
-    LoseAnswer,
-    /// It runs the request and breaks its answer off in the middle.
-    BreakOff,
-    /// It answers with another request's id.
-    WrongId,
-    /// It answers with a success that isn't signed.
-    Unsigned,
-    /// It answers, and a second answer follows.
-    Surplus,
-    /// It runs the request and never answers.
-    Mute,
-    /// It answers with a failure of its own.
-    Fail,
-    /// Its answer has no length and ends with the connection, in the middle.
-    ResetUnframed,
-}
-
-/// What the upstreams of a test did, in one place.
-#[derive(Debug, Default)]
-pub struct Ledger {
-    /// How often each request ran, by its id.
-    pub runs: HashMap<String, u32>,
-    /// Requests that a upstream saw without the header that names it.
-    pub unexpected: u32,
-    /// Keys of callers that reached a upstream.
-    pub leaked_keys: u32,
-    /// Client accounts that upstreams were told, by request.
-    pub accounts: HashMap<String, String>,
-    /// Copies of runs' memory: where each lies.
-    copies: HashSet<(SocketAddr, String)>,
-    /// Streams that a upstream stopped as their connection was closed, by request.
-    pub stopped: HashSet<String>,
-    /// Upstreams that each request reached, in order.
-    pub reached: HashMap<String, Vec<UpstreamName>>,
-    /// The headers that each request had when it ran last, by name.
-    pub heads: HashMap<String, BTreeMap<String, String>>,
-}
-
-/// A ledger that upstreams share.
-pub type SharedLedger = Arc<Mutex<Ledger>>;
-
-/// Locks, also after a panic of another test's thread.
-pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 #[derive(Debug)]
 struct State {
     upstream: Upstream,
@@ -98,7 +49,7 @@
     }
 }
 
-/// How a upstream tells which prompts it has read.
+/// How an upstream tells which prompts it has read.
 #[derive(Clone, Copy, Debug)]
 pub struct CacheShape {
     /// The path of the question, without its query.
@@ -107,7 +58,7 @@
     pub answer: fn(&[String]) -> String,
 }
 
-/// What a upstream is made of.
+/// What an upstream is made of.
 #[derive(Clone, Debug)]
 pub struct UpstreamSpec {
     /// Its name.
@@ -125,7 +76,7 @@
 }
 
 impl UpstreamStandIn {
-    /// Starts a upstream at a free port of this machine, or at a given address.
+    /// Starts an upstream at a free port of this machine, or at a given address.
     ///
     /// # Errors
     ///
@@ -360,15 +311,35 @@
     names: HeaderNames,
 ) -> Asked {
     let mut state = lock(state);
-    let fault = if state.script.is_empty() {
-        let random = state.random;
-        let roll = state.rng.f64();
-        random
-            .filter(|(_, share)| roll < *share)
-            .map(|(fault, _)| fault)
-    } else {
-        Some(state.script.remove(0))
-    };
+    let fault = next_fault(&mut state);
+    record_run(&state, head, &id, &upstream, &names);
+    let prompt = head.get(names.prompt_parts.as_str()).map(str::to_owned);
+    state.prompts.extend(prompt.clone());
+    let last_event = head.get(names.last_event.as_str());
+    Asked {
+        id,
+        prompt,
+        last_event: last_event.and_then(|l| l.parse().ok()).unwrap_or(0),
+        upstream,
+        names,
+        event_interval: state.event_interval,
+        fault,
+    }
+}
+
+/// The fault of the next request: the first of the script, else one by chance.
+fn next_fault(state: &mut State) -> Option<Fault> {
+    if !state.script.is_empty() {
+        return Some(state.script.remove(0));
+    }
+    let roll = state.rng.f64();
+    let (fault, share) = state.random?;
+    (roll < share).then_some(fault)
+}
+
+/// Writes a run into the ledger.
+fn record_run(state: &State, head: &Head, id: &str, upstream: &Upstream, names: &HeaderNames) {
+    let id = id.to_owned();
     let mut ledger = lock(&state.ledger);
     *ledger.runs.entry(id.clone()).or_default() += 1;
     let headers = head.headers.clone().into_iter().collect();
@@ -386,17 +357,4 @@
     if let Some(at) = replica.and_then(|at| at.parse().ok()) {
         ledger.copies.insert((at, id.clone()));
     }
-    drop(ledger);
-    let prompt = head.get(names.prompt_parts.as_str()).map(str::to_owned);
-    state.prompts.extend(prompt.clone());
-    let last_event = head.get(names.last_event.as_str());
-    Asked {
-        id,
-        prompt,
-        last_event: last_event.and_then(|l| l.parse().ok()).unwrap_or(0),
-        upstream,
-        names,
-        event_interval: state.event_interval,
-        fault,
-    }
 }
--- a/tools/src/router_site.rs
+++ b/tools/src/router_site.rs
@@ -1,40 +1,27 @@
 //! Routers as real processes, before stand-ins for everything outside them.
 
+mod configuration;
+
+pub use configuration::{
+    ACCOUNT, ENGINES, FIXED_STREAM_PATH, HOST, KEY, PLAIN, SAFE_PATH, STREAM_PATH, UNSAFE_PATH,
+};
+
 use crate::process::{Process, free_addresses};
 use cloverpier_adapter::platform_wire_names;
 use cloverpier_adapter_standin::{cache_shape, store_shapes};
-use cloverpier_core::ServiceName;
 use cloverpier_router::HeaderNames;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_standin::caller::{CallerRequest, Outcome, call};
+use cloverpier_router_standin::ledger::{Ledger, SharedLedger};
 use cloverpier_router_standin::link::Link;
 use cloverpier_router_standin::store::StoreStandIn;
-use cloverpier_router_standin::upstream::{Ledger, SharedLedger, UpstreamSpec, UpstreamStandIn};
+use cloverpier_router_standin::upstream::{UpstreamSpec, UpstreamStandIn};
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The host that all routes belong to.
-pub const HOST: &str = "ledger.example";
-/// The service of model engines, and the plain one.
-pub const ENGINES: &str = "drafts";
-/// The plain service.
-pub const PLAIN: &str = "lookups";
-/// A key that the first configuration holds, and its client account.
-pub const KEY: &str = "key-of-the-lab";
-/// The client account of [`KEY`].
-pub const ACCOUNT: &str = "lab";
-/// Paths of the routes that every configuration holds.
-pub const STREAM_PATH: &str = "/drafts/";
-/// Streams that may not be taken up elsewhere.
-pub const FIXED_STREAM_PATH: &str = "/fixed/";
-/// Requests that may be repeated.
-pub const SAFE_PATH: &str = "/status/";
-/// Requests that may not.
-pub const UNSAFE_PATH: &str = "/sign/";
-
 /// What a site is made of.
 #[derive(Clone, Debug)]
 pub struct SiteSpec {
@@ -128,7 +115,7 @@
     pub async fn start(spec: SiteSpec) -> io::Result<Self> {
         let store = StoreStandIn::start(store_shapes()).await?;
         let mut site = Self {
-            configuration: first_configuration(),
+            configuration: configuration::first_configuration(),
             names: platform_wire_names().headers,
             ledger: Arc::new(Mutex::new(Ledger::default())),
             upstreams: Vec::new(),
@@ -174,7 +161,7 @@
         Ok(())
     }
 
-    /// Crashes a upstream: its connections close, its port refuses.
+    /// Crashes an upstream: its connections close, its port refuses.
     pub fn crash_upstream(&mut self, index: usize) {
         let upstream = &mut self.upstreams[index];
         upstream.stand_in.stop();
@@ -317,67 +304,3 @@
     let text = String::from_utf8_lossy(&body);
     text.matches("127.0.0.1:").count()
 }
-
-fn route(name: &str, prefix: &str, service: &str) -> Route {
-    Route {
-        name: name.to_owned(),
-        host: HOST.to_owned(),
-        prefix: prefix.to_owned(),
-        streaming: false,
-        resumable: false,
-        safe: false,
-        timeout: Duration::from_secs(3),
-        objective: Duration::from_millis(150),
-        gap_objective: None,
-        priority: 1,
-        max_attempts: 1,
-        public: false,
-        targets: vec![RouteTarget {
-            service: ServiceName::new(service),
-            weight: 1.0,
-        }],
-    }
-}
-
-fn first_configuration() -> Configuration {
-    let stream = Route {
-        streaming: true,
-        timeout: Duration::from_secs(20),
-        objective: Duration::from_millis(4_500),
-        gap_objective: Some(Duration::from_millis(700)),
-        ..route("fixed", FIXED_STREAM_PATH, ENGINES)
-    };
-    let resumable = Route {
-        resumable: true,
-        max_attempts: 5,
-        name: "stream".to_owned(),
-        prefix: STREAM_PATH.to_owned(),
-        ..stream.clone()
-    };
-    let safe = Route {
-        safe: true,
-        max_attempts: 2,
-        ..route("safe", SAFE_PATH, PLAIN)
-    };
-    let service = |name: &str, engine| ServiceConfig {
-        name: ServiceName::new(name),
-        health_path: "/healthz".to_owned(),
-        max_connections: 100,
-        engine,
-    };
-    let engine = EngineConfig {
-        memory_tokens: 88_000,
-        replicates_kv: true,
-    };
-    Configuration {
-        version: 7,
-        routes: vec![resumable, stream, safe, route("unsafe", UNSAFE_PATH, PLAIN)],
-        services: vec![service(ENGINES, Some(engine)), service(PLAIN, None)],
-        accounts: Some(vec![ClientAccount {
-            name: ACCOUNT.to_owned(),
-            priority: None,
-            keys: vec![KEY.to_owned()],
-        }]),
-        limits: Limits::default(),
-    }
-}
--- a/tools/src/soak/checks.rs
+++ b/tools/src/soak/checks.rs
@@ -4,8 +4,9 @@
 use super::load::Sent;
 use super::plan::Size;
 use crate::router_site::{ACCOUNT, FIXED_STREAM_PATH, Site, UNSAFE_PATH};
+use cloverpier_core::lock;
 use cloverpier_router_standin::caller::Outcome;
-use cloverpier_router_standin::upstream::{Ledger, lock};
+use cloverpier_router_standin::ledger::Ledger;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::path::PathBuf;
@@ -180,7 +181,7 @@
     let is_only_planned = meanwhile.peek().is_some() && meanwhile.all(|d| d.is_planned);
     let reached = ledger.reached.get(&sent.request.id).map_or(0, Vec::len);
     let is_repeatable = !sent.request.path.starts_with(FIXED_STREAM_PATH);
-    // Sends that failed and requests that never reached a upstream are others' faults.
+    // Sends that failed and requests that never reached an upstream are others' faults.
     if is_only_planned && is_repeatable && reached == 1 && reached < MOST_SENDS {
         let found = format!("{} was cut at front {}", sent.request.id, sent.router);
         report.violation("planned stop", &found);
--- a/tools/src/soak/inject.rs
+++ b/tools/src/soak/inject.rs
@@ -9,7 +9,7 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// Share of the requests that a upstream at fault treats wrongly.
+/// Share of the requests that an upstream at fault treats wrongly.
 const FAULT_SHARE: f64 = 0.3;
 /// How often the running harms are looked at.
 const STEP: Duration = Duration::from_millis(10);
--- a/tools/src/soak/load.rs
+++ b/tools/src/soak/load.rs
@@ -2,9 +2,9 @@
 //! coming back after a refusal, going on with a stream that broke off.
 
 use crate::router_site::{FIXED_STREAM_PATH, SAFE_PATH, STREAM_PATH, Site, UNSAFE_PATH};
+use cloverpier_core::lock;
 use cloverpier_router::HeaderNames;
 use cloverpier_router_standin::caller::{CallerRequest, KeptConnection, Outcome, call};
-use cloverpier_router_standin::upstream::lock;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
--- a/tools/src/soak/plan.rs
+++ b/tools/src/soak/plan.rs
@@ -1,8 +1,8 @@
 //! What a soak does to a site, drawn from its seed.
 
+use cloverpier_router_standin::ledger::Fault;
 use cloverpier_router_standin::link::Harm;
 use cloverpier_router_standin::store::StoreFault;
-use cloverpier_router_standin::upstream::Fault;
 use std::time::Duration;
 
 /// The size of a site under soak.
@@ -57,13 +57,13 @@
     ReloadFront(usize),
     /// A router loses its way to the store.
     HarmStoreLink(usize, Harm),
-    /// A upstream crashes and comes back under another name.
+    /// An upstream crashes and comes back under another name.
     CrashServer(usize),
-    /// A upstream's link is harmed.
+    /// An upstream's link is harmed.
     HarmServerLink(usize, Harm),
-    /// A upstream's connections are reset.
+    /// An upstream's connections are reset.
     ResetConnections(usize),
-    /// A upstream does something wrong with a share of its requests.
+    /// An upstream does something wrong with a share of its requests.
     ServerFault(usize, Fault),
     /// The store misbehaves.
     StoreFault(StoreFault),
