--- a/crates/daemon/cloverpier_daemon/src/config/mod.rs
+++ b/crates/daemon/cloverpier_daemon/src/config/mod.rs
@@ -1,13 +1,14 @@
 //! The configuration: learning it, putting it in force, and changing it.
 
+mod acceptance;
 mod change;
 mod learn;
+mod leave;
 
-pub use change::{
-    ConfirmOutcome, ConfirmReport, PlanReport, RouterVersion, confirm, in_force, leave_upstream,
-    make_plan, read_plan,
-};
+pub use acceptance::{ConfirmOutcome, ConfirmReport, RouterVersion, in_force};
+pub use change::{PlanReport, confirm, make_plan, read_plan};
 pub use learn::pull_from_peer;
+pub use leave::leave_upstream;
 
 use crate::app::App;
 use std::sync::Arc;
--- a/crates/daemon/cloverpier_daemon/src/web/completions.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/completions.rs
@@ -6,16 +6,16 @@
 use crate::claims;
 use crate::error::{ApiError, Run};
 use crate::web::app_of;
+use crate::web::completion_body::{Completion, completion};
 use crate::web::request::{
-    Caller, Completion, Keyed, caller, completion, keyed, last_event, may_take, raw_body,
-    repeatable,
+    Caller, Keyed, caller, keyed, last_event, may_take, raw_body, repeatable,
 };
 use crate::web::sse::{Shape, Writer};
 use cloverpier_admit::Waiting;
 use cloverpier_answer::Answer;
 use cloverpier_core::{hash_of, lock};
 use cloverpier_record::Refusal;
-use cloverpier_route::Ask;
+use cloverpier_route::{Ask, Chosen};
 use salvo::http::HeaderValue;
 use salvo::http::header::{CACHE_CONTROL, CONTENT_TYPE, HeaderName};
 use salvo::prelude::*;
@@ -139,6 +139,30 @@
     spec: Spec,
     term: u64,
 ) -> Result<Arc<Live>, ApiError> {
+    let chosen = admit(app, caller, ask).await?;
+    if !spec.repeatable
+        && let Err(refusal) = claims::claim(app, &keyed.key, ask.body).await
+    {
+        lock(&app.view).on_ended(&chosen.upstream);
+        return Err(refused(refusal));
+    }
+    log_choice(app, keyed.key.as_str(), &ask.service, &chosen);
+    let answer = Answer::fresh(term, app.opener());
+    let live = Live::new(keyed.key.clone(), ask.body, spec, answer, app.now());
+    match register(app, &live) {
+        Registered::New => {
+            spawn(app, &live, Start::At(chosen));
+            Ok(live)
+        }
+        Registered::Known(other) => {
+            lock(&app.view).on_ended(&chosen.upstream);
+            Ok(other)
+        }
+    }
+}
+
+/// Charges the account and takes a place at an engine.
+async fn admit(app: &App, caller: &Caller, ask: &Completion) -> Result<Chosen, ApiError> {
     let account = &caller.account;
     app.admission
         .charge(app, &caller.name, account, ask.max_tokens)
@@ -153,40 +177,27 @@
         patience: Duration::from_millis(ask.config.queue_ms),
     };
     let placed = app.admission.place(app, route, &waiting).await;
-    let chosen = match placed {
-        Ok(chosen) => chosen,
-        Err(error) => {
-            let unused = u64::from(ask.max_tokens);
-            app.admission.give_back(&caller.name, unused);
-            return Err(error);
-        }
-    };
-    if !spec.repeatable
-        && let Err(refusal) = claims::claim(app, &keyed.key, ask.body).await
-    {
-        lock(&app.view).on_ended(&chosen.upstream);
-        return Err(refused(refusal));
-    }
-    log_choice(app, keyed.key.as_str(), &ask.service, &chosen);
-    let live = Live::new(
-        keyed.key.clone(),
-        ask.body,
-        spec,
-        Answer::fresh(term, app.opener()),
-        app.now(),
-    );
+    placed.inspect_err(|_| {
+        let unused = u64::from(ask.max_tokens);
+        app.admission.give_back(&caller.name, unused);
+    })
+}
+
+/// Whether an answer is the only one of its key.
+enum Registered {
+    /// It is.
+    New,
+    /// The same key was sent twice at once: this one serves both.
+    Known(Arc<Live>),
+}
+
+fn register(app: &App, live: &Arc<Live>) -> Registered {
     let mut all = lock(&app.answers.live);
-    if let Some(other) = all.get(&keyed.key).filter(|l| !l.is_useless()) {
-        // The same key came twice at once: one generation serves both.
-        let other = Arc::clone(other);
-        drop(all);
-        lock(&app.view).on_ended(&chosen.upstream);
-        return Ok(other);
+    if let Some(other) = all.get(&live.key).filter(|l| !l.is_useless()) {
+        return Registered::Known(Arc::clone(other));
     }
-    all.insert(keyed.key.clone(), Arc::clone(&live));
-    drop(all);
-    spawn(app, &live, Start::At(chosen));
-    Ok(live)
+    all.insert(live.key.clone(), Arc::clone(live));
+    Registered::New
 }
 
 fn refused(refusal: Refusal) -> ApiError {
--- a/crates/daemon/cloverpier_daemon/src/web/mod.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/mod.rs
@@ -1,6 +1,7 @@
 //! HTTP: callers, peers and operators.
 
 pub mod callers;
+mod completion_body;
 mod completions;
 mod operators;
 pub mod peers;
--- a/crates/daemon/cloverpier_daemon/src/web/operators.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/operators.rs
@@ -7,6 +7,7 @@
 use crate::web::app_of;
 use cloverpier_config::{Intent, PlanId};
 use cloverpier_core::{UpstreamName, lock, same_secret};
+use cloverpier_member::MemberList;
 use salvo::http::StatusCode;
 use salvo::prelude::*;
 use serde::Serialize;
@@ -169,28 +170,7 @@
 }
 
 fn status_of(app: &App) -> Status {
-    let now = app.now();
     let list = app.members();
-    let suspected = lock(&app.cluster).suspected(now);
-    let members = list.members.iter().map(|m| MemberStatus {
-        vm: m.vm.clone(),
-        data_centre: m.data_centre.clone(),
-        callers_at: m.callers_at,
-        peers_at: m.peers_at,
-        stopping: m.stopping,
-        suspected: suspected.contains(&m.id),
-    });
-    let members = members.collect();
-    let view = lock(&app.view);
-    let loads = view.loads(now).into_iter();
-    let upstreams = loads.map(|(upstream, load)| UpstreamStatus {
-        takes_work: view.takes_work(&upstream),
-        own: view.own_work(&upstream),
-        upstream,
-        load,
-    });
-    let upstreams = upstreams.collect();
-    drop(view);
     let (copies, copied_tokens) = {
         let copies = lock(&app.answers.copies);
         (copies.len(), copies.tokens())
@@ -207,8 +187,8 @@
         version: lock(&app.applied).version(),
         ready: app.has_learned(),
         stopping: app.is_stopping(),
-        members,
-        upstreams,
+        members: members_status(app, &list),
+        upstreams: upstreams_status(app),
         answers: lock(&app.answers.live).len(),
         copies,
         copied_tokens,
@@ -219,3 +199,28 @@
         peer_bytes_received: traffic.received,
     }
 }
+
+fn members_status(app: &App, list: &MemberList) -> Vec<MemberStatus> {
+    let suspected = lock(&app.cluster).suspected(app.now());
+    let members = list.members.iter().map(|m| MemberStatus {
+        vm: m.vm.clone(),
+        data_centre: m.data_centre.clone(),
+        callers_at: m.callers_at,
+        peers_at: m.peers_at,
+        stopping: m.stopping,
+        suspected: suspected.contains(&m.id),
+    });
+    members.collect()
+}
+
+fn upstreams_status(app: &App) -> Vec<UpstreamStatus> {
+    let view = lock(&app.view);
+    let loads = view.loads(app.now()).into_iter();
+    let upstreams = loads.map(|(upstream, load)| UpstreamStatus {
+        takes_work: view.takes_work(&upstream),
+        own: view.own_work(&upstream),
+        upstream,
+        load,
+    });
+    upstreams.collect()
+}
--- a/crates/daemon/cloverpier_daemon/src/web/peers.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/peers.rs
@@ -1,10 +1,16 @@
 //! The port for peers and operators.
+//!
+//! Checks the peers' secret, decodes a request and hands it to the state machine that it
+//! concerns; each request has one function here. Owns nothing.
 
 use crate::app::App;
 use crate::members;
 use crate::web::{app_of, operators, serve};
-use cloverpier_core::{lock, same_secret};
-use cloverpier_peer::{PEER_HEADER, PeerReply, PeerRequest, Versions, decode, encode};
+use cloverpier_answer::Entry;
+use cloverpier_core::{MemberId, RequestKey, lock, same_secret};
+use cloverpier_member::Member;
+use cloverpier_peer::{LocateNote, PEER_HEADER, PeerReply, PeerRequest, Versions, decode, encode};
+use cloverpier_record::{ClaimId, Outcome, Slot};
 use salvo::http::StatusCode;
 use salvo::prelude::*;
 use std::net::SocketAddr;
@@ -67,71 +73,32 @@
 }
 
 async fn answer(app: &Arc<App>, request: PeerRequest) -> PeerReply {
-    let now = app.now();
     match request {
         PeerRequest::Heartbeat { versions } => on_heartbeat(app, versions),
-        PeerRequest::Join { member } => {
-            lock(&app.cluster).on_join_asked(member);
-            PeerReply::Done
-        }
+        PeerRequest::Join { member } => on_join(app, member),
         PeerRequest::Borrow {
             account,
             need,
             want,
         } => PeerReply::Loan(app.admission.lend(app, &account, need, want)),
-        PeerRequest::Probe { peers_at } => PeerReply::Probed {
-            reached: probe(app, peers_at).await,
-        },
-        PeerRequest::Append { owner, entries } => {
-            let mut copies = lock(&app.answers.copies);
-            let replies = entries.into_iter().map(|e| copies.append(&owner, e, now));
-            PeerReply::Appended(replies.collect())
-        }
-        PeerRequest::Seal { key, term, owner } => {
-            let mut copies = lock(&app.answers.copies);
-            PeerReply::Seal(copies.seal(&key, term, &owner, now))
-        }
-        PeerRequest::Note { notes } => {
-            let mut directory = lock(&app.answers.directory);
-            for note in notes {
-                directory.note(note.key, note.holder, now);
-            }
-            PeerReply::Done
-        }
-        PeerRequest::Locate { key } => {
-            let holds = lock(&app.answers.copies).holds(&key);
-            let noted = lock(&app.answers.directory).holder(&key);
-            let holder = if holds {
-                Some(app.me.id.clone())
-            } else {
-                noted
-            };
-            PeerReply::Located { holder }
-        }
+        PeerRequest::Probe { peers_at } => on_probe(app, peers_at).await,
+        PeerRequest::Append { owner, entries } => on_append(app, &owner, entries),
+        PeerRequest::Seal { key, term, owner } => on_seal(app, &key, term, &owner),
+        PeerRequest::Note { notes } => on_note(app, notes),
+        PeerRequest::Locate { key } => on_locate(app, &key),
         PeerRequest::Claim {
             epoch,
             key,
             body,
             claim,
-        } => {
-            let mut records = lock(&app.records);
-            PeerReply::Claim(records.on_claim(epoch, &key, body, &claim, now))
-        }
+        } => on_claim(app, epoch, &key, body, &claim),
         PeerRequest::Settle {
             key,
             claim,
             outcome,
-        } => {
-            lock(&app.records).on_outcome(&key, &claim, outcome);
-            PeerReply::Done
-        }
-        PeerRequest::Release { key, claim } => {
-            lock(&app.records).on_release(&key, &claim);
-            PeerReply::Done
-        }
-        PeerRequest::Sync { slot, level, epoch } => {
-            PeerReply::Sync(lock(&app.records).on_sync(slot, level, epoch, now))
-        }
+        } => on_settle(app, &key, &claim, outcome),
+        PeerRequest::Release { key, claim } => on_release(app, &key, &claim),
+        PeerRequest::Sync { slot, level, epoch } => on_sync(app, slot, level, epoch),
         PeerRequest::PullMembers => PeerReply::Members((*app.members()).clone()),
         PeerRequest::PullRoot => PeerReply::Root(lock(&app.applied).root().clone()),
         PeerRequest::PullParts { digests } => PeerReply::Parts(lock(&app.applied).parts(&digests)),
@@ -139,6 +106,64 @@
     }
 }
 
+fn on_join(app: &App, member: Member) -> PeerReply {
+    lock(&app.cluster).on_join_asked(member);
+    PeerReply::Done
+}
+
+fn on_append(app: &App, owner: &MemberId, entries: Vec<Entry>) -> PeerReply {
+    let now = app.now();
+    let mut copies = lock(&app.answers.copies);
+    let replies = entries.into_iter().map(|e| copies.append(owner, e, now));
+    PeerReply::Appended(replies.collect())
+}
+
+fn on_seal(app: &App, key: &RequestKey, term: u64, owner: &MemberId) -> PeerReply {
+    let mut copies = lock(&app.answers.copies);
+    PeerReply::Seal(copies.seal(key, term, owner, app.now()))
+}
+
+fn on_note(app: &App, notes: Vec<LocateNote>) -> PeerReply {
+    let now = app.now();
+    let mut directory = lock(&app.answers.directory);
+    for note in notes {
+        directory.note(note.key, note.holder, now);
+    }
+    PeerReply::Done
+}
+
+/// Where a copy is: here, or where the directory says.
+fn on_locate(app: &App, key: &RequestKey) -> PeerReply {
+    let is_here = lock(&app.answers.copies).holds(key);
+    let holder = if is_here {
+        Some(app.me.id.clone())
+    } else {
+        lock(&app.answers.directory).holder(key)
+    };
+    PeerReply::Located { holder }
+}
+
+fn on_claim(app: &App, epoch: u64, key: &RequestKey, body: u64, claim: &ClaimId) -> PeerReply {
+    let now = app.now();
+    let mut records = lock(&app.records);
+    PeerReply::Claim(records.on_claim(epoch, key, body, claim, now))
+}
+
+fn on_settle(app: &App, key: &RequestKey, claim: &ClaimId, outcome: Outcome) -> PeerReply {
+    lock(&app.records).on_outcome(key, claim, outcome);
+    PeerReply::Done
+}
+
+fn on_release(app: &App, key: &RequestKey, claim: &ClaimId) -> PeerReply {
+    lock(&app.records).on_release(key, claim);
+    PeerReply::Done
+}
+
+fn on_sync(app: &App, slot: Slot, level: u64, epoch: u64) -> PeerReply {
+    let now = app.now();
+    PeerReply::Sync(lock(&app.records).on_sync(slot, level, epoch, now))
+}
+
 fn on_heartbeat(app: &Arc<App>, versions: Versions) -> PeerReply {
     let guests = {
         let mut cluster = lock(&app.cluster);
@@ -154,12 +179,13 @@
     }
 }
 
-async fn probe(app: &App, peers_at: SocketAddr) -> bool {
+/// Tries to reach a member that another one finds silent.
+async fn on_probe(app: &App, peers_at: SocketAddr) -> PeerReply {
     let request = PeerRequest::Heartbeat {
         versions: app.versions(),
     };
-    app.peers
-        .call(peers_at, &request, PROBE_TIMEOUT)
-        .await
-        .is_ok()
+    let reply = app.peers.call(peers_at, &request, PROBE_TIMEOUT).await;
+    PeerReply::Probed {
+        reached: reply.is_ok(),
+    }
 }
