--- a/crates/daemon/cloverpier_admit/src/bucket.rs
+++ b/crates/daemon/cloverpier_admit/src/bucket.rs
@@ -1,4 +1,6 @@
 //! A token bucket whose rate can change.
+//!
+//! Owns the level of one rate limit. Relies on being told the time, which must not go back.
 
 use std::time::{Duration, Instant};
 
--- a/crates/daemon/cloverpier_admit/src/queue.rs
+++ b/crates/daemon/cloverpier_admit/src/queue.rs
@@ -1,4 +1,9 @@
 //! The queue for places: by priority, then fair among accounts by weight.
+//!
+//! Question: which of the waiting requests gets the next free place, and is a new one worth
+//! queuing at all? Inputs: priority, account, weight and cost of each; when places came free. A
+//! request that would wait longer than its service allows is refused at once. Owns the order; who
+//! waits behind a ticket is its caller's.
 
 use cloverpier_core::AccountName;
 use std::collections::{BTreeMap, HashMap, VecDeque};
--- a/crates/daemon/cloverpier_answer/src/answer.rs
+++ b/crates/daemon/cloverpier_answer/src/answer.rs
@@ -1,4 +1,8 @@
 //! The owner's side of an answer.
+//!
+//! Owns the tokens, the current attempt, and how many of the tokens are copied and released. A
+//! token is accepted from the current attempt at the next offset only, and released only once a
+//! copy holds it. Everything else is dropped and said so, by a [`TokenStep`].
 
 use cloverpier_core::Chain;
 use serde::{Deserialize, Serialize};
--- a/crates/daemon/cloverpier_answer/src/copies.rs
+++ b/crates/daemon/cloverpier_answer/src/copies.rs
@@ -1,4 +1,8 @@
 //! The peer's side: copies of answers, and the fence against earlier owners.
+//!
+//! Question: does this batch belong to the owner whose term holds? Owns the copies that a member
+//! keeps for others, and the highest term sealed of each: batches of lower terms are refused,
+//! which is what stops an owner that does not know that it lost the answer.
 
 use crate::answer::{AttemptId, Finish};
 use cloverpier_core::{MemberId, RequestKey, UpstreamName};
--- a/crates/daemon/cloverpier_answer/src/event_id.rs
+++ b/crates/daemon/cloverpier_answer/src/event_id.rs
@@ -1,4 +1,7 @@
 //! The identifier of a server-sent event: what a caller has, and who holds the copy.
+//!
+//! It is on the wire: callers send it back. It owns no state; whether the tokens behind it are
+//! those of an answer is decided by [`crate::answer::Answer::resume_at`].
 
 use cloverpier_core::{Chain, MemberId};
 use std::fmt;
--- a/crates/daemon/cloverpier_answer/src/shipping.rs
+++ b/crates/daemon/cloverpier_answer/src/shipping.rs
@@ -1,4 +1,7 @@
 //! The owner's side of copying: what the holder has, and what it needs next.
+//!
+//! Owns which member holds the copy and how far it has it. At most one batch is under way, so a
+//! reply needs no number. Relies on the answer for what is new.
 
 use crate::answer::Answer;
 use crate::copies::{AppendReply, Entry, EntryHead};
--- a/crates/daemon/cloverpier_answer/src/takeover.rs
+++ b/crates/daemon/cloverpier_answer/src/takeover.rs
@@ -1,4 +1,9 @@
 //! Taking an answer over: which term to seal, and which copy to go on from.
+//!
+//! Question: with which term may this router go on with another one's answer, and from which
+//! copy? Inputs: the replies of all holders that could be found. Answer: a [`TakeoverStep`]. The
+//! newest copy of the highest term wins; a holder that has sealed a higher term starts a new
+//! round.
 
 use crate::copies::{HeldAnswer, SealReply};
 
--- a/crates/daemon/cloverpier_cli/src/caller.rs
+++ b/crates/daemon/cloverpier_cli/src/caller.rs
@@ -1,4 +1,6 @@
 //! Commands of callers.
+//!
+//! Each prints for people, or JSON with `--json`, and returns the exit code's reason.
 
 use crate::Outcome;
 use crate::args::{Args, Call, Generate, Key};
--- a/crates/daemon/cloverpier_cli/src/main.rs
+++ b/crates/daemon/cloverpier_cli/src/main.rs
@@ -1,4 +1,6 @@
 //! `cloverpier`: the command line of operators and callers.
+//!
+//! Owns the exit codes; each command is a function of [`caller`] or [`operator`].
 
 mod args;
 mod caller;
--- a/crates/daemon/cloverpier_cli/src/operator.rs
+++ b/crates/daemon/cloverpier_cli/src/operator.rs
@@ -1,4 +1,7 @@
 //! Commands of operators.
+//!
+//! Each makes one call to a router, prints for people or JSON with `--json`, and returns the exit
+//! code's reason. Golden files hold calls and output.
 
 use crate::Outcome;
 use crate::args::{Args, Confirm, Drain, Plan, Show, Version};
--- a/crates/daemon/cloverpier_cli/src/table.rs
+++ b/crates/daemon/cloverpier_cli/src/table.rs
@@ -1,4 +1,6 @@
 //! Tables for people, JSON for programs.
+//!
+//! Owns the widths of columns; a value that is no text is shown as JSON.
 
 use serde_json::{Map, Value};
 
--- a/crates/daemon/cloverpier_client/src/caller.rs
+++ b/crates/daemon/cloverpier_client/src/caller.rs
@@ -1,4 +1,8 @@
 //! The caller's side.
+//!
+//! Owns the addresses that callers may use and the retries over them: an answer that breaks off
+//! is continued at the next address with its last event id, and each token is handed out once. It
+//! reads the machine's clock: a caller's program has no other.
 
 use crate::events::Events;
 use crate::progress::{Progress, Step};
--- a/crates/daemon/cloverpier_client/src/events.rs
+++ b/crates/daemon/cloverpier_client/src/events.rs
@@ -1,4 +1,7 @@
 //! Reads server-sent events from a stream of bytes.
+//!
+//! Owns the bytes that form no whole event yet. Follows the line rules of WHATWG HTML, "Server-
+//! sent events", as far as a client of this API needs them.
 
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
--- a/crates/daemon/cloverpier_client/src/operator.rs
+++ b/crates/daemon/cloverpier_client/src/operator.rs
@@ -1,4 +1,7 @@
 //! The operator's side.
+//!
+//! Each method is one call to one router. The result of a call without an answer is open: a
+//! confirmation is settled by repeating it.
 
 use cloverpier_config::{Intent, Plan};
 use reqwest::{Client, RequestBuilder};
--- a/crates/daemon/cloverpier_client/src/progress.rs
+++ b/crates/daemon/cloverpier_client/src/progress.rs
@@ -1,4 +1,7 @@
 //! An answer as its events arrive, over one connection or several.
+//!
+//! Owns the tokens so far, their count and digest; an event is taken only where its id follows on
+//! them.
 
 use crate::caller::{Answer, CallError, Generate, Got};
 use crate::events::Event;
--- a/crates/daemon/cloverpier_config/src/apply.rs
+++ b/crates/daemon/cloverpier_config/src/apply.rs
@@ -1,4 +1,7 @@
 //! The configuration that a router acts on; it only moves forward.
+//!
+//! Question: is this root newer, and are all of its parts here? Answer: an [`ApplyStep`], which
+//! names the parts that are lacking. A lower version never replaces a higher one.
 
 use crate::model::Config;
 use crate::parts::{Part, PartDigest, Root, join};
--- a/crates/daemon/cloverpier_config/src/check.rs
+++ b/crates/daemon/cloverpier_config/src/check.rs
@@ -1,4 +1,6 @@
 //! Checks of a whole configuration; all faults are reported at once.
+//!
+//! Used for plans, so that what is stored can stand. Each fault names its field.
 
 use crate::model::{Account, Config, Service, Upstream};
 use cloverpier_core::{AccountName, ServiceName, UpstreamName};
--- a/crates/daemon/cloverpier_config/src/lib.rs
+++ b/crates/daemon/cloverpier_config/src/lib.rs
@@ -1,6 +1,6 @@
 //! What operators configure: services, upstreams and client accounts.
 //!
-//! An operator states an [`Intent`]; [`plan`] answers with the changes that
+//! An operator states an [`Intent`]; [`plan()`] answers with the changes that
 //! it would make against one version; confirming stores the parts and then
 //! the [`Root`], whose version is the configuration's. A router applies
 //! roots through [`Applied`], which only moves forward.
--- a/crates/daemon/cloverpier_config/src/model.rs
+++ b/crates/daemon/cloverpier_config/src/model.rs
@@ -1,4 +1,7 @@
 //! Services, upstreams and client accounts.
+//!
+//! The shapes that operators write and the platform stores; names and defaults of fields are on
+//! the wire and in stored data.
 
 use cloverpier_core::{
     AccountName, AdapterName, DataCentre, KeyDigest, ModelName, ServiceName, UpstreamName,
--- a/crates/daemon/cloverpier_config/src/plan.rs
+++ b/crates/daemon/cloverpier_config/src/plan.rs
@@ -1,4 +1,7 @@
 //! From an operator's intent to a plan, and what a racing operator changed meanwhile.
+//!
+//! Question: what would this intent change, and does a plan still hold against a later version?
+//! It does as long as nothing that it touches moved. Owns no state.
 
 use crate::check::{Fault, check};
 use crate::model::{Account, Config, Service, Upstream, UpstreamState};
--- a/crates/daemon/cloverpier_daemon/src/admission.rs
+++ b/crates/daemon/cloverpier_daemon/src/admission.rs
@@ -1,4 +1,7 @@
 //! Admission: limits of client accounts, and places at upstreams.
+//!
+//! Carries out what `cloverpier_admit` and `cloverpier_route` decide: loans of limits between
+//! routers, and who waits for a place. Owns the loans, and the lines of waiting requests.
 
 use crate::app::App;
 use crate::error::ApiError;
--- a/crates/daemon/cloverpier_daemon/src/answers/directory.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/directory.rs
@@ -1,4 +1,7 @@
 //! Where copies are: soft notes at a few members chosen by the request's key.
+//!
+//! Owns the notes that this member keeps for others; a lost one costs a search at the other
+//! members, never safety.
 
 use cloverpier_core::{MemberId, RequestKey, hash_of, rank};
 use cloverpier_member::MemberList;
--- a/crates/daemon/cloverpier_daemon/src/answers/live.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/live.rs
@@ -1,4 +1,7 @@
 //! One answer that this router owns.
+//!
+//! Owns the answer's state behind one lock and the channel that wakes its readers. Invariant: a
+//! reader gets released tokens only, in order, each once.
 
 use crate::error::ApiError;
 use cloverpier_answer::{Answer, AppendReply, EventId, Finish, ShipStep, Shipping, Source};
--- a/crates/daemon/cloverpier_daemon/src/answers/mod.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/mod.rs
@@ -1,4 +1,6 @@
 //! Answers: running generations, copying their tokens, taking them over.
+//!
+//! Owns the table of answers of this router and what it holds for others; each file has one job.
 
 mod directory;
 mod live;
--- a/crates/daemon/cloverpier_daemon/src/answers/run.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/run.rs
@@ -1,4 +1,8 @@
 //! Runs a generation to its end, through as many attempts as it takes.
+//!
+//! One task a generation. Which tokens count is decided by `cloverpier_answer`, how long an
+//! engine may be silent by `cloverpier_route`. An attempt that may have run ends a generation
+//! that may not be repeated.
 
 use crate::admission::{choose, log_choice, nobody, release};
 use crate::answers::live::{End, Live};
--- a/crates/daemon/cloverpier_daemon/src/app.rs
+++ b/crates/daemon/cloverpier_daemon/src/app.rs
@@ -1,4 +1,7 @@
 //! The state of one router process.
+//!
+//! Every part gets the whole of it; which part changes which field is said there. Invariant: each
+//! lock guards one plain state machine and is never held across a wait.
 
 use crate::admission::Admission;
 use crate::answers::Answers;
--- a/crates/daemon/cloverpier_daemon/src/claims.rs
+++ b/crates/daemon/cloverpier_daemon/src/claims.rs
@@ -1,4 +1,7 @@
 //! Records of requests that may not be repeated: claiming keys and learning slots.
+//!
+//! Carries out what `cloverpier_record` decides. A key is written down at all holders of its slot
+//! before the request is dispatched; nothing else makes "at most once" true.
 
 use crate::app::App;
 use cloverpier_core::{MemberId, RequestKey, lock};
--- a/crates/daemon/cloverpier_daemon/src/config/learn.rs
+++ b/crates/daemon/cloverpier_daemon/src/config/learn.rs
@@ -1,4 +1,7 @@
 //! How a router learns the configuration: from the platform, or from peers.
+//!
+//! A router serves once it has learned a configuration since it started. Which root is newer is
+//! decided by `cloverpier_config::Applied`.
 
 use crate::app::App;
 use crate::config::{MARKS_KEY, PART_PREFIX, ROOT_KEY};
--- a/crates/daemon/cloverpier_daemon/src/config/leave.rs
+++ b/crates/daemon/cloverpier_daemon/src/config/leave.rs
@@ -1,4 +1,6 @@
 //! Letting an upstream leave: a mark that routers pass on, without the platform.
+//!
+//! Which marks hold is decided in `cloverpier_route::LeaveMarks`; they are never taken back.
 
 use crate::app::App;
 use crate::config::RouterVersion;
--- a/crates/daemon/cloverpier_daemon/src/config/mod.rs
+++ b/crates/daemon/cloverpier_daemon/src/config/mod.rs
@@ -1,4 +1,6 @@
 //! The configuration: learning it, putting it in force, and changing it.
+//!
+//! Owns the keys of the platform's objects; they are in stored data.
 
 mod acceptance;
 mod change;
--- a/crates/daemon/cloverpier_daemon/src/error.rs
+++ b/crates/daemon/cloverpier_daemon/src/error.rs
@@ -1,4 +1,7 @@
 //! Errors as callers and operators see them.
+//!
+//! Owns the one type of errors that leaves the process: a stable code, a text, the field, and
+//! whether the request was run.
 
 use salvo::http::header::{HeaderName, RETRY_AFTER};
 use salvo::http::{HeaderValue, StatusCode};
--- a/crates/daemon/cloverpier_daemon/src/lib.rs
+++ b/crates/daemon/cloverpier_daemon/src/lib.rs
@@ -1,6 +1,6 @@
 //! The router daemon: carries out what the decision crates return.
 //!
-//! [`App`](app::App) holds the state of one process; [`parts`] is the one
+//! [`App`] holds the state of one process; [`parts`] is the one
 //! place where its parts are registered. Removing a part is removing a line
 //! there.
 //!
--- a/crates/daemon/cloverpier_daemon/src/loads.rs
+++ b/crates/daemon/cloverpier_daemon/src/loads.rs
@@ -1,4 +1,6 @@
 //! Asks upstreams for their load.
+//!
+//! One loop; the reports go into the view of upstreams, which decides how long they count.
 
 use crate::app::App;
 use cloverpier_config::ServiceKind;
--- a/crates/daemon/cloverpier_daemon/src/main.rs
+++ b/crates/daemon/cloverpier_daemon/src/main.rs
@@ -1,4 +1,7 @@
 //! `cloverpierd`: the router daemon, the same on every VM.
+//!
+//! Reads the settings and runs the daemon until a planned stop; exit code 2 for settings with
+//! faults.
 
 use argh::FromArgs;
 use cloverpier_daemon::prelude::*;
--- a/crates/daemon/cloverpier_daemon/src/members/cluster.rs
+++ b/crates/daemon/cloverpier_daemon/src/members/cluster.rs
@@ -1,4 +1,7 @@
 //! What a router knows of its fellow members, and how it stands among them.
+//!
+//! Owns the list of members in force, the detector, guests, and when a peer or the platform last
+//! answered. A router that hears neither takes no new requests ([`Standing`]).
 
 use cloverpier_core::{MemberId, hash_of, rank};
 use cloverpier_member::{Detector, DetectorParams, Member, MemberList};
--- a/crates/daemon/cloverpier_daemon/src/members/join.rs
+++ b/crates/daemon/cloverpier_daemon/src/members/join.rs
@@ -1,4 +1,7 @@
 //! The list of members on the platform: joining it, leaving it, watching it.
+//!
+//! Owns the conditional updates of the list; its version is the epoch. A lost update is settled
+//! by reading. Which list follows from which is decided in `cloverpier_member`.
 
 use crate::app::App;
 use crate::members::MEMBERS_KEY;
--- a/crates/daemon/cloverpier_daemon/src/members/mod.rs
+++ b/crates/daemon/cloverpier_daemon/src/members/mod.rs
@@ -1,4 +1,6 @@
 //! Membership: joining, heartbeats, removal of the silent, and news from peers.
+//!
+//! Carries out what `cloverpier_member` decides; four loops, started here.
 
 mod cluster;
 mod join;
--- a/crates/daemon/cloverpier_daemon/src/members/news.rs
+++ b/crates/daemon/cloverpier_daemon/src/members/news.rs
@@ -1,4 +1,6 @@
 //! News from peers: who acts on something later than this router does.
+//!
+//! Heartbeats carry versions; whatever a peer has that is newer is fetched from it.
 
 use crate::app::App;
 use crate::config;
--- a/crates/daemon/cloverpier_daemon/src/members/tick.rs
+++ b/crates/daemon/cloverpier_daemon/src/members/tick.rs
@@ -1,4 +1,6 @@
 //! Carries out what the detector wants.
+//!
+//! One loop that steps the detector and sends what it asks for; owns nothing.
 
 use crate::app::App;
 use crate::members::{join, news};
--- a/crates/daemon/cloverpier_daemon/src/parts.rs
+++ b/crates/daemon/cloverpier_daemon/src/parts.rs
@@ -1,4 +1,7 @@
 //! The parts of the daemon, in the order in which they start.
+//!
+//! Removing a part is removing a line. The first ones listen and join, the last ones take
+//! callers.
 
 use crate::app::App;
 use crate::{admission, answers, claims, config, loads, members, stop, web};
--- a/crates/daemon/cloverpier_daemon/src/plain.rs
+++ b/crates/daemon/cloverpier_daemon/src/plain.rs
@@ -1,4 +1,7 @@
 //! Calls to plain services: repeatable ones, and ones that run at most once.
+//!
+//! A repeatable call goes to several upstreams; one that runs at most once is claimed first
+//! ([`crate::claims`]) and goes on only where no byte can have been received.
 
 use crate::admission::{choose, log_choice, nobody, release};
 use crate::app::App;
--- a/crates/daemon/cloverpier_daemon/src/stop.rs
+++ b/crates/daemon/cloverpier_daemon/src/stop.rs
@@ -1,4 +1,6 @@
 //! The planned stop: no new work, then the end once all answers are out.
+//!
+//! Begun by a signal or an operator. Relies on answers and calls to say when they are out.
 
 use crate::app::App;
 use crate::members;
--- a/crates/daemon/cloverpier_daemon/src/web/callers.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/callers.rs
@@ -1,4 +1,6 @@
 //! The port for callers.
+//!
+//! Owns the routes of callers, and answers itself which addresses to use.
 
 use crate::admission::lenders;
 use crate::app::App;
--- a/crates/daemon/cloverpier_daemon/src/web/completion_body.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/completion_body.rs
@@ -1,4 +1,6 @@
 //! The body of a completion request, checked field by field before anything is dispatched.
+//!
+//! An error names the first field that cannot stand, and nothing was run then.
 
 use crate::error::ApiError;
 use crate::web::request::Caller;
--- a/crates/daemon/cloverpier_daemon/src/web/completions.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/completions.rs
@@ -1,4 +1,7 @@
 //! Completions: generations as callers ask for them.
+//!
+//! The way of a request: account and body are checked, the key is looked up, a new generation is
+//! charged, placed, claimed if it may not be repeated, and started; then its answer is read.
 
 use crate::admission::log_choice;
 use crate::answers::{End, Live, Opened, Reader, Reading, Spec, Start, open, spawn};
--- a/crates/daemon/cloverpier_daemon/src/web/mod.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/mod.rs
@@ -1,4 +1,6 @@
 //! HTTP: callers, peers and operators.
+//!
+//! Owns how a port is served; each port has a file, and what callers send is checked in two.
 
 pub mod callers;
 mod completion_body;
--- a/crates/daemon/cloverpier_daemon/src/web/operators.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/operators.rs
@@ -1,4 +1,7 @@
 //! What operators ask for: plans, confirmations, leaving upstreams, stops, status.
+//!
+//! Checks the operators' key and hands over to [`crate::config`], [`crate::stop`] or the state
+//! machines. Owns the shape of the status.
 
 use crate::app::App;
 use crate::config;
--- a/crates/daemon/cloverpier_daemon/src/web/services.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/services.rs
@@ -1,4 +1,6 @@
 //! Plain services as callers call them.
+//!
+//! Checks what a call may do and hands it to [`crate::plain`]; counts it as under way until then.
 
 use crate::app::App;
 use crate::error::ApiError;
--- a/crates/daemon/cloverpier_daemon/src/web/sse.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/sse.rs
@@ -1,4 +1,6 @@
 //! Server-sent events in the shape that completion clients read.
+//!
+//! Owns names and form of events; they are what existing clients parse. Nothing is decided here.
 
 use crate::answers::{End, Reading};
 use crate::web::completions::moved;
--- a/crates/daemon/cloverpier_member/src/detector.rs
+++ b/crates/daemon/cloverpier_member/src/detector.rs
@@ -1,4 +1,8 @@
 //! Failure detection with a bounded number of heartbeats and a second observer.
+//!
+//! Question: who gets a heartbeat now, who is suspected, who is removed? Inputs: the list, when
+//! members were heard, what helpers found. Answer: [`DetectorStep`]s. The cost of a member does
+//! not grow with the list, and no one observer removes anybody.
 
 use crate::list::{Member, MemberList};
 use cloverpier_core::{MemberId, hash_of};
--- a/crates/daemon/cloverpier_member/src/list.rs
+++ b/crates/daemon/cloverpier_member/src/list.rs
@@ -1,4 +1,7 @@
 //! The list of members and its epochs.
+//!
+//! Stored at the platform as one object. Each change begins an epoch; the last ones are kept,
+//! since records are learned from members of former epochs.
 
 use cloverpier_core::{DataCentre, MemberId, VmName};
 use serde::{Deserialize, Serialize};
--- a/crates/daemon/cloverpier_member/src/rejoin.rs
+++ b/crates/daemon/cloverpier_member/src/rejoin.rs
@@ -1,4 +1,7 @@
 //! When a member that was taken off the list joins again.
+//!
+//! Question: may this process join now? Input: how long its memberships lasted. Answer: yes or
+//! no.
 
 use std::time::{Duration, Instant};
 
--- a/crates/daemon/cloverpier_object_api/src/client.rs
+++ b/crates/daemon/cloverpier_object_api/src/client.rs
@@ -1,4 +1,7 @@
 //! Calls to the platform.
+//!
+//! A read, a watch and a conditional write, each with the few outcomes that matter; a write
+//! without an answer is one of its own.
 
 use crate::wire::{ObjectBody, StoredObject, VersionBody};
 use reqwest::{Client, Response, StatusCode};
--- a/crates/daemon/cloverpier_object_api/src/wire.rs
+++ b/crates/daemon/cloverpier_object_api/src/wire.rs
@@ -1,4 +1,6 @@
 //! Shapes of the platform's JSON.
+//!
+//! Names of fields are the platform's. Nothing outside this crate sees them but stand-ins.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
--- a/crates/daemon/cloverpier_peer/src/message.rs
+++ b/crates/daemon/cloverpier_peer/src/message.rs
@@ -1,4 +1,7 @@
 //! The messages and their codec.
+//!
+//! Fields are written by name, so names of fields and variants are on the wire; golden files hold
+//! the bytes.
 
 use cloverpier_admit::{Loan, Quota};
 use cloverpier_answer::{AppendReply, Entry, SealReply};
--- a/crates/daemon/cloverpier_record/src/claim.rs
+++ b/crates/daemon/cloverpier_record/src/claim.rs
@@ -1,4 +1,7 @@
 //! The claimant's side: from a request to leave to dispatch it.
+//!
+//! Question: may this request be dispatched? Inputs: the replies of the key's holders, the
+//! primary first. Answer: a [`ClaimStep`]. Any holder that did not write it down means no.
 
 use crate::record::{ClaimReply, Record};
 use cloverpier_core::MemberId;
--- a/crates/daemon/cloverpier_record/src/holder.rs
+++ b/crates/daemon/cloverpier_record/src/holder.rs
@@ -1,4 +1,8 @@
 //! The holder's side: records of a member's slots, through changes of epoch.
+//!
+//! Question: may this claim be written down here, and from whom are the records of a slot
+//! learned? Owns the records of a member's slots. Safety rests on epochs: a claim of another
+//! epoch is refused, and a slot that nobody can vouch for is closed for the horizon.
 
 use crate::memory::{SlotMemory, SlotState, next_state};
 use crate::record::{ClaimId, ClaimReply, Outcome, Record, SyncReply};
--- a/crates/daemon/cloverpier_record/src/memory.rs
+++ b/crates/daemon/cloverpier_record/src/memory.rs
@@ -1,4 +1,6 @@
 //! What a member remembers of a slot through epochs.
+//!
+//! Decides whether a slot is ready, has to be learned from holders of a former epoch, or is lost.
 
 use crate::holder::EPOCHS_KEPT;
 use cloverpier_core::MemberId;
--- a/crates/daemon/cloverpier_record/src/record.rs
+++ b/crates/daemon/cloverpier_record/src/record.rs
@@ -1,4 +1,6 @@
 //! Records and what holders answer about them.
+//!
+//! Their names of fields and variants are on the wire between routers.
 
 use cloverpier_core::{MemberId, RequestKey};
 use serde::{Deserialize, Serialize};
--- a/crates/daemon/cloverpier_record/src/slot.rs
+++ b/crates/daemon/cloverpier_record/src/slot.rs
@@ -1,4 +1,7 @@
 //! Slots of the key space and who holds them in an epoch.
+//!
+//! Every router works the holders out by itself from the list of members, by rendezvous hash, in
+//! as many data centres as there are.
 
 use cloverpier_core::{MemberId, hash_of, rank};
 use cloverpier_member::{Member, MemberList};
--- a/crates/daemon/cloverpier_route/src/choose.rs
+++ b/crates/daemon/cloverpier_route/src/choose.rs
@@ -1,4 +1,8 @@
 //! The choice of an upstream for one request.
+//!
+//! Question: which upstream gets this request? Inputs: the view; what the request asks; what
+//! failed it already. Answer: a choice with what was weighed, for the log. Two upstreams by
+//! chance and the one with the prefix are compared, so that routers do not herd.
 
 use crate::view::{CLOSE, Known, View};
 use cloverpier_core::{ServiceName, UpstreamName};
--- a/crates/daemon/cloverpier_route/src/marks.rs
+++ b/crates/daemon/cloverpier_route/src/marks.rs
@@ -1,4 +1,7 @@
 //! Marks to leave: upstreams that take no new work, whatever the configuration says.
+//!
+//! They are stored at the platform and travel between routers; a set only grows, until its
+//! upstreams are gone from the configuration.
 
 use cloverpier_core::UpstreamName;
 use serde::{Deserialize, Serialize};
--- a/crates/daemon/cloverpier_route/src/silence.rs
+++ b/crates/daemon/cloverpier_route/src/silence.rs
@@ -1,4 +1,7 @@
 //! How long an engine may be silent before its generation goes on elsewhere.
+//!
+//! Question: how long may the next token take? Inputs: the service's bound; the gaps so far, if
+//! the service lets the bound narrow. Answer: a duration.
 
 use std::time::Duration;
 
--- a/crates/daemon/cloverpier_route/src/view.rs
+++ b/crates/daemon/cloverpier_route/src/view.rs
@@ -1,4 +1,7 @@
 //! What a router knows of its upstreams.
+//!
+//! Owns, for each upstream, this router's own work exactly, the last load report, failures and
+//! prefixes, and the marks to leave. A mark holds over whatever the configuration says.
 
 use crate::marks::{LeaveMark, LeaveMarks};
 use cloverpier_config::{Config, Upstream, UpstreamState};
--- a/crates/daemon/cloverpier_upstream/src/engine.rs
+++ b/crates/daemon/cloverpier_upstream/src/engine.rs
@@ -1,4 +1,6 @@
 //! Calls to a model engine.
+//!
+//! Each failure says whether the generation can have run. Owns the connections to engines.
 
 use crate::wire::{EngineEvent, GenerateBody, GenerationBody, LoadBody};
 use bytes::{Bytes, BytesMut};
--- a/crates/daemon/cloverpier_upstream/src/plain.rs
+++ b/crates/daemon/cloverpier_upstream/src/plain.rs
@@ -1,4 +1,7 @@
 //! Calls to a plain service.
+//!
+//! A failure says whether a byte can have reached the service. No connection is kept, as one that
+//! closes while a call is sent leaves that open.
 
 use bytes::Bytes;
 use reqwest::{Client, Method};
--- a/crates/daemon/cloverpier_upstream/src/wire.rs
+++ b/crates/daemon/cloverpier_upstream/src/wire.rs
@@ -1,4 +1,6 @@
 //! Shapes of the engine's JSON.
+//!
+//! Names of fields are the engine's. Nothing outside this crate sees them but stand-ins.
 
 use cloverpier_core::{AdapterName, ModelName};
 use serde::{Deserialize, Serialize};
--- a/crates/router/cloverpier_router/src/start.rs
+++ b/crates/router/cloverpier_router/src/start.rs
@@ -1,4 +1,7 @@
 //! Starts the parts of a router, in one visible place.
+//!
+//! Each part is a task on one thread; removing a part is removing a line. Listeners come first,
+//! so that a port that is taken ends the start.
 
 use crate::heartbeats;
 use crate::peer_fetch;
--- a/crates/router/cloverpier_router/src/stream/open.rs
+++ b/crates/router/cloverpier_router/src/stream/open.rs
@@ -1,4 +1,6 @@
 //! Opens a run of a stream: at the engine with the replica of a lost run, or the best one.
+//!
+//! These are the steps of [`StreamRun`] that choose, send and check the head.
 
 use super::{Source, StreamRun};
 use crate::load_guard::LoadGuard;
--- a/crates/router/cloverpier_router/src/stream/receive.rs
+++ b/crates/router/cloverpier_router/src/stream/receive.rs
@@ -1,4 +1,6 @@
 //! Takes events from the present run of a stream, and leaves a run that is lost.
+//!
+//! Owns nothing of its own: these are the steps of [`StreamRun`] from bytes to whole events.
 
 use super::{Source, StreamRun};
 use crate::connection::{describe, io_error_kind};
--- a/crates/shared/cloverpier_settings/src/daemon.rs
+++ b/crates/shared/cloverpier_settings/src/daemon.rs
@@ -1,4 +1,6 @@
 //! The settings of `cloverpierd`; docs/OPERATIONS.md lists its keys.
+//!
+//! Secrets have at least sixteen characters, and neither log nor debug output shows them.
 
 use crate::reader::{Reader, SettingFaults, level};
 use cloverpier_core::{DataCentre, Secret, VmName};
--- a/crates/shared/cloverpier_settings/src/file.rs
+++ b/crates/shared/cloverpier_settings/src/file.rs
@@ -1,4 +1,6 @@
 //! Reads a settings file for a program's start.
+//!
+//! Used by both programs; the faults come as lines with the file's name, ready to be shown.
 
 use crate::reader::SettingFaults;
 use std::path::Path;
--- a/crates/shared/cloverpier_settings/src/reader.rs
+++ b/crates/shared/cloverpier_settings/src/reader.rs
@@ -1,4 +1,7 @@
 //! Reads one table of TOML and collects what is wrong with it.
+//!
+//! Each key is taken out once, with its expected form and its default; what is left at the end is
+//! unknown. Owns the texts of faults.
 
 use snafu::Snafu;
 use std::fmt;
