--- a/crates/daemon/cloverpier_admit/src/loan.rs
+++ b/crates/daemon/cloverpier_admit/src/loan.rs
@@ -139,12 +139,12 @@
         }
     }
 
-    /// Accounts that something was lent of late.
+    /// Accounts that something was lent recently.
     pub fn len(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Whether nothing was lent of late.
+    /// Whether nothing was lent recently.
     pub fn is_empty(&self) -> bool {
         self.accounts.is_empty()
     }
@@ -177,7 +177,7 @@
     Borrow {
         /// What the request needs.
         need: Quota,
-        /// What the account will soon need, by its demand of late.
+        /// What the account will soon need, by its recent demand.
         want: Quota,
     },
 }
--- a/crates/daemon/cloverpier_admit/src/queue.rs
+++ b/crates/daemon/cloverpier_admit/src/queue.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Requests ahead, at the rate at which places came free of late.
+    /// Requests ahead, at the rate at which places came free recently.
     fn expected_wait(&self, place: &Place, now: Instant) -> Duration {
         let ahead = self.order.range(..place).count();
         let Some(first) = self.pops.front() else {
--- a/crates/daemon/cloverpier_client/src/caller.rs
+++ b/crates/daemon/cloverpier_client/src/caller.rs
@@ -6,7 +6,7 @@
 
 use crate::events::Events;
 use crate::progress::{Progress, Step};
-use reqwest::{Client, Method, Response, StatusCode};
+use reqwest::{Client, Method, RequestBuilder, Response, StatusCode};
 use serde::Deserialize;
 use serde_json::json;
 use snafu::Snafu;
@@ -268,6 +268,7 @@
         }
     }
 
+    /// One connection to one router: sends the request, then reads events until it ends.
     async fn connect(
         &self,
         ask: &Generate,
@@ -275,6 +276,27 @@
         progress: &mut Progress,
         on_token: &mut impl FnMut(&Got),
     ) -> Connection {
+        let req = self.completion_request(ask, router, progress);
+        let sent = tokio::time::timeout(HEADERS_TIMEOUT, req.send()).await;
+        let Ok(Ok(res)) = sent else {
+            return Connection::Broken;
+        };
+        if res.status() != StatusCode::OK {
+            return Connection::Refused(refusal(res).await);
+        }
+        if let Some(key) = res.headers().get("Idempotency-Key") {
+            progress.key = key.to_str().unwrap_or_default().to_owned();
+        }
+        read_events(Events::new(res), router, progress, on_token).await
+    }
+
+    /// The request for an answer, or for the rest of it after the last event that arrived.
+    fn completion_request(
+        &self,
+        ask: &Generate,
+        router: SocketAddr,
+        progress: &Progress,
+    ) -> RequestBuilder {
         let body = json!({
             "model": ask.service, "prompt": ask.prompt, "max_tokens": ask.max_tokens,
             "priority": ask.priority, "stream": true,
@@ -287,35 +309,7 @@
         if let Some(last) = &progress.last {
             req = req.header("Last-Event-ID", last);
         }
-        let sent = tokio::time::timeout(HEADERS_TIMEOUT, req.send()).await;
-        let Ok(Ok(res)) = sent else {
-            return Connection::Broken;
-        };
-        if res.status() != StatusCode::OK {
-            return Connection::Refused(refusal(res).await);
-        }
-        if let Some(key) = res.headers().get("Idempotency-Key") {
-            progress.key = key.to_str().unwrap_or_default().to_owned();
-        }
-        let mut events = Events::new(res);
-        loop {
-            let event = tokio::time::timeout(SILENCE, events.next()).await;
-            let Ok(Some(event)) = event else {
-                return Connection::Broken;
-            };
-            match progress.take(&event, router) {
-                Step::Token => {
-                    if let Some(token) = progress.tokens.last() {
-                        on_token(token);
-                    }
-                }
-                Step::Nothing => {}
-                Step::Done => return Connection::Done,
-                Step::Failed(error) => {
-                    return error.map_or(Connection::Broken, Connection::Refused);
-                }
-            }
-        }
+        req
     }
 
     /// Calls a plain service once, at one router.
@@ -349,6 +343,33 @@
     }
 }
 
+/// Reads events until the answer ends, the stream breaks or it is silent for [`SILENCE`].
+async fn read_events(
+    mut events: Events,
+    router: SocketAddr,
+    progress: &mut Progress,
+    on_token: &mut impl FnMut(&Got),
+) -> Connection {
+    loop {
+        let event = tokio::time::timeout(SILENCE, events.next()).await;
+        let Ok(Some(event)) = event else {
+            return Connection::Broken;
+        };
+        match progress.take(&event, router) {
+            Step::Token => {
+                if let Some(token) = progress.tokens.last() {
+                    on_token(token);
+                }
+            }
+            Step::Nothing => {}
+            Step::Done => return Connection::Done,
+            Step::Failed(error) => {
+                return error.map_or(Connection::Broken, Connection::Refused);
+            }
+        }
+    }
+}
+
 fn run_of(res: &Response) -> String {
     let run = res.headers().get("cloverpier-run");
     run.and_then(|v| v.to_str().ok())
--- a/crates/daemon/cloverpier_config/src/check.rs
+++ b/crates/daemon/cloverpier_config/src/check.rs
@@ -11,7 +11,7 @@
 pub const MAX_COPIES: u8 = 1;
 /// The highest priority of ten ranks. Chosen.
 pub const MAX_PRIORITY: u8 = 9;
-/// Characters of a SHA-256 digest in hexadecimal.
+/// Characters of a SHA-256 digest in hexadecimal: two for each of its 32 bytes (FIPS 180-4).
 const SHA256_HEX_LEN: usize = 64;
 
 /// A field that can't stand, and what was expected.
--- a/crates/daemon/cloverpier_config/src/parts.rs
+++ b/crates/daemon/cloverpier_config/src/parts.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// The root: the version, the parts, and the plans confirmed of late.
+/// The root: the version, the parts, and the plans confirmed recently.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Root {
     /// The configuration's version; rises by one with each confirmed plan.
--- a/crates/daemon/cloverpier_daemon/src/admission.rs
+++ b/crates/daemon/cloverpier_daemon/src/admission.rs
@@ -29,7 +29,7 @@
 /// When to ask a lender again that doesn't know the account yet, in milliseconds: it has the
 /// configuration within that. Chosen, not measured.
 const UNKNOWN_ACCOUNT_MS: u64 = 300;
-/// The least time after which a refused caller is told to come back. Chosen, not measured.
+/// The least time after which a refused caller is asked to retry. Chosen, not measured.
 const LEAST_RETRY: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
--- a/crates/daemon/cloverpier_daemon/src/answers/directory.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/directory.rs
@@ -13,7 +13,8 @@
 /// Members that are asked; more than keep the note, as lists of members differ for a while.
 /// Chosen, not measured.
 const ASKED: usize = 3;
-/// How long a note is kept: longer than any copy (`Retention`, 600 s).
+/// How long a note is kept: longer than any copy (`Retention`, 600 s). Chosen, not
+/// measured.
 const KEPT: Duration = Duration::from_secs(900);
 
 #[derive(Clone, Debug)]
--- a/crates/daemon/cloverpier_daemon/src/answers/open.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/open.rs
@@ -19,7 +19,7 @@
 const ASK_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a holder may take to seal a term. Chosen, not measured.
 const SEAL_TIMEOUT: Duration = Duration::from_millis(600);
-/// When a caller comes back whose answer cannot be reached at present. Chosen, not measured.
+/// When a caller should retry while its answer cannot be reached. Chosen, not measured.
 const COME_BACK: Duration = Duration::from_millis(700);
 
 /// What opening an answer came to.
@@ -85,7 +85,7 @@
 
 /// An answer that this router owns still.
 ///
-/// A caller that comes back may have been at another router meanwhile, which
+/// A caller that retries may have been at another router meanwhile, which
 /// took the answer over at a holder that this one gave up: ask before it goes
 /// on here.
 async fn usable_here(app: &App, key: &RequestKey) -> Option<Arc<Live>> {
--- a/crates/daemon/cloverpier_daemon/src/answers/run.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/run.rs
@@ -18,7 +18,7 @@
 use serde::Serialize;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 /// How long an answer waits for an engine that can continue it. Chosen, not measured.
 const GO_ON_WITHIN: Duration = Duration::from_secs(20);
@@ -289,14 +289,10 @@
     attempt: AttemptId,
     mut stream: EventStream,
 ) -> Over {
-    let mut silence = Silence::new(live.spec.silence, live.spec.adaptive_silence);
-    let mut last_event = app.now();
-    let mut limit = silence.first_token();
-    let mut first = true;
+    let mut quiet = QuietTime::new(live, app.now());
     loop {
-        let silent = app.now().saturating_duration_since(last_event);
-        let left = limit.saturating_sub(silent);
-        let event = tokio::time::timeout(left.min(ABANDON_CHECK), stream.next()).await;
+        let wait = quiet.left(app.now()).min(ABANDON_CHECK);
+        let event = tokio::time::timeout(wait, stream.next()).await;
         if live.is_useless() {
             return Over::Moved;
         }
@@ -304,16 +300,12 @@
             return Over::Abandoned;
         }
         let Ok(event) = event else {
-            if app.now().saturating_duration_since(last_event) >= limit {
+            if quiet.left(app.now()).is_zero() {
                 return failed("silent");
             }
             continue;
         };
-        if !std::mem::take(&mut first) {
-            silence.on_gap(app.now().saturating_duration_since(last_event));
-        }
-        last_event = app.now();
-        limit = silence.next_token();
+        quiet.on_event(app.now());
         match take(live, attempt, event) {
             Taken::GoOn => {
                 if !stream.has_buffered() {
@@ -328,6 +320,42 @@
     }
 }
 
+/// How long a stream has been quiet, and how long it may be.
+struct QuietTime {
+    silence: Silence,
+    last_event: Instant,
+    limit: Duration,
+    first: bool,
+}
+
+impl QuietTime {
+    fn new(live: &Live, now: Instant) -> Self {
+        let silence = Silence::new(live.spec.silence, live.spec.adaptive_silence);
+        Self {
+            limit: silence.first_token(),
+            silence,
+            last_event: now,
+            first: true,
+        }
+    }
+
+    /// The rest of the limit; zero once it is used up.
+    fn left(&self, now: Instant) -> Duration {
+        let quiet = now.saturating_duration_since(self.last_event);
+        self.limit.saturating_sub(quiet)
+    }
+
+    /// The wait for the first event is no gap between two tokens, so nothing is learned from it.
+    fn on_event(&mut self, now: Instant) {
+        if !std::mem::take(&mut self.first) {
+            let gap = now.saturating_duration_since(self.last_event);
+            self.silence.on_gap(gap);
+        }
+        self.last_event = now;
+        self.limit = self.silence.next_token();
+    }
+}
+
 enum Taken {
     GoOn,
     Over(Over),
--- a/crates/daemon/cloverpier_daemon/src/config/acceptance.rs
+++ b/crates/daemon/cloverpier_daemon/src/config/acceptance.rs
@@ -71,7 +71,7 @@
 ///
 /// The list of members is read from the platform, after the version was
 /// stored: a router that joins later reads the version itself. Routers that
-/// were taken for dead of late count, too: one that was only cut off may
+/// were considered dead recently count, too: one that was only cut off may
 /// still act on an earlier version; and so do guests, which members tell of.
 /// Where no process listens any more, none acts on anything.
 pub async fn in_force(app: &App, version: u64) -> ConfirmReport {
@@ -111,7 +111,7 @@
     }
 }
 
-/// Members, and those that were taken off the list of late without a planned stop.
+/// Members, and those that were taken off the list recently without a planned stop.
 fn who_may_serve(list: &MemberList) -> Vec<Member> {
     let mut routers = list.members.clone();
     for member in list.history.iter().flat_map(|c| &c.left) {
--- a/crates/daemon/cloverpier_daemon/src/config/change.rs
+++ b/crates/daemon/cloverpier_daemon/src/config/change.rs
@@ -22,7 +22,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The largest plan, in bytes; the platform's values hold a megabyte (the brief).
+/// The largest plan, in bytes: the brief's limit on one value of the platform, a megabyte.
 const PLAN_MOST: usize = 1_000_000;
 /// Tries to store a confirmed plan while others change the root or the platform does not answer.
 /// Chosen, not measured.
@@ -30,7 +30,7 @@
 /// Pause between two tries to store a confirmed plan. Chosen, not measured.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// When an operator comes back to a platform that is down.  Chosen, not measured.
+/// When an operator should retry while the platform is down.  Chosen, not measured.
 const PLATFORM_DOWN_RETRY: Duration = Duration::from_secs(2);
 
 /// A plan as it is stored and shown.
--- a/crates/daemon/cloverpier_daemon/src/error.rs
+++ b/crates/daemon/cloverpier_daemon/src/error.rs
@@ -36,7 +36,7 @@
     pub field: Option<String>,
     /// Whether the request was run.
     pub run: Run,
-    /// When to come back, in milliseconds.
+    /// When to retry, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
@@ -66,7 +66,7 @@
         error
     }
 
-    /// Nothing was run for want of room, a place or a peer; come back later.
+    /// Nothing was run for want of room, a place or a peer; retry later.
     pub fn busy(code: &'static str, message: impl Into<String>, retry: Duration) -> Self {
         Self::not_run(StatusCode::SERVICE_UNAVAILABLE, code, message).after(retry)
     }
@@ -78,7 +78,7 @@
         error
     }
 
-    /// Sets when to come back.
+    /// Sets when to retry.
     #[must_use]
     pub fn after(mut self, retry: Duration) -> Self {
         let ms = u64::try_from(retry.as_millis()).unwrap_or(u64::MAX);
--- a/crates/daemon/cloverpier_daemon/src/members/cluster.rs
+++ b/crates/daemon/cloverpier_daemon/src/members/cluster.rs
@@ -15,7 +15,7 @@
 /// Chosen, not measured.
 const ALONE_AFTER: Duration = Duration::from_secs(4);
 /// Time for which a guest is remembered: longer than `ALONE_AFTER`, as a guest that hears nobody
-/// serves that long.
+/// serves that long. Chosen, not measured.
 const GUEST_KEPT: Duration = Duration::from_secs(6);
 /// Members of each data centre that watch the platform for all, so that one may die. Chosen, not
 /// measured.
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Guests that were heard from of late.
+    /// Guests that were heard from recently.
     ///
     /// They are remembered for longer than one may serve that hears nobody.
     pub fn guests(&mut self, now: Instant) -> Vec<Guest> {
@@ -127,11 +127,6 @@
         self.platform_heard = now;
     }
 
-    /// How long ago a peer was heard from.
-    pub fn peer_silence(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.peer_heard)
-    }
-
     /// Whether this router may take new requests.
     ///
     /// One that hears neither peers nor the platform can't learn of a newer
--- a/crates/daemon/cloverpier_daemon/src/members/join.rs
+++ b/crates/daemon/cloverpier_daemon/src/members/join.rs
@@ -18,9 +18,10 @@
 const TRIES: u32 = 12;
 /// Pause between two tries, jittered. Chosen, not measured.
 const RETRY: Duration = Duration::from_millis(120);
-/// How long one watch waits at the platform (see `config/learn.rs`).
+/// How long one watch waits at the platform, as in `config/learn.rs`. Chosen, not measured.
 const WATCH: Duration = Duration::from_secs(20);
-/// How often a member that is no watcher reads the list itself (see `config/learn.rs`).
+/// How often a member that is no watcher reads the list itself, as in `config/learn.rs`.
+/// Chosen, not measured.
 const LOOK: Duration = Duration::from_secs(30);
 /// How long a peer may take to answer a request to join, or for the list. Chosen, not measured.
 const PEER_TIMEOUT: Duration = Duration::from_millis(800);
@@ -195,7 +196,7 @@
     .await
 }
 
-/// Joins, and joins again when this process was taken for dead.
+/// Joins, and joins again when this process was considered dead.
 pub(super) async fn keep_joined(app: Arc<App>) {
     let mut rejoin = Rejoin::new();
     loop {
@@ -210,7 +211,7 @@
     }
 }
 
-/// While the platform is down, seeds tell who the members are.
+/// While the platform is down, seeds say who the members are.
 async fn ask_seeds(app: &App) {
     for seed in &app.settings.seeds {
         let reply = app
--- a/crates/daemon/cloverpier_daemon/src/members/tick.rs
+++ b/crates/daemon/cloverpier_daemon/src/members/tick.rs
@@ -82,6 +82,7 @@
 
 /// News goes to some members at once, beyond those that get heartbeats anyway.
 fn tell_news(app: &Arc<App>) {
+    /// Members beyond them. Chosen, not measured.
     const EXTRA: usize = 4;
     let others: Vec<MemberId> = app
         .members()
--- a/crates/daemon/cloverpier_daemon/src/plain.rs
+++ b/crates/daemon/cloverpier_daemon/src/plain.rs
@@ -23,10 +23,10 @@
 /// members. Chosen, not measured.
 const KEEP_BODY: usize = 64 << 10;
 
-/// When a caller comes back to a service none of whose upstreams answered.  Chosen, not
+/// When a caller should retry after none of its service's upstreams answered.  Chosen, not
 /// measured.
 const ALL_FAILED_RETRY: Duration = Duration::from_secs(1);
-/// The least time after which a caller comes back whose key could not be written down.
+/// The least pause before a retry when the key could not be stored.
 /// Chosen, not measured.
 const MIN_NOT_WRITTEN_RETRY_MS: u64 = 100;
 
@@ -113,7 +113,7 @@
     hash_of(&format!("{} {}\n{body}", req.method, req.path))
 }
 
-/// Claims the key, dispatches once, and writes down what became of it.
+/// Claims the key, dispatches once, and writes down its outcome.
 async fn call_once(
     app: &Arc<App>,
     service: &ServiceName,
--- a/crates/daemon/cloverpier_daemon/src/web/completions.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/completions.rs
@@ -26,7 +26,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// When a caller comes back whose answer moved to another router.  Chosen, not measured.
+/// When a caller should retry after its answer moved to another router.  Chosen, not measured.
 const MOVED_RETRY: Duration = Duration::from_millis(50);
 
 #[derive(Serialize)]
@@ -99,7 +99,7 @@
     // Whether it may be repeated is part of the request: a retry can't change it.
     ask.body = hash_of(&format!("{repeatable}/{}", ask.body));
     let spec = spec_of(&caller, &ask, repeatable);
-    // A caller that comes back for its answer is served while this router stops.
+    // A caller that resumes its answer is served while this router stops.
     if app.answers.get(&keyed.key).is_none() {
         may_take(app)?;
     }
--- a/crates/daemon/cloverpier_daemon/src/web/request.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/request.rs
@@ -24,7 +24,7 @@
 /// Characters of an idempotency key at most. Chosen, not measured.
 const MAX_KEY: usize = 200;
 
-/// When a caller comes back that has to use another router meanwhile, jittered.  Chosen, not
+/// When a caller should retry, jittered, if it has to use another router meanwhile.  Chosen, not
 /// measured.
 const ELSEWHERE_RETRY: Duration = Duration::from_secs(1);
 
--- a/crates/daemon/cloverpier_peer/src/message.rs
+++ b/crates/daemon/cloverpier_peer/src/message.rs
@@ -113,7 +113,7 @@
         /// The claim.
         claim: ClaimId,
     },
-    /// Write down what became of it.
+    /// Write down its outcome.
     Settle {
         /// The request.
         key: RequestKey,
@@ -161,7 +161,7 @@
     Here {
         /// What the receiver acts on.
         versions: Versions,
-        /// Guests that it heard from of late.
+        /// Guests that it heard from recently.
         guests: Vec<Guest>,
     },
     /// To a borrow.
--- a/crates/daemon/cloverpier_record/src/claim.rs
+++ b/crates/daemon/cloverpier_record/src/claim.rs
@@ -9,7 +9,7 @@
 /// Why a request was not dispatched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// Another claim has the key; its record tells what became of it.
+    /// Another claim has the key; its record holds the outcome.
     Taken(Record),
     /// Not all holders could write the claim down; nothing was dispatched.
     NotWritten {
--- a/crates/daemon/cloverpier_record/src/holder.rs
+++ b/crates/daemon/cloverpier_record/src/holder.rs
@@ -15,7 +15,7 @@
 /// Epochs that a member remembers, bound by the list's history; a slot that has to look further
 /// back is closed.
 pub(crate) const EPOCHS_KEPT: usize = MemberList::HISTORY_KEPT;
-/// When to come back to a slot that is being learned, in milliseconds. Chosen, not measured.
+/// When to retry a slot that is being learned, in milliseconds. Chosen, not measured.
 const NOT_READY_RETRY_MS: u64 = 500;
 
 /// What a member that lacks a slot's records does next.
--- a/crates/daemon/cloverpier_route/src/choose.rs
+++ b/crates/daemon/cloverpier_route/src/choose.rs
@@ -49,7 +49,7 @@
     pub load: u32,
     /// Its cost; the lowest is chosen.
     pub cost: f64,
-    /// Whether it served the same prefix of late.
+    /// Whether it served the same prefix recently.
     pub cached: bool,
 }
 
--- a/crates/daemon/cloverpier_route/src/lib.rs
+++ b/crates/daemon/cloverpier_route/src/lib.rs
@@ -1,7 +1,7 @@
 //! Where each request runs: the view of upstreams, and the choice among them.
 //!
 //! Load reports lag, so a router corrects them with the work that it has in
-//! flight itself; an upstream that never reported isn't taken for idle. The
+//! flight itself; an upstream that never reported isn't considered idle. The
 //! choice weighs two upstreams picked at random (Mitzenmacher, "The power of
 //! two choices in randomized load balancing", 2001) and the one that served
 //! the same prompt prefix last.
--- a/crates/daemon/cloverpier_route/src/silence.rs
+++ b/crates/daemon/cloverpier_route/src/silence.rs
@@ -11,15 +11,17 @@
 const MEAN_WEIGHT: f64 = 0.125;
 /// Weight of a new gap in the deviation, from the same paper.
 const DEVIATION_WEIGHT: f64 = 0.25;
-/// Deviations above the mean that are still taken for life (4acca16: wait after a frozen engine
+/// Deviations above the mean that are still an ordinary gap (4acca16: wait after a frozen engine
 /// 1,021 -> 246 ms, p50; no other number was tried).
 const DEVIATIONS: f64 = 8.0;
-/// Means that are still taken for life: a batch that grows makes steps longer, not ten times.
+/// Means that are still an ordinary gap: a growing batch makes steps longer, but not ten times.
 /// Chosen, not measured.
 const MEANS: f64 = 6.0;
-/// The narrowest bound: a prompt that is worked off stops the whole batch for about so long.
+/// The shortest limit: reading a prompt stops the whole batch for about so long. Chosen, not
+/// measured.
 const LEAST: Duration = Duration::from_millis(250);
-/// The first token may take so many times the bound: it waits for its place and its prefill.
+/// The first token may take so many times the limit: it waits for its place and its prefill.
+/// Chosen, not measured.
 const FIRST_TOKEN_FACTOR: u32 = 4;
 
 /// The bound on one stream's silence.
--- a/crates/router/cloverpier_router/src/connection.rs
+++ b/crates/router/cloverpier_router/src/connection.rs
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     ///
-    /// [`SendBroke`], which tells whether anything was written.
+    /// [`SendBroke`], which says whether anything was written.
     pub async fn send(&mut self, request: WholeRequest) -> Result<Response<Incoming>, SendBroke> {
         self.requests += 1;
         let sent = self.sender.try_send_request(request).await;
--- a/crates/router/cloverpier_router/src/decision_log.rs
+++ b/crates/router/cloverpier_router/src/decision_log.rs
@@ -44,7 +44,7 @@
     pub age_ms: u64,
 }
 
-/// A send brought no success.
+/// A send failed.
 #[derive(Serialize)]
 pub(crate) struct SendFailed<'a> {
     pub request: &'a str,
@@ -132,7 +132,7 @@
     pub service: &'a str,
     /// The prompt.
     pub prompt: PromptKey,
-    /// Engines that were asked of late, for any prompt.
+    /// Engines that were asked recently, for any prompt.
     pub engines_asked_of_late: usize,
     /// Whether one of them has it.
     pub found: bool,
--- a/crates/router/cloverpier_router/src/health.rs
+++ b/crates/router/cloverpier_router/src/health.rs
@@ -22,7 +22,7 @@
     /// Since when a probe is under way.
     pub probing_since: Cell<Option<Instant>>,
     is_dead: Cell<bool>,
-    /// Wakes those who wait when it is declared dead.
+    /// Wakes the waiting tasks when the upstream is declared dead.
     pub declared_dead: Notify,
     /// Carries probes and searches, over a connection of their own.
     pub client: HttpClient,
--- a/crates/router/cloverpier_router/src/heartbeats.rs
+++ b/crates/router/cloverpier_router/src/heartbeats.rs
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 use tokio::net::UdpSocket;
 
-/// Sends heartbeats and changes for as long as the process runs.
+/// Sends heartbeats and changes until the process ends.
 pub(crate) async fn send_messages(router: Rc<Router>, socket: Rc<UdpSocket>) {
     let mut turn = HeartbeatTurn::default();
     let mut next_heartbeat = router.now();
@@ -146,7 +146,7 @@
     })
 }
 
-/// Receives messages for as long as the process runs.
+/// Receives messages until the process ends.
 pub(crate) async fn receive_messages(router: Rc<Router>, socket: Rc<UdpSocket>) {
     let mut buf = vec![0; MAX_DATAGRAM];
     let mut is_reported = false;
--- a/crates/router/cloverpier_router/src/http_client.rs
+++ b/crates/router/cloverpier_router/src/http_client.rs
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A call brought no answer.
+/// A call got no answer.
 #[derive(Debug, Snafu)]
 pub enum CallError {
     /// No connection came up.
--- a/crates/router/cloverpier_router/src/peer_fetch.rs
+++ b/crates/router/cloverpier_router/src/peer_fetch.rs
@@ -42,7 +42,7 @@
 /// Connections to peers, one each, kept until a fetch fails.
 type Clients = HashMap<SocketAddr, Rc<HttpClient>>;
 
-/// Fetches versions that peers have and this router lacks, for as long as the process runs.
+/// Fetches versions that peers have and this router lacks, until the process ends.
 pub(crate) async fn fetch_newer(router: Rc<Router>) {
     let mut clients = Clients::new();
     let mut is_failing = false;
--- a/crates/router/cloverpier_router/src/probe.rs
+++ b/crates/router/cloverpier_router/src/probe.rs
@@ -81,7 +81,7 @@
     router.log.info(event, &line);
 }
 
-/// Checks suspects for signs of life, for as long as the process runs.
+/// Checks suspects for signs of life, until the process ends.
 pub(crate) async fn check_suspects(router: Rc<Router>) {
     loop {
         tokio::time::sleep(CHECK_PERIOD).await;
--- a/crates/router/cloverpier_router/src/prompts.rs
+++ b/crates/router/cloverpier_router/src/prompts.rs
@@ -21,7 +21,7 @@
     /// Where the prompts of running streams were read, for heartbeats.
     running: RefCell<HashMap<PromptKey, UpstreamKey>>,
     pub searches: RefCell<SearchState>,
-    /// Wakes those who wait for a search when a question has ended.
+    /// Wakes the tasks that wait for a search when a question has ended.
     pub question_ended: Notify,
 }
 
--- a/crates/router/cloverpier_router/src/reply.rs
+++ b/crates/router/cloverpier_router/src/reply.rs
@@ -55,7 +55,7 @@
     reply
 }
 
-/// The reply to a refused request, which has not run: why, and when to come back.
+/// The reply to a refused request, which has not run: why, and when to retry.
 pub(crate) fn refusal_reply(error: &str, refusal: Refusal) -> Reply {
     let mut reply = own_reply(StatusCode::SERVICE_UNAVAILABLE, error);
     let seconds = retry_after(refusal).as_secs_f64();
--- a/crates/router/cloverpier_router/src/router.rs
+++ b/crates/router/cloverpier_router/src/router.rs
@@ -102,7 +102,7 @@
         router_state(self.lifecycle.is_stopping(), self.store.is_serving())
     }
 
-    /// How long after its last heartbeat a peer is taken for alive.
+    /// How long after its last heartbeat a peer is considered alive.
     pub(crate) fn peer_timeout(&self) -> Duration {
         let interval = self.settings().heartbeat;
         peer_timeout(interval, self.peers.addresses().len())
--- a/crates/router/cloverpier_router/src/source.rs
+++ b/crates/router/cloverpier_router/src/source.rs
@@ -2,7 +2,7 @@
 //!
 //! The adapter of a platform implements [`ConfigurationSource`] and translates the
 //! platform's objects at that edge; [`crate::store_sync`] calls it. An implementation decides
-//! nothing: it makes one call and returns what came of it.
+//! nothing: it makes one call and returns the outcome.
 
 use cloverpier_router_policy::prelude::*;
 use snafu::Snafu;
--- a/crates/router/cloverpier_router/src/start.rs
+++ b/crates/router/cloverpier_router/src/start.rs
@@ -109,7 +109,7 @@
     log_dependency(router, "process.started", "process", &reason);
 }
 
-/// Drops what cannot be used again, for as long as the process runs.
+/// Drops what cannot be used again, until the process ends.
 async fn sweep(router: Rc<Router>, dropped: DroppedLines) {
     loop {
         tokio::time::sleep(SWEEP_PERIOD).await;
--- a/crates/router/cloverpier_router/src/store_sync.rs
+++ b/crates/router/cloverpier_router/src/store_sync.rs
@@ -63,7 +63,7 @@
     false
 }
 
-/// Watches the configuration for as long as the process runs.
+/// Watches the configuration until the process ends.
 pub(crate) async fn watch_configuration(router: Rc<Router>, source: Rc<impl ConfigurationSource>) {
     let mut backoff = Backoff::new(Watched::Configuration);
     let mut pacing = CallPacing::default();
@@ -96,7 +96,7 @@
     }
 }
 
-/// Watches the list of upstreams for as long as the process runs.
+/// Watches the list of upstreams until the process ends.
 pub(crate) async fn watch_upstreams(router: Rc<Router>, source: Rc<impl ConfigurationSource>) {
     let mut backoff = Backoff::new(Watched::Upstreams);
     let mut pacing = CallPacing::default();
@@ -155,7 +155,7 @@
     revision
 }
 
-/// Pings the store while watches wait, for as long as the process runs.
+/// Pings the store while watches wait, until the process ends.
 pub(crate) async fn ping_store(router: Rc<Router>, source: Rc<impl ConfigurationSource>) {
     let mut is_silent = false;
     loop {
--- a/crates/router/cloverpier_router/src/web.rs
+++ b/crates/router/cloverpier_router/src/web.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Accepts connections for as long as the process runs.
+/// Accepts connections until the process ends.
 pub(crate) async fn serve<H, F>(router: Rc<Router>, listener: TcpListener, handle: H)
 where
     H: Fn(Rc<Router>, Request<Incoming>) -> F + Copy + 'static,
--- a/crates/router/cloverpier_router/src/wire_names.rs
+++ b/crates/router/cloverpier_router/src/wire_names.rs
@@ -57,7 +57,7 @@
     pub directory: &'static str,
     /// Whether a model engine answers at all; asked of an engine.
     pub engine_report: &'static str,
-    /// Which prompts an engine has read of late; asked of an engine.
+    /// Which prompts an engine has read recently; asked of an engine.
     pub engine_cache: &'static str,
 }
 
--- a/crates/router/cloverpier_router_policy/src/attempt_failure.rs
+++ b/crates/router/cloverpier_router_policy/src/attempt_failure.rs
@@ -49,7 +49,7 @@
     pub is_encoded: bool,
 }
 
-/// Why an attempt brought no success.
+/// Why an attempt failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
     /// No connection came up.
@@ -108,7 +108,7 @@
     EventTooLong,
     /// No upstream has the request at present.
     NoSource,
-    /// The upstream is taken for dead.
+    /// The upstream is considered dead.
     UpstreamDead,
     /// The upstream lives, but this answer does not progress.
     Stalled,
--- a/crates/router/cloverpier_router_policy/src/attempts.rs
+++ b/crates/router/cloverpier_router_policy/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Retry or stop: what follows an attempt that brought no success.
+//! Retry or stop: what follows an attempt that failed.
 //!
 //! - **Question.** May this request go to another upstream, and if not, what may its
 //!   caller be told?
@@ -35,7 +35,7 @@
     }
 }
 
-/// What an attempt that brought no success says about the request's run.
+/// What an attempt that failed says about the request's run.
 ///
 /// [`crate::attempt_failure::AttemptFailure::outcome`] derives it from what happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -60,7 +60,7 @@
     }
 }
 
-/// What to do after an attempt that brought no success.
+/// What to do after an attempt that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NextStep {
--- a/crates/router/cloverpier_router_policy/src/heartbeat.rs
+++ b/crates/router/cloverpier_router_policy/src/heartbeat.rs
@@ -1,7 +1,7 @@
 //! Which peers are sent what, and how long it counts.
 //!
 //! - **Question.** Who gets this heartbeat or change, and after what silence is a peer not
-//!   taken for alive any more?
+//!   considered alive any more?
 //! - **Inputs.** The heartbeat interval of the settings; the peers that are known; whether
 //!   peers rely on this router for the store.
 //! - **Answer.** Addresses; durations.
@@ -37,7 +37,7 @@
 /// Upstreams, suspects or prompts in one message; with 64 of each a message stays within
 /// [`MAX_DATAGRAM`].  Chosen, not measured.
 pub const MAX_ENTRIES: usize = 64;
-/// Bytes of the longest datagram that is read.
+/// Bytes of the longest datagram that is read. Chosen, not measured.
 pub const MAX_DATAGRAM: usize = 8_192;
 /// Least pause between two rounds of sending, so that a burst of changes is one message.
 /// Chosen, not measured.
@@ -46,7 +46,7 @@
 /// forgotten.  Chosen, not measured.
 pub const SEED_PERIOD: Duration = Duration::from_secs(2);
 
-/// How long after its last heartbeat a peer is taken for alive.
+/// How long after its last heartbeat a peer is considered alive.
 pub fn peer_timeout(heartbeat_interval: Duration, known_peers: usize) -> Duration {
     let turns = u32::try_from(known_peers.div_ceil(PEERS_PER_TURN)).unwrap_or(u32::MAX);
     let between_two = heartbeat_interval * turns.max(1);
--- a/crates/router/cloverpier_router_policy/src/refusal.rs
+++ b/crates/router/cloverpier_router_policy/src/refusal.rs
@@ -21,7 +21,7 @@
 /// Another router serves at once.  Chosen, not measured.
 const STOPPING_WAIT: Duration = Duration::from_millis(10);
 /// A directory without a ready router learns of one by the next heartbeat (200 ms, the
-/// setting's default).
+/// setting's default). Not measured apart.
 const DIRECTORY_WAIT: Duration = Duration::from_millis(200);
 
 /// Why a caller is refused.
--- a/crates/router/cloverpier_router_policy/tests/attempts.rs
+++ b/crates/router/cloverpier_router_policy/tests/attempts.rs
@@ -3,7 +3,7 @@
 use cloverpier_router_policy::prelude::*;
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
-/// One send: what came of it, and whether the retry budget had a repeat left.
+/// One send: the outcome, and whether the retry budget had a repeat left.
 #[derive(Clone, Copy, Debug)]
 struct Send {
     outcome: AttemptOutcome,
--- a/tools/src/soak/checks.rs
+++ b/tools/src/soak/checks.rs
@@ -146,7 +146,7 @@
     }
 }
 
-/// A refusal at the end of its time can't tell when to come back.
+/// A refusal at the end of its time can't tell when to retry.
 fn is_late(sent: &Sent) -> bool {
     let took = sent.ended.saturating_duration_since(sent.at);
     took + Duration::from_millis(100) >= sent.request.deadline.min(Duration::from_secs(3))
--- a/tools/src/soak/load.rs
+++ b/tools/src/soak/load.rs
@@ -17,7 +17,7 @@
 /// Requests in flight at most.
 const MOST_IN_FLIGHT: usize = 400;
 
-/// A request that was sent, and what came of it.
+/// A request that was sent, and the outcome.
 #[derive(Clone, Debug)]
 pub struct Sent {
     /// The request.
