--- a/crates/daemon/cloverpier_admit/src/queue.rs
+++ b/crates/daemon/cloverpier_admit/src/queue.rs
@@ -84,6 +84,7 @@
     }
 
     fn place_of(&self, ticket: Ticket, req: &Waiting) -> Place {
+        // An account without a turn so far starts at the present virtual time.
         let finish = self.finish.get(&req.account).copied().unwrap_or(0);
         Place {
             lack: u8::MAX - req.priority,
--- a/crates/daemon/cloverpier_answer/src/answer.rs
+++ b/crates/daemon/cloverpier_answer/src/answer.rs
@@ -104,6 +104,7 @@
         let mut chains = Vec::with_capacity(tokens.len() + 1);
         chains.push(Chain::EMPTY);
         for token in &tokens {
+            // Never empty: the first entry was pushed above.
             let last = chains.last().copied().unwrap_or_default();
             chains.push(last.push(token));
         }
@@ -244,6 +245,7 @@
 
     /// The digest of all accepted tokens.
     pub fn chain(&self) -> Chain {
+        // Never empty: `chains[0]` is the digest of no tokens.
         self.chains.last().copied().unwrap_or_default()
     }
 
@@ -254,12 +256,14 @@
 
     /// The accepted tokens from an offset on.
     pub fn tokens_from(&self, offset: u64) -> &[Arc<str>] {
+        // Beyond the end there are none.
         let offset = usize::try_from(offset).unwrap_or(usize::MAX);
         self.tokens.get(offset..).unwrap_or_default()
     }
 
     /// Tokens that the caller may see from an offset on.
     pub fn released_from(&self, offset: u64) -> &[Arc<str>] {
+        // From the end on there are none.
         let end = usize::try_from(self.copied).unwrap_or(usize::MAX);
         let offset = usize::try_from(offset).unwrap_or(usize::MAX);
         self.tokens.get(offset..end).unwrap_or_default()
--- a/crates/daemon/cloverpier_answer/src/copies.rs
+++ b/crates/daemon/cloverpier_answer/src/copies.rs
@@ -269,6 +269,7 @@
     if entry.offset > known {
         return AppendReply::Gap { tokens: known };
     }
+    // Too many to count are all of them.
     let skip = usize::try_from(known - entry.offset).unwrap_or(usize::MAX);
     copy.tokens.extend(entry.tokens.into_iter().skip(skip));
     if let Some(head) = entry.head {
--- a/crates/daemon/cloverpier_cli/src/args.rs
+++ b/crates/daemon/cloverpier_cli/src/args.rs
@@ -36,6 +36,7 @@
 }
 
 fn from_env(name: &str) -> Option<SocketAddr> {
+    // An address that cannot be read counts as none; the caller then names both ways to give it.
     std::env::var(name).ok()?.parse().ok()
 }
 
--- a/crates/daemon/cloverpier_cli/src/caller.rs
+++ b/crates/daemon/cloverpier_cli/src/caller.rs
@@ -16,6 +16,7 @@
     let address = args
         .address()
         .ok_or_else(|| Outcome::Usage(missing.to_owned()))?;
+    // Without a key the router refuses the call and says so.
     let key = std::env::var("CLOVERPIER_KEY").unwrap_or_default();
     Ok((Caller::new(address, &key), address))
 }
@@ -65,6 +66,7 @@
     let streamed = caller.generate(&what, |token| {
         if !quiet {
             print!("{}", token.text);
+            // Closed output is no reason to end the call: its result is reported by the exit code.
             let _ = std::io::stdout().flush();
         }
     });
--- a/crates/daemon/cloverpier_cli/src/operator.rs
+++ b/crates/daemon/cloverpier_cli/src/operator.rs
@@ -16,11 +16,13 @@
     let router = args
         .router()
         .ok_or_else(|| Outcome::Usage(missing.to_owned()))?;
+    // Without a key the router refuses the call and says so.
     let key = std::env::var("CLOVERPIER_OPERATOR_KEY").unwrap_or_default();
     Ok(Operator::new(router, &key))
 }
 
 fn print_json<T: Serialize>(value: &T) {
+    // The types printed here have only text keys, so they can always be written as JSON.
     println!("{}", serde_json::to_string(value).unwrap_or_default());
 }
 
@@ -141,6 +143,7 @@
         Ok(config) => {
             println!(
                 "{}",
+                // As in `print_json`.
                 serde_json::to_string_pretty(&config).unwrap_or_default()
             );
             Outcome::Done
@@ -174,6 +177,7 @@
 }
 
 fn rows(list: &Value, fields: &[&str]) -> Vec<Vec<String>> {
+    // A field that is no list is shown as an empty table.
     let list = list.as_array().cloned().unwrap_or_default();
     let row = |one: &Value| fields.iter().map(|f| cell(&one[*f])).collect();
     list.iter().map(row).collect()
@@ -214,6 +218,7 @@
     match operator.leave(&drain.upstream).await {
         Err(e) => Outcome::Failed(e.to_string()),
         Ok(left) => {
+            // A reply without the field names no router that was not told.
             let not_told = left["not_told"].as_array().cloned().unwrap_or_default();
             if args.json {
                 print_json(&left);
--- a/crates/daemon/cloverpier_client/src/caller.rs
+++ b/crates/daemon/cloverpier_client/src/caller.rs
@@ -174,7 +174,7 @@
             .tcp_nodelay(true)
             .build();
         Self {
-            http: http.unwrap_or_default(),
+            http: http.expect("a client without TLS can always be built"),
             key: key.to_owned(),
             known: Mutex::new(Known {
                 addresses: vec![ask],
@@ -224,6 +224,7 @@
     /// Where it goes after so many connections that did not end it.
     fn pick(&self, first: usize, connections: u32) -> SocketAddr {
         let known = cloverpier_core::lock(&self.known);
+        // Only a place in the rotation.
         let turn = first + usize::try_from(connections).unwrap_or(0);
         known.addresses[turn % known.addresses.len()]
     }
@@ -285,6 +286,7 @@
             return Connection::Refused(refusal(res).await);
         }
         if let Some(key) = res.headers().get("Idempotency-Key") {
+            // Routers write keys as text only.
             progress.key = key.to_str().unwrap_or_default().to_owned();
         }
         read_events(Events::new(res), router, progress, on_token).await
@@ -338,6 +340,7 @@
         let run = run_of(&res);
         match res.text().await {
             Ok(body) => Ok(PlainReply { status, run, body }),
+            // A reply that broke off is no reply.
             Err(_) => NoRouterSnafu.fail(),
         }
     }
@@ -372,6 +375,7 @@
 
 fn run_of(res: &Response) -> String {
     let run = res.headers().get("cloverpier-run");
+    // Not every reply says whether the request ran; none is an empty text.
     run.and_then(|v| v.to_str().ok())
         .unwrap_or_default()
         .to_owned()
@@ -380,6 +384,7 @@
 async fn refusal(res: Response) -> CallError {
     let status = res.status().as_u16();
     let run = run_of(&res);
+    // The status alone says that it was refused; a body that broke off is left out.
     let body = res.text().await.unwrap_or_default();
     CallError::Refused { status, run, body }
 }
--- a/crates/daemon/cloverpier_client/src/operator.rs
+++ b/crates/daemon/cloverpier_client/src/operator.rs
@@ -87,6 +87,7 @@
         let res = sent.context(UnreachableSnafu)?;
         let status = res.status();
         if !status.is_success() {
+            // The status alone says that it was refused; a body that broke off is left out.
             let body = res.text().await.unwrap_or_default();
             let status = status.as_u16();
             return DeniedSnafu { status, body }.fail();
@@ -177,6 +178,7 @@
             return Ok(());
         }
         let status = res.status().as_u16();
+        // As above.
         let body = res.text().await.unwrap_or_default();
         DeniedSnafu { status, body }.fail()
     }
--- a/crates/daemon/cloverpier_client/src/progress.rs
+++ b/crates/daemon/cloverpier_client/src/progress.rs
@@ -58,6 +58,8 @@
         if event.data == "[DONE]" {
             return Step::Done;
         }
+        // Data that is no JSON counts as having no fields; as a token it is an empty one, and the
+        // digest of the whole answer shows that something is missing.
         let data: Value = serde_json::from_str(&event.data).unwrap_or_default();
         if event.kind.as_deref() == Some("error") {
             return self.failed(&data);
--- a/crates/daemon/cloverpier_config/src/parts.rs
+++ b/crates/daemon/cloverpier_config/src/parts.rs
@@ -94,6 +94,7 @@
 
 fn index_of(kind: &str, name: &str) -> usize {
     let parts = PART_COUNT as u64;
+    // Below `PART_COUNT`, so it always fits.
     usize::try_from(hash_of(&format!("{kind}/{name}")) % parts).unwrap_or(0)
 }
 
--- a/crates/daemon/cloverpier_daemon/src/answers/live.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/live.rs
@@ -254,6 +254,7 @@
     if !tokens.is_empty() {
         let event = |i: u64| EventId {
             tokens: offset + i + 1,
+            // Released tokens are accepted ones, so their digest is known.
             chain: s.answer.chain_at(offset + i + 1).unwrap_or_default(),
             holder: s.copy.holder().cloned(),
         };
--- a/crates/daemon/cloverpier_daemon/src/answers/run.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/run.rs
@@ -236,6 +236,7 @@
     let limit = Silence::new(live.spec.silence, false).first_token();
     let started = tokio::time::timeout(limit, engine.generate(&body)).await;
     match started {
+        // Only the timeout can fail here.
         Err(_) => Over::Failed {
             why: "no answer to the order",
             ran: true,
@@ -266,6 +267,7 @@
     };
     let engine = app.engines.engine(address);
     let started = tokio::time::timeout(live.spec.silence, engine.resume(&body)).await;
+    // Late, refused or broken are one here: the caller of this starts a new attempt.
     let stream = started.ok()?.ok()?;
     live.change(|s| {
         s.answer.adopt_attempt(source.attempt);
@@ -370,6 +372,7 @@
         Ok(Some(event)) => event,
         Ok(None) => return Taken::Over(failed("closed before the end")),
         Err(StreamError::Lost { .. }) => return Taken::Over(failed("connection broken")),
+        // All other errors are of the form of an event.
         Err(_) => return Taken::Over(failed("unreadable")),
     };
     let (step, last) = live.change(|s| match event {
--- a/crates/daemon/cloverpier_daemon/src/app.rs
+++ b/crates/daemon/cloverpier_daemon/src/app.rs
@@ -9,7 +9,7 @@
 use cloverpier_config::{Applied, Config};
 use cloverpier_core::{Clock, SystemClock, hash_of, lock, wall_ms};
 use cloverpier_member::{Member, MemberList};
-use cloverpier_object_api::Platform;
+use cloverpier_object_api::{Platform, ReadError};
 use cloverpier_observe::{Log, Metrics};
 use cloverpier_peer::{PeerReply, PeerRequest, Peers, Versions};
 use cloverpier_record::{Horizon, Records};
@@ -17,6 +17,7 @@
 use cloverpier_settings::DaemonSettings;
 use cloverpier_upstream::Engines;
 use reqwest::Client;
+use serde::Serialize;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -163,8 +164,15 @@
         timeout: Duration,
     ) -> Option<PeerReply> {
         let peers_at = self.members().get(member)?.peers_at;
+        // The detector learns of silent peers by heartbeats; for a call, silent and refused are one.
         self.peers.call(peers_at, request, timeout).await.ok()
     }
+
+    /// Logs that an object could not be read from the platform; the reader retries.
+    pub(crate) fn log_unread(&self, object: &str, error: &ReadError) {
+        let error = error.to_string();
+        self.log.warn("platform.unread", &Unread { object, error });
+    }
 }
 
 /// How long a connection to a plain service may take to come up.  Chosen, not measured.
@@ -179,3 +187,10 @@
         .build();
     client.expect("a client without TLS and proxies can always be built")
 }
+
+/// An object could not be read from the platform.
+#[derive(Serialize)]
+struct Unread<'a> {
+    object: &'a str,
+    error: String,
+}
--- a/crates/daemon/cloverpier_daemon/src/config/change.rs
+++ b/crates/daemon/cloverpier_daemon/src/config/change.rs
@@ -72,6 +72,7 @@
 /// Reads the configuration as the platform holds it.
 async fn read_config(app: &App) -> Result<(u64, Root, Config), ApiError> {
     let read = app.platform.read::<Root>(ROOT_KEY).await;
+    // Before the first change nothing is stored.
     let Found { version, value } = read.map_err(platform_down)?.unwrap_or(Found {
         version: 0,
         value: Root::default(),
@@ -170,6 +171,7 @@
 async fn try_confirm(app: &App, report: &PlanReport) -> Try {
     let (stored, root, config) = match read_config(app).await {
         Ok(read) => read,
+        // The platform is down or slow; the caller of this learns so once the tries are used up.
         Err(_) => return Try::Again,
     };
     if root.has_plan(&report.id) {
@@ -206,6 +208,7 @@
         let key = format!("{PART_PREFIX}{}", digest.as_str());
         match app.platform.write(&key, 0, part).await {
             Ok(_) | Err(WriteError::Conflict { .. }) => {}
+            // All parts are stored anew by the next try; those already there do no harm.
             Err(_) => return false,
         }
     }
--- a/crates/daemon/cloverpier_daemon/src/config/learn.rs
+++ b/crates/daemon/cloverpier_daemon/src/config/learn.rs
@@ -65,7 +65,8 @@
                     note_learned(&app);
                 }
             }
-            Err(_) => {
+            Err(error) => {
+                app.log_unread(ROOT_KEY, &error);
                 let wait = jitter(&mut lock(&app.rng), RETRY);
                 tokio::time::sleep(wait).await;
             }
@@ -147,6 +148,7 @@
 
 async fn read_part(app: &App, digest: &PartDigest) -> Option<Part> {
     let key = format!("{PART_PREFIX}{}", digest.as_str());
+    // A part that cannot be read is asked for again with the next version or look.
     let found = app.platform.read::<Part>(&key).await.ok()??;
     Some(found.value)
 }
@@ -177,6 +179,7 @@
     loop {
         let ours = lock(&app.view).marks().clone();
         if ours != stored || !app.has_learned() {
+            // Marks that could not be stored are stored in a later round.
             stored = store_marks(&app).await.unwrap_or(stored);
         }
         tokio::time::sleep(MARKS_PERIOD).await;
@@ -186,6 +189,7 @@
 /// Joins the stored marks with this router's; `None` when the platform didn't answer.
 async fn store_marks(app: &App) -> Option<LeaveMarks> {
     let read = app.platform.read::<LeaveMarks>(MARKS_KEY).await.ok()?;
+    // Before the first mark nothing is stored.
     let found = read.unwrap_or(Found {
         version: 0,
         value: LeaveMarks::default(),
--- a/crates/daemon/cloverpier_daemon/src/error.rs
+++ b/crates/daemon/cloverpier_daemon/src/error.rs
@@ -102,12 +102,14 @@
 
     /// The error as JSON text.
     pub fn json(&self) -> String {
+        // The type has only text keys, so it can always be written as JSON.
         serde_json::to_string(&Body { error: self }).unwrap_or_default()
     }
 
     /// Answers with the error.
     pub fn render(&self, res: &mut Response) {
         let status = StatusCode::from_u16(self.status);
+        // Only codes of this crate are set, all of which exist.
         res.status_code(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
         if let Some(ms) = self.retry_after_ms {
             let seconds = ms.div_ceil(1_000);
--- a/crates/daemon/cloverpier_daemon/src/loads.rs
+++ b/crates/daemon/cloverpier_daemon/src/loads.rs
@@ -62,6 +62,7 @@
     let report = LoadReport {
         running: load.running,
         waiting: load.waiting,
+        // An age from before this machine started counts as none.
         at: now.checked_sub(age).unwrap_or(now),
     };
     {
--- a/crates/daemon/cloverpier_daemon/src/main.rs
+++ b/crates/daemon/cloverpier_daemon/src/main.rs
@@ -37,6 +37,7 @@
         println!("{}: the settings can stand", args.settings);
         return ExitCode::SUCCESS;
     }
+    // `DaemonSettings::parse` takes the known levels only.
     init_logs(settings.log_level.parse().unwrap_or(log::LevelFilter::Info));
     run(App::new(settings)).await;
     ExitCode::SUCCESS
--- a/crates/daemon/cloverpier_daemon/src/members/join.rs
+++ b/crates/daemon/cloverpier_daemon/src/members/join.rs
@@ -102,11 +102,15 @@
 async fn try_update(app: &App, change: &impl Fn(&MemberList) -> Option<MemberList>) -> Try {
     let read = app.platform.read::<MemberList>(MEMBERS_KEY).await;
     let found = match read {
+        // Before the first member nothing is stored.
         Ok(found) => found.unwrap_or(Found {
             version: 0,
             value: MemberList::default(),
         }),
-        Err(_) => return Try::Again,
+        Err(error) => {
+            app.log_unread(MEMBERS_KEY, &error);
+            return Try::Again;
+        }
     };
     lock(&app.cluster).on_platform(app.now());
     let Some(next) = change(&found.value) else {
@@ -246,7 +250,8 @@
                     adopt(&app, &found.value, "platform");
                 }
             }
-            Err(_) => {
+            Err(error) => {
+                app.log_unread(MEMBERS_KEY, &error);
                 let wait = jitter(&mut lock(&app.rng), PLATFORM_RETRY);
                 tokio::time::sleep(wait).await;
             }
--- a/crates/daemon/cloverpier_daemon/src/plain.rs
+++ b/crates/daemon/cloverpier_daemon/src/plain.rs
@@ -83,6 +83,7 @@
     let result = call_plain(&app.plain, chosen.address, req).await;
     match &result {
         Ok(_) => lock(&app.view).on_success(&chosen.upstream),
+        // Whatever the cause, it counts as a failure of the upstream.
         Err(_) => lock(&app.view).on_failure(&chosen.upstream, app.now()),
     }
     release(app, chosen);
@@ -100,6 +101,7 @@
         let chosen = place(app, service, key, &failed)?;
         match try_at(app, &chosen, req).await {
             Ok(answer) => return Ok(answer),
+            // `try_at` has counted it; the next try goes elsewhere.
             Err(_) => failed.push(chosen.upstream),
         }
     }
--- a/crates/daemon/cloverpier_daemon/src/web/callers.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/callers.rs
@@ -83,6 +83,7 @@
     let ranked = lenders(&caller.name, &members);
     let mut ordered: Vec<Member> = ranked.into_iter().cloned().collect();
     let needed = 1 + caller.account.tokens_per_s / TOKENS_A_ROUTER;
+    // Too many to count are all of them.
     let needed = usize::try_from(needed).unwrap_or(usize::MAX);
     let spread = needed.min(ordered.len());
     lock(&app.rng).shuffle(&mut ordered[..spread]);
--- a/crates/daemon/cloverpier_daemon/src/web/completion_body.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/completion_body.rs
@@ -69,6 +69,7 @@
     Ok(Completion {
         adapter: adapter(caller, &fields)?,
         stream: flag(&fields, "stream")?,
+        // Both were checked against their bounds above.
         max_tokens: u32::try_from(asked.unwrap_or(DEFAULT_TOKENS.min(most))).unwrap_or(1),
         priority: u8::try_from(priority.unwrap_or(0)).unwrap_or(0),
         prompt: Arc::from(prompt),
--- a/crates/daemon/cloverpier_daemon/src/web/operators.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/operators.rs
@@ -84,6 +84,7 @@
     res: &mut Response,
     ctrl: &mut FlowCtrl,
 ) {
+    // No header is no key, which is never the right one.
     let header = req.header::<String>("Authorization").unwrap_or_default();
     let key = header.strip_prefix("Bearer ").unwrap_or_default();
     let app = app_of(depot);
@@ -105,6 +106,7 @@
 }
 
 fn plan_id(req: &Request) -> PlanId {
+    // The route has the parameter, so it is always there.
     PlanId::new(req.param::<String>("id").unwrap_or_default())
 }
 
@@ -156,6 +158,7 @@
 #[handler]
 async fn leave(req: &mut Request, depot: &mut Depot, res: &mut Response) {
     let app = app_of(depot);
+    // The route has the parameter, so it is always there.
     let upstream = UpstreamName::new(req.param::<String>("upstream").unwrap_or_default());
     let result = config::leave_upstream(&app, &upstream).await;
     render(res, result.map(|not_told| Left { upstream, not_told }));
--- a/crates/daemon/cloverpier_daemon/src/web/peers.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/peers.rs
@@ -13,6 +13,7 @@
 use cloverpier_record::{ClaimId, Outcome, Slot};
 use salvo::http::StatusCode;
 use salvo::prelude::*;
+use serde::Serialize;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,6 +24,12 @@
 /// How long a silent member may take to answer a probe for another one. Chosen, not measured.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
+/// A reply to a peer could not be written as a message.
+#[derive(Serialize)]
+struct Unanswered {
+    error: String,
+}
+
 /// Starts the part.
 pub fn start(app: &Arc<App>) {
     let router = Router::new()
@@ -48,12 +55,14 @@
 #[handler]
 async fn peer(req: &mut Request, depot: &mut Depot, res: &mut Response) {
     let app = app_of(depot);
+    // No header is no secret, which is never the right one.
     let secret = req.header::<String>(PEER_HEADER).unwrap_or_default();
     if !same_secret(&secret, app.settings.peer_secret.reveal()) {
         res.status_code(StatusCode::UNAUTHORIZED);
         return;
     }
     let message = req.payload_with_max_size(MAX_MESSAGE).await;
+    // The sender gets a 400, and treats it as a call that failed.
     let request = message.ok().and_then(|bytes| decode(bytes).ok());
     let Some(request) = request else {
         res.status_code(StatusCode::BAD_REQUEST);
@@ -66,7 +75,13 @@
             // Writing to a body that was just made can't fail.
             let _ = res.write_body(bytes);
         }
-        Err(_) => {
+        Err(error) => {
+            app.log.warn(
+                "peer.unanswered",
+                &Unanswered {
+                    error: error.to_string(),
+                },
+            );
             res.status_code(StatusCode::INTERNAL_SERVER_ERROR);
         }
     }
--- a/crates/daemon/cloverpier_daemon/src/web/request.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/request.rs
@@ -72,6 +72,7 @@
 ///
 /// [`ApiError`] when there is no such account or the key is wrong.
 pub fn caller(app: &App, req: &Request) -> Result<Caller, ApiError> {
+    // No header is no key, which is that of no account.
     let header = req.header::<String>("Authorization").unwrap_or_default();
     let key = header.strip_prefix("Bearer ").unwrap_or_default().trim();
     let config = app.config();
@@ -189,6 +190,7 @@
 ///
 /// [`ApiError`] when it is too large or broken off.
 pub async fn raw_body(req: &mut Request) -> Result<bytes::Bytes, ApiError> {
+    // Without a declared length the limit below still holds.
     let declared = req.header::<usize>("Content-Length").unwrap_or(0);
     let too_large = || {
         let message = format!("expected at most {MAX_BODY} bytes");
--- a/crates/daemon/cloverpier_daemon/src/web/services.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/services.rs
@@ -36,6 +36,7 @@
 async fn pass_on(app: &Arc<App>, req: &mut Request) -> Result<PlainAnswer, ApiError> {
     may_take(app)?;
     let caller = caller(app, req)?;
+    // The route has the parameter, so it is always there.
     let name = req.param::<String>("service").unwrap_or_default();
     let (service, config) = caller.service(&name, "service")?;
     let ServiceKind::Plain { repeatable: rule } = config.kind else {
@@ -53,6 +54,7 @@
     app.admission
         .charge(app, &caller.name, &caller.account, 0)
         .await?;
+    // Without a rest of the path, the root is called.
     let rest = req.param::<String>("rest").unwrap_or_default();
     let query = req.uri().query().map(|q| format!("?{q}"));
     let call = PlainCall {
@@ -68,6 +70,7 @@
 
 fn render(res: &mut Response, answer: PlainAnswer) {
     let status = StatusCode::from_u16(answer.status);
+    // A status that does not exist is the upstream's fault.
     res.status_code(status.unwrap_or(StatusCode::BAD_GATEWAY));
     if let Some(kind) = answer.content_type
         && let Ok(kind) = HeaderValue::from_str(&kind)
--- a/crates/daemon/cloverpier_daemon/src/web/sse.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/sse.rs
@@ -95,6 +95,7 @@
             }
             Reading::Finish(finish) => {
                 let data = self.chunk(None, Some(*finish), true);
+                // Writing to a string cannot fail, here and below.
                 let _ = write!(out, "data: {data}\n\ndata: [DONE]\n\n");
             }
             Reading::End(End::Failed(error)) => {
@@ -118,6 +119,7 @@
             content: text,
         };
         let (text, delta, message) = match (self.shape, streamed) {
+            // The last chunk ends the answer and has no text of its own.
             (Shape::Text, _) => (Some(text.unwrap_or_default()), None, None),
             (Shape::Chat, true) => (None, Some(content), None),
             (Shape::Chat, false) => (None, None, Some(content)),
@@ -146,6 +148,7 @@
                 digest: f.chain.to_string(),
             }),
         };
+        // The type has only text keys, so it can always be written as JSON.
         serde_json::to_string(&chunk).unwrap_or_default()
     }
 }
--- a/crates/daemon/cloverpier_record/src/holder.rs
+++ b/crates/daemon/cloverpier_record/src/holder.rs
@@ -242,6 +242,7 @@
 
     fn learn(&mut self, record: Record, now: Instant) {
         let age = Duration::from_millis(record.age_ms);
+        // An age from before this machine started counts as none.
         let made = now.checked_sub(age).unwrap_or(now);
         let known = self.kept.get(&record.key);
         let settled = known.is_some_and(|k| k.record.outcome != Outcome::Claimed);
--- a/crates/daemon/cloverpier_record/src/slot.rs
+++ b/crates/daemon/cloverpier_record/src/slot.rs
@@ -24,6 +24,7 @@
     /// The slot of a key.
     pub fn of(key: &str) -> Self {
         let slot = hash_of(key) % u64::from(SLOT_COUNT);
+        // Below `SLOT_COUNT`, so it always fits.
         Self(u16::try_from(slot).unwrap_or(0))
     }
 
--- a/crates/daemon/cloverpier_route/src/marks.rs
+++ b/crates/daemon/cloverpier_route/src/marks.rs
@@ -44,6 +44,7 @@
 
     /// Whether an incarnation takes no new work.
     pub fn covers(&self, upstream: &UpstreamName, incarnation: u64) -> bool {
+        // Incarnations start at 1, so zero covers none.
         let marked = self.by_name.get(upstream).copied().unwrap_or(0);
         incarnation <= marked
     }
--- a/crates/daemon/cloverpier_upstream/src/engine.rs
+++ b/crates/daemon/cloverpier_upstream/src/engine.rs
@@ -86,7 +86,7 @@
             .tcp_nodelay(true)
             .build();
         Self {
-            http: http.unwrap_or_default(),
+            http: http.expect("a client without TLS can always be built"),
         }
     }
 
--- a/crates/daemon/cloverpier_upstream/src/plain.rs
+++ b/crates/daemon/cloverpier_upstream/src/plain.rs
@@ -84,6 +84,7 @@
     })?;
     let status = res.status().as_u16();
     let kind = res.headers().get("Content-Type");
+    // A type that is no text is left out of the answer.
     let content_type = kind.and_then(|v| v.to_str().ok()).map(Arc::from);
     let body = res
         .bytes()
--- a/crates/router/cloverpier_router/src/intake.rs
+++ b/crates/router/cloverpier_router/src/intake.rs
@@ -180,6 +180,7 @@
 /// The host that a request names, without a port; empty where it names none.
 fn host_of(head: &Parts) -> &str {
     let host = head.uri.host().or_else(|| {
+        // A name that is no text cannot be that of a route, so it counts as none.
         let host = head.headers.get(HOST)?.to_str().ok()?;
         Some(host.split(':').next().unwrap_or(host))
     });
@@ -193,6 +194,7 @@
     match Limited::new(body, max_bytes).collect().await {
         Ok(whole) => Ok(whole.to_bytes()),
         Err(e) if e.is::<LengthLimitError>() => Err(Rejection::BodyTooLong),
+        // The cause lies with the caller or its connection; all are one rejection.
         Err(_) => Err(Rejection::BodyBroke),
     }
 }
--- a/crates/router/cloverpier_router/src/reply.rs
+++ b/crates/router/cloverpier_router/src/reply.rs
@@ -38,6 +38,7 @@
 
 fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all(CONNECTION).iter();
+    // Only what can be the name of a header can be removed from the headers; the rest is skipped.
     let texts = values.filter_map(|v| v.to_str().ok());
     let names = texts.flat_map(|t| t.split(','));
     names.filter_map(|n| n.trim().parse().ok()).collect()
--- a/crates/router/cloverpier_router/src/stream/open.rs
+++ b/crates/router/cloverpier_router/src/stream/open.rs
@@ -204,6 +204,7 @@
                 let error = e.to_string();
                 return Err(AttemptFailure::FailureBroke { error });
             }
+            // Only the timeout can fail here.
             Err(_) => return Err(AttemptFailure::LateSent),
         };
         keep(&self.router, &upstream.name, opened.connection);
--- a/crates/router/cloverpier_router_policy/src/arrival.rs
+++ b/crates/router/cloverpier_router_policy/src/arrival.rs
@@ -103,5 +103,6 @@
 /// The rank of a request at upstreams, 0 the highest: the client account's, else the route's.
 pub fn priority(route: &Route, account: Option<&ClientAccount>) -> u8 {
     let own = account.and_then(|account| account.priority);
+    // An account without a rank of its own has that of the route.
     own.unwrap_or(route.priority).min(LOWEST_PRIORITY)
 }
--- a/crates/router/cloverpier_router_policy/src/configuration.rs
+++ b/crates/router/cloverpier_router_policy/src/configuration.rs
@@ -175,6 +175,7 @@
     pub fn new(parts: Configuration) -> Self {
         Self {
             by_host: index_routes(&parts.routes),
+            // Without a list of accounts there are no keys, and callers need none.
             by_key: index_keys(parts.accounts.as_deref().unwrap_or_default()),
             services: parts
                 .services
--- a/crates/router/cloverpier_router_policy/src/deadline.rs
+++ b/crates/router/cloverpier_router_policy/src/deadline.rs
@@ -36,6 +36,7 @@
         };
         match Duration::try_from_secs_f64(ms / 1e3) {
             Ok(limit) => Self::Within(limit),
+            // The caller is told which header it was; no more is known.
             Err(_) => Self::Unreadable,
         }
     }
--- a/crates/router/cloverpier_router_policy/src/events.rs
+++ b/crates/router/cloverpier_router_policy/src/events.rs
@@ -97,6 +97,7 @@
 fn event_id(event: &[u8]) -> Option<u64> {
     let lines = event.split(|b| *b == b'\n');
     let mut ids = lines.filter_map(|line| line.strip_prefix(b"id:"));
+    // An id that is no number counts as none: a stream cannot be resumed after its event.
     let text = std::str::from_utf8(ids.next_back()?).ok()?;
     text.trim().parse().ok()
 }
--- a/crates/router/cloverpier_router_policy/src/load.rs
+++ b/crates/router/cloverpier_router_policy/src/load.rs
@@ -98,6 +98,7 @@
 
     /// What all peers have in flight at an upstream.
     pub fn at(&self, key: UpstreamKey) -> Load {
+        // Peers that have nothing in flight there do not mention it.
         self.totals.get(&key).copied().unwrap_or_default()
     }
 
--- a/crates/router/cloverpier_router_policy/src/replica.rs
+++ b/crates/router/cloverpier_router_policy/src/replica.rs
@@ -62,5 +62,6 @@
     let far_and_sound = filtered(&far, is_sound);
     let by_preference = [far_and_sound, far, with_room];
     let found = by_preference.into_iter().find(|list| !list.is_empty());
+    // All lists are empty: no engine can hold a replica.
     found.unwrap_or_default()
 }
--- a/crates/shared/cloverpier_settings/src/daemon.rs
+++ b/crates/shared/cloverpier_settings/src/daemon.rs
@@ -62,6 +62,7 @@
             data_centre: DataCentre::new(r.text("data_centre", "the data centre's name")),
             callers_listen,
             peers_listen,
+            // Where others reach this process, if not where it listens.
             callers_at: r.address_or("callers_at").unwrap_or(callers_listen),
             peers_at: r.address_or("peers_at").unwrap_or(peers_listen),
             platform: r.address("platform"),
--- a/crates/shared/cloverpier_settings/src/reader.rs
+++ b/crates/shared/cloverpier_settings/src/reader.rs
@@ -91,6 +91,7 @@
 
     pub(crate) fn text(&mut self, key: &str, expected: &str) -> String {
         let text = |v: &Value| v.as_str().filter(|s| !s.is_empty()).map(str::to_owned);
+        // The fault is noted; settings with faults are never used.
         self.take(key, expected, true, text).unwrap_or_default()
     }
 
@@ -112,6 +113,7 @@
     pub(crate) fn addresses(&mut self, key: &str) -> Vec<SocketAddr> {
         let list = |v: &Value| v.as_array()?.iter().map(as_address).collect();
         let expected = "a list of IP addresses with ports";
+        // No list is an empty one; a fault is noted by `take`.
         self.take(key, expected, false, list).unwrap_or_default()
     }
 
