--- a/crates/daemon/cloverpier_member/src/detector.rs
+++ b/crates/daemon/cloverpier_member/src/detector.rs
@@ -2,7 +2,9 @@
 //!
 //! Question: who gets a heartbeat now, who is suspected, who is removed? Inputs: the list, when
 //! members were heard, what helpers found. Answer: [`DetectorStep`]s. The cost of a member does
-//! not grow with the list, and no one observer removes anybody.
+//! not grow with the list, and no one observer removes anybody. Answers, records and limits hang
+//! on who is a member here; the router on the platform keeps a table of peers on which nothing of
+//! safety depends (`cloverpier_router_policy::peers`).
 
 use crate::list::{Member, MemberList};
 use cloverpier_core::{MemberId, hash_of};
--- a/crates/daemon/cloverpier_peer/src/message.rs
+++ b/crates/daemon/cloverpier_peer/src/message.rs
@@ -1,7 +1,8 @@
 //! The messages and their codec.
 //!
 //! Fields are written by name, so names of fields and variants are on the wire; golden files hold
-//! the bytes.
+//! the bytes. The router on the platform has messages of its own, datagrams without field names
+//! (`cloverpier_router::peer_messages`); each codec has its error.
 
 use cloverpier_admit::{Loan, Quota};
 use cloverpier_answer::{AppendReply, Entry, SealReply};
--- a/crates/daemon/cloverpier_route/src/choose.rs
+++ b/crates/daemon/cloverpier_route/src/choose.rs
@@ -2,7 +2,8 @@
 //!
 //! Question: which upstream gets this request? Inputs: the view; what the request asks; what
 //! failed it already. Answer: a choice with what was weighed, for the log. Two upstreams by
-//! chance and the one with the prefix are compared, so that routers do not herd.
+//! chance and the one with the prefix are compared, so that routers do not herd. The router on
+//! the platform has no load reports and decides otherwise, in `cloverpier_router_policy::choice`.
 
 use crate::view::{CLOSE, Known, View};
 use cloverpier_core::{ServiceName, UpstreamName};
--- a/crates/router/cloverpier_router/src/connection.rs
+++ b/crates/router/cloverpier_router/src/connection.rs
@@ -2,7 +2,9 @@
 //!
 //! Owns the connection and the task that drives it; both end when it is dropped, which is
 //! how a request is cancelled. Tells whether a byte of a request was written, on which the
-//! retry rules depend. Relies on `hyper` at the level of connections.
+//! retry rules depend. Relies on `hyper` at the level of connections: `reqwest`, which
+//! `cloverpierd` uses (`cloverpier_upstream`), does not say whether a byte went out on a kept
+//! connection.
 
 use bytes::Bytes;
 use http_body_util::Full;
--- a/crates/router/cloverpier_router/src/decision_log.rs
+++ b/crates/router/cloverpier_router/src/decision_log.rs
@@ -133,7 +133,8 @@
     /// The prompt.
     pub prompt: PromptKey,
     /// Engines that were asked recently, for any prompt.
-    pub engines_asked_of_late: usize,
+    #[serde(rename = "engines_asked_of_late")]
+    pub engines_asked: usize,
     /// Whether one of them has it.
     pub found: bool,
     /// How long it took, in milliseconds.
--- a/crates/router/cloverpier_router/src/prompt_search.rs
+++ b/crates/router/cloverpier_router/src/prompt_search.rs
@@ -29,7 +29,7 @@
             request: &request.id,
             service: service.as_str(),
             prompt,
-            engines_asked_of_late: router.prompts.searches.borrow().asked_recently(),
+            engines_asked: router.prompts.searches.borrow().asked_recently(),
             found: is_located(router, prompt),
             took_ms: ms_since(begun, router.now()),
         },
--- a/crates/router/cloverpier_router_policy/src/choice.rs
+++ b/crates/router/cloverpier_router_policy/src/choice.rs
@@ -12,6 +12,10 @@
 //!   prompt's hash: routers that see the same do not all choose the same engine, and a
 //!   prompt that comes back finds the engine that has read it.
 //!
+//! `cloverpierd` chooses in `cloverpier_route::choose`, by another rule: its upstreams report
+//! their load to it, so two picked at random are compared; the platform's report none, so all
+//! are compared by what routers have in flight there.
+//!
 //! Costs are in prompt tokens for model engines and in requests for plain upstreams. Owns no
 //! state.
 
--- a/crates/router/cloverpier_router_policy/src/heartbeat.rs
+++ b/crates/router/cloverpier_router_policy/src/heartbeat.rs
@@ -10,6 +10,9 @@
 //!   is believed in for as many turns as it takes to hear from it. A lost datagram costs
 //!   little: the next heartbeat repeats everything.
 //!
+//! `cloverpierd`'s heartbeats find members to remove (`cloverpier_member::detector`); these only
+//! carry load, budgets and news over datagrams, as nothing of safety depends on a peer here.
+//!
 //! Owns the bounds of what one message holds. The messages themselves are the carrying-out
 //! crate's.
 
--- a/crates/standins/cloverpier_daemon_standin/src/link.rs
+++ b/crates/standins/cloverpier_daemon_standin/src/link.rs
@@ -1,4 +1,7 @@
 //! A link between two addresses that can be cut, one way or both, and delayed.
+//!
+//! A process of its own, switched over HTTP, as all of this crate's stand-ins are. The link of
+//! `cloverpier_router_standin` runs inside a test.
 
 use crate::web::{body, serve};
 use cloverpier_core::lock;
--- a/crates/standins/cloverpier_router_standin/src/link.rs
+++ b/crates/standins/cloverpier_router_standin/src/link.rs
@@ -1,4 +1,7 @@
 //! A link that can be delayed, cut one way, silenced or reset.
+//!
+//! Runs inside a test and ends with its owner, as resets and refused ports are among its harms.
+//! The link of `cloverpier_daemon_standin` is a process of its own, switched over HTTP.
 
 use crate::upstream::bind_when_free;
 use cloverpier_core::lock;
--- a/tools/src/soak/inject.rs
+++ b/tools/src/soak/inject.rs
@@ -2,6 +2,7 @@
 
 use super::checks::Report;
 use super::plan::{Action, Injection};
+use crate::process::Process;
 use crate::router_site::Site;
 use cloverpier_router_policy::prelude::{Configuration, Route};
 use cloverpier_router_standin::link::Harm;
@@ -70,66 +71,72 @@
 
 /// The number of the process that a planned stop is to end.
 fn process_of(site: &Site, action: &Action) -> Option<u32> {
-    let Action::StopFront(router) = action else {
+    let Action::StopRouter(router) = action else {
         return None;
     };
     let process = site.routers[*router].process.as_ref();
-    process.map(crate::process::Process::id)
+    process.map(Process::id)
 }
 
 /// Begins a harm; false when it doesn't fit what goes on.
 fn begin(site: &mut Site, action: &Action, disturbed: &mut Vec<Disturbed>) -> bool {
-    let now = Instant::now();
-    let mut note = |router: usize, is_planned: bool| {
-        disturbed.push(Disturbed {
-            router,
-            from: now,
-            // Until the harm ends; moved back then.
-            until: now + Duration::from_secs(3_600),
-            is_planned,
-        });
-    };
     match action {
-        Action::StopFront(router) => match &site.routers[*router].process {
-            Some(process) => {
-                note(*router, true);
+        Action::StopRouter(router) => {
+            return disturb(site, *router, true, disturbed, |process| {
                 process.terminate();
-            }
-            None => return false,
-        },
-        Action::KillFront(router) => match site.routers[*router].process.take() {
-            Some(mut process) => {
-                note(*router, false);
-                process.kill();
-            }
-            None => return false,
-        },
-        Action::FreezeFront(router) => match &mut site.routers[*router].process {
-            Some(process) => {
-                note(*router, false);
-                process.freeze();
-            }
-            None => return false,
-        },
-        Action::ReloadFront(router) => match &site.routers[*router].process {
+            });
+        }
+        Action::KillRouter(router) => {
+            let is_running = disturb(site, *router, false, disturbed, Process::kill);
+            site.routers[*router].process = None;
+            return is_running;
+        }
+        Action::FreezeRouter(router) => {
+            return disturb(site, *router, false, disturbed, Process::freeze);
+        }
+        Action::ReloadRouter(router) => match &site.routers[*router].process {
             Some(process) => process.hang_up(),
             None => return false,
         },
         Action::HarmStoreLink(router, harm) => site.routers[*router].store_link.set_harm(*harm),
-        Action::CrashServer(upstream) => site.crash_upstream(*upstream),
-        Action::HarmServerLink(upstream, harm) => site.upstreams[*upstream].link.set_harm(*harm),
+        Action::CrashUpstream(upstream) => site.crash_upstream(*upstream),
+        Action::HarmUpstreamLink(upstream, harm) => site.upstreams[*upstream].link.set_harm(*harm),
         Action::ResetConnections(upstream) => site.upstreams[*upstream].link.cut_connections(),
-        Action::ServerFault(upstream, fault) => {
+        Action::UpstreamFault(upstream, fault) => {
             let fault = Some((*fault, FAULT_SHARE));
             site.upstreams[*upstream].stand_in.set_random_fault(fault);
         }
         Action::StoreFault(fault) => site.store.set_fault(*fault),
         Action::ForgetHistory => site.store.forget_history(),
-        Action::ChangeCatalog => site.change_configuration(toggle_route),
+        Action::ChangeConfiguration => site.change_configuration(toggle_route),
     }
     true
 }
 
+/// Acts on a router's process, and notes that the router is disturbed from now on; `false` where
+/// no process runs.
+fn disturb(
+    site: &mut Site,
+    router: usize,
+    is_planned: bool,
+    disturbed: &mut Vec<Disturbed>,
+    act: impl FnOnce(&mut Process),
+) -> bool {
+    let Some(process) = &mut site.routers[router].process else {
+        return false;
+    };
+    let now = Instant::now();
+    disturbed.push(Disturbed {
+        router,
+        from: now,
+        // Until the harm ends; moved back then.
+        until: now + Duration::from_secs(3_600),
+        is_planned,
+    });
+    act(process);
+    true
+}
+
 /// Adds a route that nobody uses, or removes it.
 fn toggle_route(configuration: &mut Configuration) {
     const NAME: &str = "passing";
@@ -160,7 +167,7 @@
         if !end(site, &harm, disturbed).await? {
             if now > harm.until + STOP_PATIENCE {
                 report.violation("stop", &format!("{:?} doesn't end", harm.action));
-                if let Action::StopFront(router) = harm.action {
+                if let Action::StopRouter(router) = harm.action {
                     site.routers[router].process = None;
                 }
             }
@@ -173,7 +180,7 @@
 /// Ends a harm; false while it can't be ended yet.
 async fn end(site: &mut Site, harm: &Running, disturbed: &mut [Disturbed]) -> io::Result<bool> {
     match &harm.action {
-        Action::StopFront(router) => {
+        Action::StopRouter(router) => {
             let process = site.routers[*router].process.as_mut();
             let is_same = process.as_ref().map(|p| p.id()) == harm.process;
             if is_same {
@@ -184,34 +191,36 @@
             }
             over(disturbed, *router);
         }
-        Action::KillFront(router) => {
+        Action::KillRouter(router) => {
             if site.routers[*router].process.is_none() {
                 site.start_router(*router)?;
             }
             over(disturbed, *router);
         }
-        Action::FreezeFront(router) => {
+        Action::FreezeRouter(router) => {
             if let Some(process) = &mut site.routers[*router].process {
                 process.wake();
             }
             over(disturbed, *router);
         }
         Action::HarmStoreLink(router, _) => site.routers[*router].store_link.set_harm(Harm::None),
-        Action::CrashServer(upstream) => site.restart_upstream(*upstream).await?,
-        Action::HarmServerLink(upstream, _) => site.upstreams[*upstream].link.set_harm(Harm::None),
-        Action::ServerFault(upstream, _) => {
+        Action::CrashUpstream(upstream) => site.restart_upstream(*upstream).await?,
+        Action::HarmUpstreamLink(upstream, _) => {
+            site.upstreams[*upstream].link.set_harm(Harm::None);
+        }
+        Action::UpstreamFault(upstream, _) => {
             site.upstreams[*upstream].stand_in.set_random_fault(None);
         }
         Action::StoreFault(_) => site.store.set_fault(StoreFault::None),
-        Action::ReloadFront(_)
+        Action::ReloadRouter(_)
         | Action::ResetConnections(_)
         | Action::ForgetHistory
-        | Action::ChangeCatalog => {}
+        | Action::ChangeConfiguration => {}
     }
     Ok(true)
 }
 
-fn has_ended(process: &mut crate::process::Process) -> bool {
+fn has_ended(process: &mut Process) -> bool {
     process.has_ended()
 }
 
--- a/tools/src/soak/plan.rs
+++ b/tools/src/soak/plan.rs
@@ -48,47 +48,47 @@
 #[derive(Clone, Debug)]
 pub enum Action {
     /// A router is stopped as planned, and started again once it has ended.
-    StopFront(usize),
+    StopRouter(usize),
     /// A router is killed, and started again later.
-    KillFront(usize),
+    KillRouter(usize),
     /// A router stands still.
-    FreezeFront(usize),
+    FreezeRouter(usize),
     /// A router is told to read its settings again.
-    ReloadFront(usize),
+    ReloadRouter(usize),
     /// A router loses its way to the store.
     HarmStoreLink(usize, Harm),
     /// An upstream crashes and comes back under another name.
-    CrashServer(usize),
+    CrashUpstream(usize),
     /// An upstream's link is harmed.
-    HarmServerLink(usize, Harm),
+    HarmUpstreamLink(usize, Harm),
     /// An upstream's connections are reset.
     ResetConnections(usize),
     /// An upstream does something wrong with a share of its requests.
-    ServerFault(usize, Fault),
+    UpstreamFault(usize, Fault),
     /// The store misbehaves.
     StoreFault(StoreFault),
     /// The store forgets its history.
     ForgetHistory,
     /// The configuration changes.
-    ChangeCatalog,
+    ChangeConfiguration,
 }
 
 impl Action {
     /// Its kind, for the report.
     pub fn name(&self) -> &'static str {
         match self {
-            Self::StopFront(_) => "front stopped",
-            Self::KillFront(_) => "front killed",
-            Self::FreezeFront(_) => "front frozen",
-            Self::ReloadFront(_) => "front reloaded",
-            Self::HarmStoreLink(..) => "front's way to the store harmed",
-            Self::CrashServer(_) => "server crashed",
-            Self::HarmServerLink(..) => "server's link harmed",
+            Self::StopRouter(_) => "router stopped",
+            Self::KillRouter(_) => "router killed",
+            Self::FreezeRouter(_) => "router frozen",
+            Self::ReloadRouter(_) => "router reloaded",
+            Self::HarmStoreLink(..) => "router's way to the store harmed",
+            Self::CrashUpstream(_) => "upstream crashed",
+            Self::HarmUpstreamLink(..) => "upstream's link harmed",
             Self::ResetConnections(_) => "connections reset",
-            Self::ServerFault(..) => "server at fault",
+            Self::UpstreamFault(..) => "upstream at fault",
             Self::StoreFault(_) => "store at fault",
             Self::ForgetHistory => "history forgotten",
-            Self::ChangeCatalog => "configuration changed",
+            Self::ChangeConfiguration => "configuration changed",
         }
     }
 }
@@ -123,18 +123,18 @@
     let router = rng.usize(..size.routers);
     let upstream = rng.usize(..size.engines + size.plain);
     match rng.u8(..16) {
-        0 | 1 => Action::StopFront(router),
-        2 => Action::KillFront(router),
-        3 => Action::FreezeFront(router),
-        4 => Action::ReloadFront(router),
+        0 | 1 => Action::StopRouter(router),
+        2 => Action::KillRouter(router),
+        3 => Action::FreezeRouter(router),
+        4 => Action::ReloadRouter(router),
         5 => Action::HarmStoreLink(router, draw_harm(rng)),
-        6 | 7 => Action::CrashServer(upstream),
-        8 | 9 => Action::HarmServerLink(upstream, draw_harm(rng)),
+        6 | 7 => Action::CrashUpstream(upstream),
+        8 | 9 => Action::HarmUpstreamLink(upstream, draw_harm(rng)),
         10 => Action::ResetConnections(upstream),
-        11 | 12 => Action::ServerFault(upstream, draw_fault(rng)),
+        11 | 12 => Action::UpstreamFault(upstream, draw_fault(rng)),
         13 => Action::StoreFault(draw_store_fault(rng)),
         14 => Action::ForgetHistory,
-        _ => Action::ChangeCatalog,
+        _ => Action::ChangeConfiguration,
     }
 }
 
