--- a/crates/daemon/cloverpier_daemon/src/app.rs
+++ b/crates/daemon/cloverpier_daemon/src/app.rs
@@ -18,6 +18,7 @@
 use cloverpier_upstream::Engines;
 use reqwest::Client;
 use serde::Serialize;
+use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -83,9 +84,11 @@
             settings.callers_at,
         );
         let now = clock.now();
+        let log = Log::new(settings.vm.as_str());
+        let metrics = metrics(settings.statsd, &log);
         Arc::new(Self {
-            log: Log::new(settings.vm.as_str()),
-            metrics: Metrics::new(settings.statsd),
+            log,
+            metrics,
             platform: Platform::new(settings.platform),
             peers: Peers::new(settings.peer_secret.clone()),
             engines: Engines::new(),
@@ -188,6 +191,21 @@
     client.expect("a client without TLS and proxies can always be built")
 }
 
+/// Metrics to the statsd server of the settings. A process serves without them, too.
+fn metrics(statsd: Option<SocketAddr>, log: &Log) -> Metrics {
+    Metrics::new(statsd).unwrap_or_else(|error| {
+        let error = error.to_string();
+        log.warn("metrics.unsent", &NoMetrics { error });
+        Metrics::default()
+    })
+}
+
+/// Metrics go nowhere, as no socket could be opened for them.
+#[derive(Serialize)]
+struct NoMetrics {
+    error: String,
+}
+
 /// An object could not be read from the platform.
 #[derive(Serialize)]
 struct Unread<'a> {
--- a/crates/shared/cloverpier_observe/src/metrics.rs
+++ b/crates/shared/cloverpier_observe/src/metrics.rs
@@ -4,7 +4,9 @@
 //! about, so errors of sending are dropped here, in one place. The router on the platform
 //! serves its metrics as text instead (`cloverpier_router`).
 
-use cadence::{BufferedUdpMetricSink, Counted, Gauged, QueuingMetricSink, StatsdClient, Timed};
+use cadence::{
+    BufferedUdpMetricSink, Counted, Gauged, MetricResult, QueuingMetricSink, StatsdClient, Timed,
+};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,10 +22,15 @@
 
 impl Metrics {
     /// Metrics that go to a statsd server, or nowhere.
-    pub fn new(statsd: Option<SocketAddr>) -> Self {
-        Self {
-            client: statsd.and_then(client).map(Arc::new),
-        }
+    ///
+    /// # Errors
+    ///
+    /// No socket can be opened to send from.
+    pub fn new(statsd: Option<SocketAddr>) -> MetricResult<Self> {
+        let client = statsd.map(client).transpose()?;
+        Ok(Self {
+            client: client.map(Arc::new),
+        })
     }
 
     /// Adds to a counter.
@@ -48,10 +55,9 @@
     }
 }
 
-/// A client of a statsd server; without a socket, metrics go nowhere.
-fn client(statsd: SocketAddr) -> Option<StatsdClient> {
-    let socket = UdpSocket::bind("127.0.0.1:0").ok()?;
-    let sink = BufferedUdpMetricSink::from(statsd, socket).ok()?;
+fn client(statsd: SocketAddr) -> MetricResult<StatsdClient> {
+    let socket = UdpSocket::bind("127.0.0.1:0")?;
+    let sink = BufferedUdpMetricSink::from(statsd, socket)?;
     let sink = QueuingMetricSink::from(sink);
-    Some(StatsdClient::from_sink(PREFIX, sink))
+    Ok(StatsdClient::from_sink(PREFIX, sink))
 }
--- a/tools/src/bin/measure.rs
+++ b/tools/src/bin/measure.rs
@@ -2,7 +2,7 @@
 
 use argh::FromArgs;
 use cloverpier_tools::process::build_programs;
-use cloverpier_tools::scenarios::{ALL, Options};
+use cloverpier_tools::scenarios::{ALL, Options, Scenario};
 use std::process::ExitCode;
 
 /// Runs scenarios against real processes: one JSON object a line, a table on standard error.
@@ -31,10 +31,7 @@
         }
         return ExitCode::SUCCESS;
     }
-    // The parts of the slopes are run by their own names only.
-    let in_all = |name: &str| !name.starts_with("slopes-");
-    let wanted = |name: &str| args.scenario.as_deref().map_or(in_all(name), |s| s == name);
-    let chosen: Vec<_> = ALL.iter().filter(|s| wanted(s.name)).collect();
+    let chosen = chosen(args.scenario.as_deref());
     if chosen.is_empty() {
         eprintln!("--scenario: expected one of those that --list prints");
         return ExitCode::from(2);
@@ -47,21 +44,36 @@
         seed: args.seed,
         seconds: args.seconds,
     };
-    let mut failed = false;
-    for scenario in chosen {
+    if run_all(&chosen, options).await {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
+}
+
+/// The scenario of a name, or all; the parts of the slopes are run by their own names only.
+fn chosen(name: Option<&str>) -> Vec<&'static Scenario> {
+    let in_all = |s: &&Scenario| !s.name.starts_with("slopes-");
+    match name {
+        Some(name) => ALL.iter().filter(|s| s.name == name).collect(),
+        None => ALL.iter().filter(in_all).collect(),
+    }
+}
+
+/// Runs scenarios one after another and prints their figures; whether all were clean.
+async fn run_all(scenarios: &[&Scenario], options: Options) -> bool {
+    let mut is_clean = true;
+    for scenario in scenarios {
         match scenario.run(options).await {
             Ok(figures) => {
                 figures.print();
-                failed |= !figures.clean;
+                is_clean &= figures.clean;
             }
             Err(e) => {
                 eprintln!("{}: {e}", scenario.name);
-                failed = true;
+                is_clean = false;
             }
         }
     }
-    if failed {
-        return ExitCode::FAILURE;
-    }
-    ExitCode::SUCCESS
+    is_clean
 }
--- a/tools/src/fleet/mod.rs
+++ b/tools/src/fleet/mod.rs
@@ -121,18 +121,21 @@
         Ok(fleet)
     }
 
+    /// A link before each router's port for peers, and one between it and the platform.
+    fn start_links(&mut self, ports: &[(SocketAddr, SocketAddr)]) -> io::Result<()> {
+        let platform = self.platform.address;
+        for (i, (_, peers_listen)) in ports.iter().enumerate() {
+            let to_peer = link(&self.dir, &format!("peer-link-{i}"), *peers_listen)?;
+            let to_platform = link(&self.dir, &format!("platform-link-{i}"), platform)?;
+            self.peer_links.push(to_peer);
+            self.platform_links.push(to_platform);
+        }
+        Ok(())
+    }
+
     fn start_routers(&mut self, ports: &[(SocketAddr, SocketAddr)]) -> io::Result<()> {
         if self.spec.links {
-            for (i, (_, peers_listen)) in ports.iter().enumerate() {
-                let to_peer = link(&self.dir, &format!("peer-link-{i}"), *peers_listen)?;
-                let to_platform = link(
-                    &self.dir,
-                    &format!("platform-link-{i}"),
-                    self.platform.address,
-                )?;
-                self.peer_links.push(to_peer);
-                self.platform_links.push(to_platform);
-            }
+            self.start_links(ports)?;
         }
         let reached_at = |i: usize| self.peer_links.get(i).map_or(ports[i].1, |l| l.address);
         for (i, (callers_at, peers_at)) in ports.iter().enumerate() {
--- a/tools/src/scenarios/slopes.rs
+++ b/tools/src/scenarios/slopes.rs
@@ -231,6 +231,14 @@
 
 /// Decisions whose cost grows with the fleet, in this process.
 fn decisions() -> Value {
+    json!({
+        "by_members": costs_by_members(),
+        "by_upstreams": costs_by_upstreams(),
+        "by_accounts": costs_by_accounts(),
+    })
+}
+
+fn costs_by_members() -> Vec<Value> {
     let mut by_members = Vec::new();
     for count in [9, 60, 390] {
         let list = members(count);
@@ -246,6 +254,10 @@
             "list_bytes": json!(list).to_string().len(),
         }));
     }
+    by_members
+}
+
+fn costs_by_upstreams() -> Vec<Value> {
     let mut by_upstreams = Vec::new();
     for count in [28_u16, 200, 820] {
         let config = upstreams(count);
@@ -261,6 +273,10 @@
             "known_closely": view.close().len(),
         }));
     }
+    by_upstreams
+}
+
+fn costs_by_accounts() -> Vec<Value> {
     let mut by_accounts = Vec::new();
     for count in [500, 5_000, 35_000] {
         let config = accounts(count);
@@ -272,7 +288,7 @@
             "config_bytes": json!(config).to_string().len(),
         }));
     }
-    json!({"by_members": by_members, "by_upstreams": by_upstreams, "by_accounts": by_accounts})
+    by_accounts
 }
 
 /// Thirty services with the upstreams spread over them.
