--- a/crates/daemon/cloverpier_admit/src/bucket.rs
+++ b/crates/daemon/cloverpier_admit/src/bucket.rs
@@ -1,6 +1,7 @@
 //! A token bucket whose rate can change.
 //!
-//! Owns the level of one rate limit. Relies on being told the time, which must not go back.
+//! Owns the level of one rate limit. Relies on the time that its caller passes in, which must
+//! not go back.
 
 use std::time::{Duration, Instant};
 
--- a/crates/daemon/cloverpier_admit/src/loan.rs
+++ b/crates/daemon/cloverpier_admit/src/loan.rs
@@ -86,7 +86,7 @@
 pub enum Loan {
     /// It lends so much.
     Lent(Quota),
-    /// The limit is used up; there will be enough after so long.
+    /// The limit is used up; there will be enough after this time.
     Short {
         /// The wait, in milliseconds.
         wait_ms: u64,
--- a/crates/daemon/cloverpier_answer/src/copies.rs
+++ b/crates/daemon/cloverpier_answer/src/copies.rs
@@ -123,7 +123,7 @@
     pub unfinished: Duration,
 }
 
-/// How long an ended answer stays: a caller that lost its connection comes back well within.
+/// How long an ended answer stays: a caller that lost its connection resumes well before.
 /// Chosen, not measured.
 const KEEP_FINISHED: Duration = Duration::from_secs(120);
 /// How long an answer without an owner stays: as long as records do by default.  Chosen, not
--- a/crates/daemon/cloverpier_answer/src/takeover.rs
+++ b/crates/daemon/cloverpier_answer/src/takeover.rs
@@ -13,7 +13,7 @@
 /// What a router that takes an answer over does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TakeoverStep {
-    /// Ask every holder to seal this term, and come back with all replies.
+    /// Ask every holder to seal this term, and report all replies.
     Seal {
         /// The term.
         term: u64,
--- a/crates/daemon/cloverpier_cli/src/args.rs
+++ b/crates/daemon/cloverpier_cli/src/args.rs
@@ -1,6 +1,6 @@
 //! The arguments.
 //!
-//! Owns names, defaults and help of all arguments; environment variables stand in for two.
+//! Owns names, defaults and help of all arguments; environment variables replace two.
 
 use argh::FromArgs;
 use std::net::SocketAddr;
--- a/crates/daemon/cloverpier_cli/src/caller.rs
+++ b/crates/daemon/cloverpier_cli/src/caller.rs
@@ -57,7 +57,7 @@
         Ok(found) => found,
         Err(outcome) => return outcome,
     };
-    // A router that can't tell the addresses can still serve.
+    // A router that does not list the addresses can still serve.
     let _ = caller.addresses().await;
     let mut what = Ask::new(&ask.service, &ask.prompt, ask.max_tokens);
     what.priority = ask.priority;
--- a/crates/daemon/cloverpier_cli/src/operator.rs
+++ b/crates/daemon/cloverpier_cli/src/operator.rs
@@ -218,7 +218,7 @@
     match operator.leave(&drain.upstream).await {
         Err(e) => Outcome::Failed(e.to_string()),
         Ok(left) => {
-            // A reply without the field names no router that was not told.
+            // A reply without the field lists no router that the drain did not reach.
             let not_told = left["not_told"].as_array().cloned().unwrap_or_default();
             if args.json {
                 print_json(&left);
--- a/crates/daemon/cloverpier_client/src/caller.rs
+++ b/crates/daemon/cloverpier_client/src/caller.rs
@@ -100,7 +100,7 @@
 pub struct Answer {
     /// Tokens in order.
     pub tokens: Vec<Got>,
-    /// Whether count and digest are those that the router told.
+    /// Whether count and digest are those that the router reported.
     pub proved: bool,
     /// Tokens that arrived again after they had arrived already.
     pub repeated: u64,
--- a/crates/daemon/cloverpier_client/src/progress.rs
+++ b/crates/daemon/cloverpier_client/src/progress.rs
@@ -24,7 +24,7 @@
     pub(crate) connections: u32,
 }
 
-/// What an event brought.
+/// What an event contains.
 pub(crate) enum Step {
     Token,
     Nothing,
--- a/crates/daemon/cloverpier_config/src/plan.rs
+++ b/crates/daemon/cloverpier_config/src/plan.rs
@@ -189,7 +189,7 @@
             .collect()
     }
 
-    /// Upstreams whose new state would let a name come back without a new incarnation.
+    /// Upstreams whose new state would use a name again without a new incarnation.
     fn returning(&self, config: &Config) -> Vec<Fault> {
         let back = |name: &UpstreamName, new: &Upstream| {
             config.upstreams.get(name).is_some_and(|old| {
--- a/crates/daemon/cloverpier_daemon/src/admission.rs
+++ b/crates/daemon/cloverpier_daemon/src/admission.rs
@@ -236,7 +236,7 @@
         let now = app.now();
         for line in lock(&self.lines).values_mut() {
             for late in line.queue.expire(now) {
-                // Dropping the sender tells the waiter.
+                // Dropping the sender wakes the waiting task.
                 line.waiters.remove(&late);
             }
             give_places(app, line, now);
--- a/crates/daemon/cloverpier_daemon/src/answers/directory.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/directory.rs
@@ -66,7 +66,7 @@
         .collect()
 }
 
-/// Members to tell where a copy is.
+/// Members that are notified of where a copy is.
 pub fn noted_at(list: &MemberList, key: &RequestKey) -> Vec<MemberId> {
     ranked(list, key, NOTED_AT)
 }
--- a/crates/daemon/cloverpier_daemon/src/answers/open.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/open.rs
@@ -129,7 +129,7 @@
     }
 }
 
-/// The rest of an answer isn't known here: it may come back, or it is gone.
+/// The rest of an answer isn't known here: it may be found again, or it is lost.
 fn not_found(may_come_back: bool) -> ApiError {
     if may_come_back {
         let message = "a router that holds the rest of the answer can't be reached";
--- a/crates/daemon/cloverpier_daemon/src/answers/outbox.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/outbox.rs
@@ -77,7 +77,7 @@
     }
 }
 
-/// Chooses a holder for an answer and tells where it is.
+/// Chooses a holder for an answer and notifies members of it.
 fn assign(app: &Arc<App>, live: &Arc<Live>) -> Option<MemberId> {
     let holder = choose_holder(app, live);
     live.change(|s| s.copy.assign(holder.clone()));
--- a/crates/daemon/cloverpier_daemon/src/app.rs
+++ b/crates/daemon/cloverpier_daemon/src/app.rs
@@ -62,7 +62,7 @@
     pub records: Mutex<Records>,
     /// Limits and queues.
     pub admission: Admission,
-    /// Wakes the heartbeats when there is news to pass on.
+    /// Wakes the heartbeats when there are changes to pass on.
     pub news: Notify,
     /// Whether a planned stop has begun.
     pub stopping: AtomicBool,
--- a/crates/daemon/cloverpier_daemon/src/claims.rs
+++ b/crates/daemon/cloverpier_daemon/src/claims.rs
@@ -87,7 +87,7 @@
             }
         }
     }
-    // The process may have slept since: a caller may have been told that nothing was run.
+    // The process may have slept since: a caller may have received "not run".
     if app.now().saturating_duration_since(started) >= CLAIM_LIFE {
         log_claim(app, &written, epoch, "too late");
         release(app, &written).await;
--- a/crates/daemon/cloverpier_daemon/src/members/cluster.rs
+++ b/crates/daemon/cloverpier_daemon/src/members/cluster.rs
@@ -26,7 +26,7 @@
 pub enum Standing {
     /// It may.
     Good,
-    /// Neither a peer nor the platform was heard from for seconds: a newer
+    /// No message from a peer or the platform for seconds: a newer
     /// configuration may be in force elsewhere.
     Alone,
 }
--- a/crates/daemon/cloverpier_member/src/list.rs
+++ b/crates/daemon/cloverpier_member/src/list.rs
@@ -146,7 +146,7 @@
         self.members.iter().find(|m| m.id == *id)
     }
 
-    /// The members of the epoch before this one, when the history tells.
+    /// The members of the epoch before this one, if the history goes back so far.
     pub fn previous(&self) -> Option<Vec<Member>> {
         let change = self.history.last().filter(|c| c.epoch == self.epoch)?;
         let mut members = self.members.clone();
--- a/crates/daemon/cloverpier_route/src/silence.rs
+++ b/crates/daemon/cloverpier_route/src/silence.rs
@@ -19,10 +19,10 @@
 /// Means that are still an ordinary gap: a growing batch makes steps longer, but not ten times.
 /// Chosen, not measured.
 const MEANS: f64 = 6.0;
-/// The shortest limit: reading a prompt stops the whole batch for about so long. Chosen, not
+/// The shortest limit: reading a prompt stops the whole batch for about this time. Chosen, not
 /// measured.
 const LEAST: Duration = Duration::from_millis(250);
-/// The first token may take so many times the limit: it waits for its place and its prefill.
+/// The first token may take this many times the limit: it waits for its place and its prefill.
 /// Chosen, not measured.
 const FIRST_TOKEN_FACTOR: u32 = 4;
 
--- a/crates/router/cloverpier_router/src/decision_log.rs
+++ b/crates/router/cloverpier_router/src/decision_log.rs
@@ -115,7 +115,7 @@
     pub reason: WatcherRole,
 }
 
-/// A version was taken over.
+/// A newer version was put in force.
 #[derive(Serialize)]
 pub(crate) struct VersionTaken<'a> {
     pub what: &'a str,
--- a/crates/router/cloverpier_router/src/health.rs
+++ b/crates/router/cloverpier_router/src/health.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns, for each upstream, the moment of its last activity on any connection, the probe
 //! under way, and the signal that it was declared dead. A dead upstream's entry is replaced,
-//! so that those who still wait on the old one see its verdict and newcomers begin afresh.
+//! so that tasks that wait on the old one see its verdict and new ones begin afresh.
 
 use crate::http_client::HttpClient;
 use cloverpier_core::UpstreamName;
--- a/crates/router/cloverpier_router/src/intake.rs
+++ b/crates/router/cloverpier_router/src/intake.rs
@@ -90,7 +90,7 @@
 ) -> Result<RelayRequest, Reply> {
     let (head, body) = request.into_parts();
     let id = text_of(&head.headers, &router.wire_names.headers.request_id);
-    // Without an id only the caller's connection tells its requests apart.
+    // Without an id, requests are distinguished by the caller's connection alone.
     let id = id.unwrap_or_default().to_owned();
     let path = head.uri.path().to_owned();
     match read_request(router, head, body, &id, now).await {
--- a/crates/router/cloverpier_router/src/lib.rs
+++ b/crates/router/cloverpier_router/src/lib.rs
@@ -14,7 +14,7 @@
 //! | the store | `source`, `store_sync`, `store_view` |
 //! | other routers | `peers`, `heartbeats`, `peer_fetch`, [`peer_messages`] |
 //! | connections | `connection`, `pool`, `http_client`, `body` |
-//! | what is told | `decision_log`, `metrics` |
+//! | logs and metrics | `decision_log`, `metrics` |
 //!
 //! HTTP is spoken by `hyper` at the level of connections: what may be repeated
 //! turns on whether a request was written, whether an answer ended cleanly and
--- a/crates/router/cloverpier_router/src/lifecycle.rs
+++ b/crates/router/cloverpier_router/src/lifecycle.rs
@@ -18,7 +18,7 @@
 }
 
 impl Lifecycle {
-    /// A process that has just started; `incarnation` tells it from others at its address.
+    /// A process that has just started; `incarnation` distinguishes it from others at its address.
     pub fn new(incarnation: u64) -> Self {
         Self {
             incarnation,
--- a/crates/router/cloverpier_router/src/outcome.rs
+++ b/crates/router/cloverpier_router/src/outcome.rs
@@ -1,6 +1,6 @@
 //! How requests end: what their callers get, and the log lines and counters that say so.
 //!
-//! What a caller may be told is decided in `cloverpier_router_policy::{attempts, refusal}`;
+//! What a caller gets as an answer is decided in `cloverpier_router_policy::{attempts, refusal}`;
 //! here it becomes a status and a body.
 
 use crate::decision_log::{RequestEnded, SendFailed, UpstreamChosen, ms, ms_since};
@@ -26,11 +26,11 @@
     BrokenOff,
     /// The caller closed the connection.
     CallerLeft,
-    /// The caller was told that the request has not run.
+    /// The caller got "not run".
     Refused,
     /// The same, when its time was over.
     RefusedLate,
-    /// The caller was told that the request may have run.
+    /// The caller got "may have run".
     Failed,
     /// The same, when its time was over.
     TimedOut,
@@ -57,7 +57,7 @@
 /// A request that ends without an upstream's answer to pass on.
 #[derive(Debug)]
 pub(crate) struct GivenUp {
-    /// What the caller may be told.
+    /// What the caller gets.
     pub next: NextStep,
     /// Whether the request's time is over.
     pub is_late: bool,
--- a/crates/router/cloverpier_router/src/peers.rs
+++ b/crates/router/cloverpier_router/src/peers.rs
@@ -1,4 +1,4 @@
-//! What this router knows of its peers, and what they are to be told next.
+//! What this router knows of its peers, and what it sends them next.
 //!
 //! Owns the table of peers, the news that waits for the next datagram, and the signal that a
 //! peer has a newer version. [`crate::heartbeats`] sends and receives; who is sent what is
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// Peers, and what they are to be told.
+/// Peers, and what they are sent next.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     table: RefCell<PeerTable>,
@@ -74,7 +74,7 @@
         live.map(|(peer, _)| *peer).collect()
     }
 
-    /// The addresses that callers are told.
+    /// The addresses that callers get.
     pub fn addresses_for_callers(
         &self,
         own: Option<SocketAddr>,
--- a/crates/router/cloverpier_router/src/prompt_search.rs
+++ b/crates/router/cloverpier_router/src/prompt_search.rs
@@ -1,7 +1,7 @@
 //! Finds the engine that has read a prompt, where this router does not know it.
 //!
 //! A router that has just started knows nothing of the streams that callers resume;
-//! engines tell which prompts they have cached. Whom to ask, how many at once and how long
+//! engines list the prompts that they have cached. Which to ask, how many at once and how long
 //! the request waits is decided in `cloverpier_router_policy::prompt_search`; what is found
 //! goes into [`crate::prompts`].
 
--- a/crates/router/cloverpier_router/src/prompts.rs
+++ b/crates/router/cloverpier_router/src/prompts.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// A running stream; peers are told where its prompt is until this is dropped.
+/// A running stream; peers get the location of its prompt until this is dropped.
 #[derive(Debug)]
 pub(crate) struct RunningStream {
     router: Rc<Router>,
@@ -55,7 +55,7 @@
 }
 
 impl RunningStream {
-    /// Records where a prompt is being read, and has peers told.
+    /// Records where a prompt is being read, and reports it to peers.
     pub fn begin(
         router: &Rc<Router>,
         prompt: PromptKey,
--- a/crates/router/cloverpier_router/src/router.rs
+++ b/crates/router/cloverpier_router/src/router.rs
@@ -9,7 +9,7 @@
 //! | `upstreams` | the table of upstreams, with load and suspicions |
 //! | [`HealthTable`] | last activity and probes of each upstream |
 //! | [`ConnectionPool`] | idle connections to upstreams |
-//! | [`Peers`] | peers' last heartbeats, and what they are to be told next |
+//! | [`Peers`] | peers' last heartbeats, and what they are sent next |
 //! | [`Prompts`] | which engine has read which prompt, and searches for that |
 //! | [`RetryBudgets`] | this router's use of each service's retry budget |
 //! | [`Lifecycle`] | the planned stop and the requests in flight |
@@ -97,7 +97,7 @@
         *self.settings.borrow_mut() = Rc::new(settings);
     }
 
-    /// The state that peers, the platform and callers are told.
+    /// The state that is reported to peers, the platform and callers.
     pub(crate) fn state(&self) -> PeerState {
         router_state(self.lifecycle.is_stopping(), self.store.is_serving())
     }
--- a/crates/router/cloverpier_router/src/store_sync.rs
+++ b/crates/router/cloverpier_router/src/store_sync.rs
@@ -106,7 +106,7 @@
             if !may_call(&mut pacing, &router).await {
                 continue;
             }
-            // Peers may have sent newer changes than the last watch brought.
+            // Peers may have sent newer changes than the last watch returned.
             let known = router.upstreams.borrow().revision();
             revision = revision.map(|at| at.max(known));
         }
@@ -144,7 +144,7 @@
     Ok(revision)
 }
 
-/// Applies what a watch brought; returns the revision reached.
+/// Applies what a watch returned; gives the revision reached.
 fn apply_changes(router: &Router, changes: UpstreamChanges) -> u64 {
     let revision = changes.revision;
     let count = changes.changes.len();
--- a/crates/router/cloverpier_router/src/stream/receive.rs
+++ b/crates/router/cloverpier_router/src/stream/receive.rs
@@ -13,7 +13,7 @@
 use http_body_util::BodyExt;
 use std::time::Instant;
 
-/// What a wait for bytes brought.
+/// The result of a wait for bytes.
 pub(super) enum Received {
     /// Bytes, now in the splitter.
     Bytes,
--- a/crates/router/cloverpier_router/src/wait.rs
+++ b/crates/router/cloverpier_router/src/wait.rs
@@ -1,4 +1,4 @@
-//! Waits for something from an upstream for as long as the upstream seems alive.
+//! Waits for something from an upstream while the upstream seems alive.
 //!
 //! Carries out what [`Liveness`] decides: waits, has the upstream probed, or ends the wait.
 //! Relies on [`crate::health`] for the upstream's last activity on any connection.
--- a/crates/router/cloverpier_router_policy/src/attempt_failure.rs
+++ b/crates/router/cloverpier_router_policy/src/attempt_failure.rs
@@ -11,7 +11,7 @@
 //!   or to nothing. Only an upstream's explicit statement proves that a request did not
 //!   run; everything else that was sent may have run.
 //!
-//! No decision rests on the text of a message: breaks are told apart by
+//! No decision rests on the text of a message: breaks are distinguished by
 //! [`io::ErrorKind`]. Relies on nothing but the values passed in.
 
 use crate::attempts::AttemptOutcome;
--- a/crates/router/cloverpier_router_policy/src/attempts.rs
+++ b/crates/router/cloverpier_router_policy/src/attempts.rs
@@ -141,7 +141,7 @@
         }
     }
 
-    /// What the caller is told when no further upstream gets the request.
+    /// What the caller gets when no further upstream gets the request.
     pub fn give_up(&self) -> NextStep {
         if self.may_have_run {
             NextStep::Fail
--- a/crates/router/cloverpier_router_policy/src/choice.rs
+++ b/crates/router/cloverpier_router_policy/src/choice.rs
@@ -8,9 +8,9 @@
 //! - **Answer.** A [`Choice`].
 //! - **Why.** Upstreams that may be dead come last, whatever their load: trying one costs
 //!   hundreds of milliseconds. Among the others the cost is the time that the request would
-//!   wait for the load before it. Engines that cost about the same are told apart by the
+//!   wait for the load before it. Engines that cost about the same are ranked by the
 //!   prompt's hash: routers that see the same do not all choose the same engine, and a
-//!   prompt that comes back finds the engine that has read it.
+//!   prompt that is sent again reaches the engine that has read it.
 //!
 //! `cloverpierd` chooses in `cloverpier_route::choose`, by another rule: its upstreams report
 //! their load to it, so two picked at random are compared; the platform's report none, so all
--- a/crates/router/cloverpier_router_policy/src/deadline.rs
+++ b/crates/router/cloverpier_router_policy/src/deadline.rs
@@ -36,7 +36,7 @@
         };
         match Duration::try_from_secs_f64(ms / 1e3) {
             Ok(limit) => Self::Within(limit),
-            // The caller is told which header it was; no more is known.
+            // Negative or too large for a time; the header is logged as ignored.
             Err(_) => Self::Unreadable,
         }
     }
--- a/crates/router/cloverpier_router_policy/src/heartbeat.rs
+++ b/crates/router/cloverpier_router_policy/src/heartbeat.rs
@@ -7,7 +7,7 @@
 //! - **Answer.** Addresses; durations.
 //! - **Why.** Datagrams cost processor time and bytes, which must not grow with the fleet.
 //!   So a router sends each heartbeat to a bounded part of its peers, in turns, and a peer
-//!   is believed in for as many turns as it takes to hear from it. A lost datagram costs
+//!   counts as alive for as many turns as one heartbeat from it takes. A lost datagram costs
 //!   little: the next heartbeat repeats everything.
 //!
 //! `cloverpierd`'s heartbeats find members to remove (`cloverpier_member::detector`); these only
@@ -87,7 +87,7 @@
     }
 }
 
-/// The peers that hear of a change at once: all, or some by chance where they are many.
+/// The peers that get a change at once: all, or some picked at random where they are many.
 pub fn change_peers(peers: Vec<SocketAddr>, rng: &mut fastrand::Rng) -> Vec<SocketAddr> {
     if peers.len() <= MAX_PEERS_PER_CHANGE {
         return peers;
--- a/crates/router/cloverpier_router_policy/src/lib.rs
+++ b/crates/router/cloverpier_router_policy/src/lib.rs
@@ -20,9 +20,9 @@
 //! | when is a silent upstream probed, dead, or a stream stalled | [`liveness`] |
 //! | what does an answer, or its absence, prove | [`attempt_failure`] |
 //! | retry or stop | [`attempts`], [`budget`] |
-//! | when does a refused caller come back | [`refusal`] |
+//! | when should a refused caller retry | [`refusal`] |
 //! | which upstreams may be dead, which data centres | [`suspicion`] |
-//! | which routers are callers told of | [`peers`] |
+//! | which routers do callers get | [`peers`] |
 //! | which peers are sent what, and how long it counts | [`heartbeat`] |
 //! | who watches the store, and how often | [`store_watch`] |
 //! | from which peer are newer versions fetched | [`version_fetch`] |
--- a/crates/router/cloverpier_router_policy/src/liveness.rs
+++ b/crates/router/cloverpier_router_policy/src/liveness.rs
@@ -40,7 +40,7 @@
 impl LivenessBounds {
     /// Bounds for a plain request.
     ///
-    /// `has_alternative` tells whether another upstream may get the request; without one it
+    /// `has_alternative` says whether another upstream may get the request; without one it
     /// waits for the whole `route_timeout`.
     pub fn of_plain(
         objective: Duration,
--- a/crates/router/cloverpier_router_policy/src/peers.rs
+++ b/crates/router/cloverpier_router_policy/src/peers.rs
@@ -1,10 +1,10 @@
-//! The routers that a router knows, and which of them callers are told of.
+//! The routers that a router knows, and which of them callers get.
 //!
 //! - **Question.** Which addresses does a caller get that asks which router to use?
 //! - **Inputs.** What peers reported in their heartbeats and when; this router's own state.
 //! - **Answer.** Addresses of routers that are ready and alive.
 //! - **Why.** An address that does not answer costs a caller a connection timeout, a missing
-//!   one costs only balance. But a router that hears from no peer is probably cut off
+//!   one costs only balance. But a router without a message from any peer is probably cut off
 //!   itself, and lists all of them.
 //!
 //! [`PeerTable`] owns the last heartbeat of each peer. Nothing of safety depends on it.
@@ -130,7 +130,7 @@
         total
     }
 
-    /// The addresses that callers are told: routers that are ready and alive, and `own` if
+    /// The addresses that callers get: routers that are ready and alive, and `own` if
     /// this one is ready.
     pub fn addresses_for_callers(
         &self,
--- a/crates/router/cloverpier_router_policy/src/prompt_locations.rs
+++ b/crates/router/cloverpier_router_policy/src/prompt_locations.rs
@@ -15,7 +15,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// How long a location is kept: callers come back within seconds, or not at all.  Chosen, not
+/// How long a location is kept: callers resume within seconds, or not at all.  Chosen, not
 /// measured.
 const KEPT_FOR: Duration = Duration::from_secs(30);
 /// Locations kept at most, about a megabyte.  Chosen, not measured.
--- a/crates/router/cloverpier_router_policy/src/refusal.rs
+++ b/crates/router/cloverpier_router_policy/src/refusal.rs
@@ -1,4 +1,4 @@
-//! When a refused caller should come back.
+//! When a refused caller should retry.
 //!
 //! - **Question.** A request was refused and has not run: after what time is it worth
 //!   sending again?
@@ -40,7 +40,7 @@
     },
 }
 
-/// The time after which the caller should come back.
+/// The time after which the caller should retry.
 pub fn retry_after(refusal: Refusal) -> Duration {
     match refusal {
         Refusal::Starting => STARTING_WAIT,
--- a/crates/router/cloverpier_router_policy/src/suspicion.rs
+++ b/crates/router/cloverpier_router_policy/src/suspicion.rs
@@ -102,7 +102,7 @@
 }
 
 impl DataCentreCounts {
-    /// Whether so many are suspected that the others are probably dead, too.
+    /// Whether enough are suspected that the others are probably dead, too.
     pub fn seems_dead(self) -> bool {
         let share = self.listed as f64 * MIN_SUSPECT_SHARE;
         self.suspected >= MIN_SUSPECTS && self.suspected as f64 >= share
--- a/crates/router/cloverpier_router_policy/src/upstream_table/observations.rs
+++ b/crates/router/cloverpier_router_policy/src/upstream_table/observations.rs
@@ -2,7 +2,7 @@
 //!
 //! Each function records one observation or answers one question about them; all of them
 //! ignore upstreams that are not known any more. The rules on how long an observation
-//! counts stand in [`crate::suspicion`].
+//! counts are in [`crate::suspicion`].
 
 use super::UpstreamTable;
 use crate::load::Load;
--- a/crates/shared/cloverpier_core/src/clock.rs
+++ b/crates/shared/cloverpier_core/src/clock.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// A clock that moves only when told to.
+/// A clock that moves only when it is advanced.
 #[derive(Clone, Debug)]
 pub struct ManualClock {
     now: Arc<Mutex<Instant>>,
--- a/crates/shared/cloverpier_core/src/name.rs
+++ b/crates/shared/cloverpier_core/src/name.rs
@@ -57,7 +57,7 @@
     DataCentre,
     /// One run of one router process: its VM and its incarnation.
     ///
-    /// A process that restarts has lost its memory, so it comes back as a
+    /// A process that restarts has lost its memory, so it starts as a
     /// different member.
     MemberId,
     /// The weights that an engine has loaded.
--- a/crates/shared/cloverpier_core/src/secret.rs
+++ b/crates/shared/cloverpier_core/src/secret.rs
@@ -1,6 +1,6 @@
 //! Secrets that never show in logs, and keys kept as digests.
 //!
-//! Relies on `sha2` for digests and on `subtle` for comparisons whose time tells nothing.
+//! Relies on `sha2` for digests and on `subtle` for comparisons in constant time.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
--- a/crates/shared/cloverpier_settings/src/router.rs
+++ b/crates/shared/cloverpier_settings/src/router.rs
@@ -68,7 +68,7 @@
     pub grace: Duration,
     /// How long callers keep the directory's answer.
     pub directory_keep: Duration,
-    /// How often routers tell each other of their work.
+    /// How often routers send each other heartbeats.
     pub heartbeat: Duration,
     /// Bounds on repeats.
     pub retry: RetrySettings,
--- a/tools/src/soak/checks.rs
+++ b/tools/src/soak/checks.rs
@@ -79,7 +79,7 @@
         let size = self.size;
         writeln!(
             f,
-            "seed {}: {} fronts, {} engines, {} plain servers; {harms} harms, {requests} requests, {} violations",
+            "seed {}: {} routers, {} engines, {} plain upstreams; {harms} harms, {requests} requests, {} violations",
             self.seed,
             size.routers,
             size.engines,
