--- a/crates/daemon/cloverpier_daemon/src/app.rs
+++ b/crates/daemon/cloverpier_daemon/src/app.rs
@@ -167,7 +167,7 @@
         timeout: Duration,
     ) -> Option<PeerReply> {
         let peers_at = self.members().get(member)?.peers_at;
-        // The detector learns of silent peers by heartbeats; for a call, silent and refused are one.
+        // Silent peers are found by heartbeats; for a call, silent and refused are the same.
         self.peers.call(peers_at, request, timeout).await.ok()
     }
 
--- a/crates/daemon/cloverpier_daemon/src/config/learn.rs
+++ b/crates/daemon/cloverpier_daemon/src/config/learn.rs
@@ -148,7 +148,7 @@
 
 async fn read_part(app: &App, digest: &PartDigest) -> Option<Part> {
     let key = format!("{PART_PREFIX}{}", digest.as_str());
-    // A part that cannot be read is asked for again with the next version or look.
+    // Without it the root is not put in force; the next read of the root asks for it again.
     let found = app.platform.read::<Part>(&key).await.ok()??;
     Some(found.value)
 }
--- a/crates/router/cloverpier_router/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -279,7 +279,7 @@
                     let bytes = frame.into_data().unwrap_or_default();
                     Some((Ok(bytes), Some(rest)))
                 }
-                // Once the answer has begun the caller only sees a broken connection, whatever the cause.
+                // Once the answer has begun, the caller sees a broken connection whatever the cause.
                 Err(_) => Some((Err(AnswerBroken), None)),
             }
         })
--- a/crates/router/cloverpier_router_policy/src/upstream_table.rs
+++ b/crates/router/cloverpier_router_policy/src/upstream_table.rs
@@ -119,7 +119,8 @@
         true
     }
 
-    /// Applies changes up to a revision; returns false, and changes nothing, where they are not new.
+    /// Applies changes up to a revision; returns false, and changes nothing, where they are
+    /// not new.
     pub fn apply_changes(
         &mut self,
         changes: Vec<UpstreamChange>,
