--- a/crates/daemon/cloverpier_daemon/src/web/request.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/request.rs
@@ -203,6 +203,7 @@
     }
     match req.payload_with_max_size(MAX_BODY).await {
         Ok(bytes) => Ok(bytes.clone()),
+        // A body that broke off is answered the same way; its caller is seldom there to read it.
         Err(_) => Err(too_large()),
     }
 }
--- a/crates/daemon/cloverpier_object_api/src/client.rs
+++ b/crates/daemon/cloverpier_object_api/src/client.rs
@@ -1,8 +1,8 @@
 //! Calls to the platform.
 //!
 //! A read, a watch and a conditional write, each with the few outcomes that matter; a write
-//! without an answer is one of its own. The users' platform has another protocol, which only
-//! reads; `cloverpier_adapter` (`platform/`) meets it.
+//! without an answer is one of its own. The users' platform has another protocol, which
+//! `cloverpier_adapter` (`platform/`) meets, by reads alone.
 
 use crate::wire::{ObjectBody, StoredObject, VersionBody};
 use reqwest::{Client, Response, StatusCode};
--- a/crates/daemon/cloverpier_route/src/choose.rs
+++ b/crates/daemon/cloverpier_route/src/choose.rs
@@ -79,7 +79,7 @@
     pub weighed: Vec<Weighed>,
 }
 
-/// What came of an ask.
+/// The result of a choice.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
     /// An upstream was chosen.
@@ -97,14 +97,12 @@
         if takers.is_empty() {
             return Choice::Nobody;
         }
-        let able =
+        let healthy =
             |(name, k): &(&UpstreamName, &Known)| !ask.failed.contains(name) && !k.avoided(now);
-        // Beyond those that are known closely only where none of them is able.
-        if takers.iter().take(CLOSE).any(able) {
+        // Beyond those that are known closely only where none of them is healthy.
+        if takers.iter().take(CLOSE).any(healthy) {
             takers.truncate(CLOSE);
         }
-        let healthy =
-            |(name, k): &(&UpstreamName, &Known)| !ask.failed.contains(name) && !k.avoided(now);
         let mut able: Vec<_> = takers.iter().copied().filter(healthy).collect();
         let last_resort = able.is_empty();
         if last_resort {
--- a/crates/daemon/cloverpier_route/src/silence.rs
+++ b/crates/daemon/cloverpier_route/src/silence.rs
@@ -3,7 +3,7 @@
 //! Question: how long may the next token take? Inputs: the service's bound; the gaps so far, if
 //! the service lets the bound narrow. Answer: a duration. The router on the platform bounds gaps
 //! by its settings and asks the upstream before it gives up a stream
-//! (`cloverpier_router_policy::liveness`); an engine here has no such question to answer.
+//! (`cloverpier_router_policy::liveness`); here a silent generation is moved without asking.
 
 use std::time::Duration;
 
--- a/crates/router/cloverpier_router_policy/src/choice.rs
+++ b/crates/router/cloverpier_router_policy/src/choice.rs
@@ -12,8 +12,8 @@
 //!   prompt's hash: routers that see the same do not all choose the same engine, and a
 //!   prompt that is sent again reaches the engine that has read it.
 //!
-//! `cloverpierd` chooses in `cloverpier_route::choose`, by another rule: its upstreams report
-//! their load to it, so two picked at random are compared; the platform's report none, so all
+//! `cloverpierd` chooses in `cloverpier_route::choose`, by another rule: it asks its
+//! engines for their load, so two picked at random are compared; here nobody is asked, so all
 //! are compared by what routers have in flight there.
 //!
 //! Costs are in prompt tokens for model engines and in requests for plain upstreams. Owns no
--- a/crates/router/cloverpier_router_policy/src/suspicion.rs
+++ b/crates/router/cloverpier_router_policy/src/suspicion.rs
@@ -10,8 +10,8 @@
 //!   platform's sites most engines of a data centre die together, and each dead one that is
 //!   tried costs a request time.
 //!
-//! `cloverpierd` has no such state: its operators list upstreams, and a failure there only
-//! lowers an upstream's rank for a while (`cloverpier_route::view`).
+//! `cloverpierd` has no such state: its operators list upstreams, and after a failure one is
+//! a last resort for a while (`cloverpier_route::view`).
 //!
 //! The state itself is kept per upstream in [`crate::upstream::UpstreamState`].
 
