--- a/crates/router/cloverpier_router/src/choice_log.rs
+++ b/crates/router/cloverpier_router/src/choice_log.rs
@@ -57,7 +57,7 @@
     let own = own.unwrap_or_default();
     let peers = table.peer_load.at(UpstreamKey::of(&upstream.name));
     let service = &request.service.name;
-    let out = table.out_by_statement(service, note.now);
+    let out = table.exclusion_counts(service, note.now);
     let limited = router.upstream_limits.limited_of(table.of_service(service));
     router.log.info(
         "server.chosen",
--- a/crates/router/cloverpier_router/src/crashes/judgement.rs
+++ b/crates/router/cloverpier_router/src/crashes/judgement.rs
@@ -11,7 +11,7 @@
 use crate::relay_request::RelayRequest;
 use crate::router::Router;
 use cloverpier_crashes::prelude::*;
-use cloverpier_router_policy::crash_reports::is_told;
+use cloverpier_router_policy::crash_reports::is_reported;
 use cloverpier_router_policy::prelude::*;
 use std::rc::Rc;
 use std::time::Instant;
@@ -61,7 +61,9 @@
     for judged in &judged {
         log_crash(router, judged, now);
     }
-    let told = judged.iter().filter(|j| is_told(&j.surroundings, j.ends));
+    let told = judged
+        .iter()
+        .filter(|j| is_reported(&j.surroundings, j.ends));
     let told: Vec<ContentKey> = told.map(|judged| judged.attempt.content).collect();
     reports::send_to_all(router, &told, now);
     apply_verdicts(router, "this router", now);
--- a/crates/router/cloverpier_router/src/crashes/record.rs
+++ b/crates/router/cloverpier_router/src/crashes/record.rs
@@ -25,7 +25,7 @@
     let state = table.get(&upstream.name);
     // A moment before this machine's clock began is as good as its beginning.
     let begun = now.checked_sub(ran_for).unwrap_or(now);
-    let was_leaving = state.is_some_and(|s| s.is_leaving() || s.had_lost_its_entry(begun));
+    let was_leaving = state.is_some_and(|s| s.is_leaving() || s.was_delisted_at(begun));
     drop(table);
     if was_leaving {
         return;
@@ -85,7 +85,7 @@
     UpstreamEnd {
         upstream: UpstreamKey::of(&upstream.name).0,
         // Where an upstream does not say when it started, each start has a name of its own.
-        start: upstream.born_ms().unwrap_or(UNKNOWN_START),
+        start: upstream.start_time_ms().unwrap_or(UNKNOWN_START),
     }
 }
 
--- a/crates/router/cloverpier_router/src/crashes/reports.rs
+++ b/crates/router/cloverpier_router/src/crashes/reports.rs
@@ -9,7 +9,7 @@
 use crate::peer_messages::{CrashReports, PeerMessage};
 use crate::router::Router;
 use cloverpier_crashes::{ContentKey, ContentReport};
-use cloverpier_router_policy::crash_reports::in_messages;
+use cloverpier_router_policy::crash_reports::split_into_messages;
 use cloverpier_router_policy::dissemination::{is_repeated, may_have_missed, sends_missed};
 use cloverpier_router_policy::prelude::PeerEntry;
 use std::net::SocketAddr;
@@ -65,7 +65,7 @@
 
 fn send(router: &Router, reports: Vec<ContentReport>, to: &Recipients) {
     let sender = router.settings().listen.peers;
-    for contents in in_messages(reports) {
+    for contents in split_into_messages(reports) {
         let reports = CrashReports { sender, contents };
         router
             .peers
--- a/crates/router/cloverpier_router/src/leaving_reports.rs
+++ b/crates/router/cloverpier_router/src/leaving_reports.rs
@@ -10,7 +10,7 @@
 use crate::router::Router;
 use crate::via::Via;
 use cloverpier_router_policy::dissemination::{is_repeated, may_have_missed, sends_missed};
-use cloverpier_router_policy::leaving::in_messages;
+use cloverpier_router_policy::leaving::split_into_messages;
 use cloverpier_router_policy::prelude::*;
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -27,7 +27,7 @@
     if !table.on_leaving(&upstream.name, born_ms, now) {
         return;
     }
-    let reports = table.leaving_of(&upstream.name, now);
+    let reports = table.leaving_reports_of(&upstream.name, now);
     drop(table);
     note(router, upstream, "said", &LeavingSource::Answer(via), now);
     send(router, &reports, &Recipients::All);
@@ -36,7 +36,7 @@
 /// Applies a peer's message.
 pub(crate) fn on_reports(router: &Router, reports: LeavingReports, now: Instant) {
     let mut table = router.upstreams.borrow_mut();
-    let new = table.on_peer_leavings(&reports.upstreams, now);
+    let new = table.on_peer_leaving_reports(&reports.upstreams, now);
     drop(table);
     for upstream in &new {
         note(
@@ -61,7 +61,10 @@
 ) {
     router.last_leaving.set(Some(now));
     router.metrics.leavings.count(how);
-    let known = router.upstreams.borrow().leaving_of(&upstream.name, now);
+    let known = router
+        .upstreams
+        .borrow()
+        .leaving_reports_of(&upstream.name, now);
     let age_ms = known.first().map_or(0, |report| report.age_ms.into());
     log_leaving(&router.log, upstream, source, age_ms);
 }
@@ -80,7 +83,7 @@
 
 /// Sends a peer that may have missed some what is known, where this router is one of those that do.
 pub(crate) fn greet_newcomer(router: &Router, peer: SocketAddr) {
-    let reports = router.upstreams.borrow().leavings(router.now());
+    let reports = router.upstreams.borrow().leaving_reports(router.now());
     if !reports.is_empty() && sends_missed(router.peers.count(), &mut router.rng.borrow_mut()) {
         send(router, &reports, &Recipients::These(vec![peer]));
     }
@@ -91,7 +94,7 @@
     if !is_repeated(router.last_leaving.get(), now) {
         return;
     }
-    let reports = router.upstreams.borrow().new_leavings(now);
+    let reports = router.upstreams.borrow().recent_leaving_reports(now);
     let peers = router.peers.addresses();
     let peer = router.rng.borrow_mut().choose_multiple(peers, 1);
     send(router, &reports, &Recipients::These(peer));
@@ -99,7 +102,7 @@
 
 fn send(router: &Router, reports: &[LeavingReport], to: &Recipients) {
     let sender = router.settings().listen.peers;
-    for upstreams in in_messages(reports) {
+    for upstreams in split_into_messages(reports) {
         let reports = LeavingReports { sender, upstreams };
         router
             .peers
--- a/crates/router/cloverpier_router/src/limit_reports.rs
+++ b/crates/router/cloverpier_router/src/limit_reports.rs
@@ -65,7 +65,7 @@
 
 fn reports(router: &Router) -> Vec<LimitReport> {
     let table = router.upstreams.borrow();
-    let born_ms = |key| table.by_key(key).and_then(UpstreamState::born_ms);
+    let born_ms = |key| table.by_key(key).and_then(UpstreamState::start_time_ms);
     router.upstream_limits.reports(born_ms)
 }
 
--- a/crates/router/cloverpier_router/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -209,7 +209,7 @@
             .await?;
         let now = self.router.now();
         let mut table = self.router.upstreams.borrow_mut();
-        table.on_pace(&upstream.name, now.saturating_duration_since(sent_at));
+        table.on_latency(&upstream.name, now.saturating_duration_since(sent_at));
         table.on_result(&upstream.name, false);
         drop(table);
         if let Some(measuring) = measuring {
--- a/crates/router/cloverpier_router/src/probe.rs
+++ b/crates/router/cloverpier_router/src/probe.rs
@@ -19,7 +19,7 @@
 use cloverpier_router_policy::permit::QUESTION_PATIENCE;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::suspicion::{
-    CHECK_PERIOD, CHECK_TIMEOUT, CheckResult, MAX_PROBES, PROBE_TIMEOUT, REPROBE_AFTER,
+    CHECK_PERIOD, CHECK_TIMEOUT, CheckResult, MAX_PROBES, PROBE_RETRY_DELAY, PROBE_TIMEOUT,
     check_result,
 };
 use std::rc::Rc;
@@ -63,7 +63,10 @@
 
 /// Whether an upstream may be asked a question now: it may want nothing.
 fn may_ask(router: &Router, upstream: &Upstream, now: Instant) -> bool {
-    let is_allowed = router.upstreams.borrow_mut().try_ask(&upstream.name, now);
+    let is_allowed = router
+        .upstreams
+        .borrow_mut()
+        .try_start_probe(&upstream.name, now);
     if !is_allowed {
         router.metrics.probes.count("withheld");
     }
@@ -85,7 +88,7 @@
         if send_probe(router, upstream, health).await == ProbeEnd::Clear {
             return;
         }
-        router.timers.sleep(REPROBE_AFTER).await;
+        router.timers.sleep(PROBE_RETRY_DELAY).await;
         if !may_ask(router, upstream, router.now()) {
             return;
         }
--- a/crates/router/cloverpier_router/src/rollout_steps.rs
+++ b/crates/router/cloverpier_router/src/rollout_steps.rs
@@ -104,7 +104,7 @@
         let Some(order) = rollout.active() else {
             continue;
         };
-        let in_flight = table.own_requests_but(&service, &order.target);
+        let in_flight = table.own_requests_at_other_versions(&service, &order.target);
         let stage = rollout.view.progress.stage;
         reports.extend(rollout.own.reports(order.id, stage, in_flight, now));
     }
--- a/crates/router/cloverpier_router/src/rollouts.rs
+++ b/crates/router/cloverpier_router/src/rollouts.rs
@@ -157,7 +157,7 @@
     service: ServiceName,
     order: OrderId,
     upstream: UpstreamName,
-    start: StartNumber,
+    start: IncarnationNumber,
     is_target: bool,
     route: RouteKey,
 }
@@ -170,7 +170,7 @@
         let order = book.get(service)?.active()?;
         let table = router.upstreams.borrow();
         // One that is forgotten by now has no start, and its answers say nothing.
-        let start = table.get(&upstream.name)?.start();
+        let start = table.get(&upstream.name)?.incarnation();
         Some(Self {
             service: service.clone(),
             order: order.id,
--- a/crates/router/cloverpier_router/src/statements.rs
+++ b/crates/router/cloverpier_router/src/statements.rs
@@ -15,7 +15,9 @@
 use crate::wire_names::AnswerParts;
 use cloverpier_router_policy::limit::WrittenBetween;
 use cloverpier_router_policy::prelude::*;
-use cloverpier_router_policy::statement::{Sender, sender_of_answer, sender_of_reply};
+use cloverpier_router_policy::statement::{
+    Sender, sender_of_query_response, sender_of_request_response,
+};
 use hyper::http::response::Parts;
 use std::time::{Duration, Instant};
 
@@ -43,7 +45,7 @@
     /// Applies what the answer to a question states about its sender.
     pub(crate) fn hear(&self, call: Call<'_>, answer: AnswerParts<'_>) -> Heard {
         let said = (self.wire_names.statement)(&answer);
-        let sender = sender_of_answer(&call.upstream.name, &said);
+        let sender = sender_of_query_response(&call.upstream.name, &said);
         let start = take(self, call, &said, sender, false);
         Heard { said, start }
     }
@@ -61,7 +63,7 @@
             headers: &head.headers,
             body: None,
         });
-        let sender = sender_of_reply(&call.upstream.name, &said, verdict);
+        let sender = sender_of_request_response(&call.upstream.name, &said, verdict);
         take(self, call, &said, sender, verdict.is_ok());
         said
     }
@@ -79,12 +81,12 @@
         return StartOrder::Same;
     };
     let now = router.now();
-    let order = on_named_start(router, &upstream, said.born_ms, now);
+    let order = on_named_start(router, &upstream, said.start_time_ms, now);
     if order == StartOrder::Older {
         return order;
     }
     if said.is_leaving {
-        leaving_reports::on_leaving(router, &upstream, said.born_ms, call.via, now);
+        leaving_reports::on_leaving(router, &upstream, said.start_time_ms, call.via, now);
     }
     if let Some(time) = said.wait {
         take_wait(router, call.via, &upstream, time);
@@ -101,7 +103,7 @@
 /// not known.
 fn known_sender(router: &Router, call: Call<'_>, sender: Sender) -> Option<Upstream> {
     match sender {
-        Sender::Asked => Some(call.upstream.clone()),
+        Sender::Addressee => Some(call.upstream.clone()),
         Sender::Other(name) => {
             let table = router.upstreams.borrow();
             table.get(&name).map(|state| state.upstream.clone())
--- a/crates/router/cloverpier_router/src/successors.rs
+++ b/crates/router/cloverpier_router/src/successors.rs
@@ -12,7 +12,7 @@
 use crate::router::Router;
 use cloverpier_core::UpstreamName;
 use cloverpier_router_policy::prelude::*;
-use cloverpier_router_policy::successor::{must_be_same_service, recognizable_until};
+use cloverpier_router_policy::successor::{must_be_same_service, successor_deadline};
 use std::time::Instant;
 
 /// Has a dead upstream checked closely while its successor would be recognized.
@@ -20,9 +20,9 @@
     let Some(last_sign) = last_sign(router, upstream, router.now()) else {
         return;
     };
-    let until = recognizable_until(last_sign, router.settings().address_reuse);
+    let until = successor_deadline(last_sign, router.settings().address_reuse);
     let mut table = router.upstreams.borrow_mut();
-    table.await_successor(&upstream.name, until);
+    table.check_frequently_until(&upstream.name, until);
 }
 
 fn last_sign(router: &Router, upstream: &Upstream, now: Instant) -> Option<Instant> {
@@ -37,7 +37,7 @@
     let sender = router.settings().listen.peers;
     if let Some(name) = answering {
         let mut table = router.upstreams.borrow_mut();
-        table.on_answered_at(name, former.address);
+        table.on_identified_at(name, former.address);
     }
     let successor = successor(router, former, answering);
     let successor = successor.filter(|upstream| add(router, &former.name, upstream, "answers"));
--- a/crates/router/cloverpier_router/src/upstream_limits/learn.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/learn.rs
@@ -65,7 +65,7 @@
         peer: SocketAddr,
     ) -> bool {
         let now = self.parts.timers.now();
-        let born_ms = state.and_then(UpstreamState::born_ms);
+        let born_ms = state.and_then(UpstreamState::start_time_ms);
         let mut permits = self.permits.borrow_mut();
         let change = permits.on_report(report, born_ms, now);
         drop(permits);
@@ -93,7 +93,7 @@
     pub(super) fn report(&self, upstream: &Upstream, now: Instant) -> Option<LimitReport> {
         let key = UpstreamKey::of(&upstream.name);
         let permits = self.permits.borrow();
-        permits.limits().report(key, upstream.born_ms(), now)
+        permits.limits().report(key, upstream.start_time_ms(), now)
     }
 
     /// Forgets the limit of an upstream that has started again.
--- a/crates/router/cloverpier_router/src/upstream_limits/limiter.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/limiter.rs
@@ -20,7 +20,7 @@
         }
         let now = self.parts.timers.now();
         let place = state.map(|state| LimitedUpstream {
-            born_ms: state.born_ms(),
+            born_ms: state.start_time_ms(),
             ..place_of(&state.upstream)
         });
         let mut permits = self.permits.borrow_mut();
--- a/crates/router/cloverpier_router/src/upstream_limits/mod.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/mod.rs
@@ -138,6 +138,6 @@
     LimitedUpstream {
         key: UpstreamKey::of(&upstream.name),
         data_centre: &upstream.data_centre,
-        born_ms: upstream.born_ms(),
+        born_ms: upstream.start_time_ms(),
     }
 }
--- a/crates/router/cloverpier_router/src/wait.rs
+++ b/crates/router/cloverpier_router/src/wait.rs
@@ -96,7 +96,7 @@
     router
         .upstreams
         .borrow()
-        .asked_again_at(&upstream.name, now)
+        .next_probe_time(&upstream.name, now)
 }
 
 /// Decides about an upstream from which nothing has arrived.
--- a/crates/router/cloverpier_router/tests/peer_messages.rs
+++ b/crates/router/cloverpier_router/tests/peer_messages.rs
@@ -7,7 +7,7 @@
 use cloverpier_crashes::prelude::*;
 use cloverpier_router::peer_messages::*;
 use cloverpier_router_policy::heartbeat::MAX_DATAGRAM;
-use cloverpier_router_policy::leaving::in_messages;
+use cloverpier_router_policy::leaving::split_into_messages;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::rollout::evidence::{
     AnswerCounts, Arm, EvidenceKey, EvidenceReport, Measure, RouteKey, SentCounts,
@@ -152,10 +152,13 @@
 }
 
 /// What an upstream says of its start, as the release that writes it does.
-fn upstream_with_start(number: u16, born_ms: Option<u64>) -> Upstream {
+fn upstream_with_start(number: u16, start_time_ms: Option<u64>) -> Upstream {
     let version = SoftwareVersion::new("v2");
     Upstream {
-        start: Some(UpstreamStart { version, born_ms }),
+        start: Some(UpstreamStart {
+            version,
+            start_time_ms,
+        }),
         ..upstream(number)
     }
 }
@@ -280,12 +283,12 @@
     let upstreams = vec![
         LeavingReport {
             upstream: UpstreamKey(0x0102_0304_0506_0708),
-            born_ms: Some(1_790_000_000_000),
+            start_time_ms: Some(1_790_000_000_000),
             age_ms: 1_900,
         },
         LeavingReport {
             upstream: UpstreamKey(21),
-            born_ms: None,
+            start_time_ms: None,
             age_ms: 0,
         },
     ];
@@ -300,10 +303,10 @@
 fn as_many_leavings_as_one_message_holds_fit_into_a_datagram() {
     let longest = LeavingReport {
         upstream: UpstreamKey(u64::MAX),
-        born_ms: Some(u64::MAX),
+        start_time_ms: Some(u64::MAX),
         age_ms: u32::MAX,
     };
-    for upstreams in in_messages(&[longest; 820]) {
+    for upstreams in split_into_messages(&[longest; 820]) {
         let sender = "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535"
             .parse()
             .unwrap();
--- a/crates/router/cloverpier_router_policy/src/choice/candidates.rs
+++ b/crates/router/cloverpier_router_policy/src/choice/candidates.rs
@@ -20,9 +20,9 @@
 ///
 /// 5. all that are listed, suspected ones among them;
 /// 6. only where nothing of the service is listed: those whose entries vanished within
-///    [`crate::suspicion::RETURN_WINDOW`], as outages of the store do that to living ones;
+///    [`crate::suspicion::RELIST_WINDOW`], as outages of the store do that to living ones;
 /// 7. only where there is none of these either: those that have said that they leave within
-///    [`crate::leaving::LAST_RESORT_FOR`], as they still serve.
+///    [`crate::leaving::LAST_RESORT_PERIOD`], as they still serve.
 ///
 /// The engines of a data centre die together, and the first that fails says so before three are
 /// suspected.
@@ -80,12 +80,13 @@
     of_service: &[&'a UpstreamState],
     demand: &Demand<'_>,
 ) -> Vec<&'a UpstreamState> {
-    let of_service = &filtered(of_service, |s| !s.wants_nothing(demand.now));
+    let of_service = &filtered(of_service, |s| !s.in_wait_period(demand.now));
     let listed = filtered(of_service, UpstreamState::is_listed);
     if !listed.is_empty() {
         return listed;
     }
-    let may_be_back = |s: &UpstreamState| s.may_still_serve() && s.vanished_recently(demand.now);
+    let may_be_back =
+        |s: &UpstreamState| s.may_still_serve() && s.was_delisted_recently(demand.now);
     let vanished = filtered(of_service, may_be_back);
     if !vanished.is_empty() {
         return vanished;
--- a/crates/router/cloverpier_router_policy/src/choice/cost.rs
+++ b/crates/router/cloverpier_router_policy/src/choice/cost.rs
@@ -73,15 +73,15 @@
 
 /// The shortest known pace, in milliseconds; infinite where none is known.
 pub(super) fn best_pace(states: &[&UpstreamState]) -> f64 {
-    let paces = states.iter().map(|s| s.pace_ms);
+    let paces = states.iter().map(|s| s.latency_ms);
     let known = paces.filter(|p| *p >= MIN_PACE_MS);
     known.fold(f64::INFINITY, f64::min)
 }
 
 /// How many times slower than the best an upstream is, 1 or more.
 fn slowness(state: &UpstreamState, best_pace: f64) -> f64 {
-    if best_pace.is_finite() && state.pace_ms > best_pace {
-        state.pace_ms / best_pace
+    if best_pace.is_finite() && state.latency_ms > best_pace {
+        state.latency_ms / best_pace
     } else {
         1.0
     }
--- a/crates/router/cloverpier_router_policy/src/crash_reports.rs
+++ b/crates/router/cloverpier_router_policy/src/crash_reports.rs
@@ -1,42 +1,51 @@
-//! What is reported to peers of requests that end upstreams.
+//! Selects the crash reports that routers send to peers about requests that crash upstreams.
 //!
-//! - **Question.** Which ends do peers learn of, and in how large messages?
-//! - **Inputs.** What was around an end.
-//! - **Answer.** Yes or no; messages within a datagram's bound.
-//! - **Why.** A caller repeats at any router, so an end that counts goes to all routers at once, in one
-//!   datagram each. One that something else explains goes to nobody: a dying data centre would have
-//!   each of 300 routers report some five of them to all others. On days without such contents nothing is
-//!   sent at all.
+//! - **Question.** Which crashes of upstreams are reported to peers, and how are the reports split into
+//!   messages?
+//! - **Inputs.** The circumstances of a crash: how many other upstreams are listed, and which of them
+//!   crashed at about the same time.
+//! - **Answer.** Whether a crash is reported; messages that fit into a datagram.
+//! - **Why.** A caller may repeat a request at any router, so a crash that the request probably caused is
+//!   reported to all routers at once, in one datagram each. A crash that has another explanation is not
+//!   reported: when a data centre fails, each of 300 routers would report some five crashes to all
+//!   others. While no upstream crashes under a request, nothing is sent.
 //!
-//! Who is sent them again is decided in [`crate::dissemination`]; which ends count, and what is done with a
-//! content, in `cloverpier_crashes`. Owns nothing.
+//! When reports are repeated is decided in [`crate::dissemination`]. How much a crash counts, and
+//! what happens to the request's content, is decided in `cloverpier_crashes`. Owns no state.
 
 use cloverpier_crashes::{ContentReport, Surroundings};
 
-/// Ends of less weight, in thousandths, are not reported: three of five others in a data centre have
-/// ended beside it, so that two that one request ended at once are reported.
+/// Minimum weight of a crash that is reported, in thousandths. The weight falls below it when three of
+/// the five other upstreams in a data centre crash at about the same time. It is low enough that two
+/// upstreams that one request crashed at once are reported.
 const MIN_REPORTED_WEIGHT: u32 = 250;
-/// Ends in one message. An end takes 40 bytes, and 10 for each of up to 12 others beside it: 32 of
-/// them at most 5,200, where a datagram may have 8,192.
-const MAX_ENDS: usize = 32;
+/// Maximum number of crashes in one message. A crash takes 40 bytes, and 10 for each of up to 12
+/// upstreams that crashed at about the same time: 32 crashes take at most 5,200 bytes, and a datagram
+/// may have 8,192.
+const MAX_CRASHES_PER_MESSAGE: usize = 32;
 
-/// Whether an end is reported to peers, which is one of `ends` that are known of its content. What else
-/// ended beside it explains the first; the others may be the content's own.
-pub fn is_told(surroundings: &Surroundings, ends: usize) -> bool {
+/// Whether a crash is reported to peers.
+///
+/// `crash_count` is the number of known crashes, this one included, under requests with the same
+/// content. The first is reported only if few other upstreams crashed at about the same time: otherwise
+/// their common cause explains it. Later ones are always reported, as the content may have caused all
+/// of them.
+pub fn is_reported(surroundings: &Surroundings, crash_count: usize) -> bool {
     let weight = surroundings.weight(|_| None);
-    ends > 1 || weight.thousandths() >= MIN_REPORTED_WEIGHT
+    crash_count > 1 || weight.thousandths() >= MIN_REPORTED_WEIGHT
 }
 
-/// Reports in as many messages as they need.
-pub fn in_messages(reports: Vec<ContentReport>) -> Vec<Vec<ContentReport>> {
+/// Splits reports into messages of at most [`MAX_CRASHES_PER_MESSAGE`] crashes each. A report is never split; a
+/// report with more crashes gets a message of its own.
+pub fn split_into_messages(reports: Vec<ContentReport>) -> Vec<Vec<ContentReport>> {
     let mut messages: Vec<Vec<ContentReport>> = Vec::new();
-    let mut ends = 0;
+    let mut crash_count = 0;
     for report in reports {
-        ends += report.crashes.len();
+        crash_count += report.crashes.len();
         match messages.last_mut() {
-            Some(message) if ends <= MAX_ENDS => message.push(report),
+            Some(message) if crash_count <= MAX_CRASHES_PER_MESSAGE => message.push(report),
             _ => {
-                ends = report.crashes.len();
+                crash_count = report.crashes.len();
                 messages.push(vec![report]);
             }
         }
--- a/crates/router/cloverpier_router_policy/src/lib.rs
+++ b/crates/router/cloverpier_router_policy/src/lib.rs
@@ -125,10 +125,10 @@
     pub use crate::statement::UpstreamStatement;
     pub use crate::store_watch::WatcherRole;
     pub use crate::upstream::{
-        StartNumber, StartOrder, Upstream, UpstreamChange, UpstreamKey, UpstreamStart,
+        IncarnationNumber, StartOrder, Upstream, UpstreamChange, UpstreamKey, UpstreamStart,
         UpstreamState,
     };
-    pub use crate::upstream_table::{AppliedUpdate, OutByStatement, ServiceWait, UpstreamTable};
+    pub use crate::upstream_table::{AppliedUpdate, ExclusionCounts, ServiceWait, UpstreamTable};
 }
 
 pub use prelude::*;
--- a/crates/router/cloverpier_router_policy/src/liveness.rs
+++ b/crates/router/cloverpier_router_policy/src/liveness.rs
@@ -1,45 +1,51 @@
-//! When a silent upstream is probed and when it is declared dead.
+//! Failure detection while a request waits: when a silent upstream is probed and when it is declared
+//! dead.
 //!
-//! - **Question.** An upstream that has a request says nothing: wait, probe it, declare it
-//!   dead, or move this stream alone?
-//! - **Inputs.** When the upstream was active last, on any connection; since when a probe is
-//!   under way; when this stream progressed last; [`LivenessBounds`]; the present moment.
+//! - **Question.** Nothing arrives from an upstream that has a request. Should the router wait, probe
+//!   the upstream, declare it dead, or move only this request?
+//! - **Inputs.** When data last arrived from the upstream, on any connection; since when a probe is in
+//!   flight; when this request last made progress; [`LivenessBounds`]; the current time.
 //! - **Answer.** A [`LivenessStep`].
-//! - **Why.** A host that loses power sends no reset, so silence is all there is to see. But
-//!   a busy engine is silent, too, while it reads a prompt, and a false alarm costs reading
-//!   a prompt again. So silence leads to a probe, and only an unanswered probe to a verdict.
+//! - **Why.** A host that loses power sends no reset, so silence is the only evidence. But a busy engine
+//!   is also silent while it processes a prompt, and after a false alarm another engine has to process
+//!   the prompt again. So silence leads to a probe, and only an unanswered probe to the decision
+//!   that the upstream is dead.
 //!
-//! [`Liveness`] is the state of one wait. It relies on being stepped at the moments that it
-//! asks for: that is how it notices that this process itself was paused.
+//! [`Liveness`] owns the state of one waiting request. It relies on its caller to call
+//! [`Liveness::step`] at the times that it returns: a late call shows that this process itself was
+//! paused.
 
 use std::time::{Duration, Instant};
 
-/// If a timer fires later than this, this process was paused (VM freeze, no CPU), so the silence is
-/// no evidence against the upstream.
+/// A timer that fires later than this shows that this process was paused (the VM was frozen or the
+/// process had no CPU), so the silence is no evidence against the upstream.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(150);
 
-/// A silent plain upstream is probed after this many objectives of the route.
-const PLAIN_PROBE_OBJECTIVES: f64 = 1.0;
-/// A plain answer that may be had from another upstream is given up after this many objectives: by
-/// then it is late, and the other one may still be in time for the caller's deadline.
-const PLAIN_STALL_OBJECTIVES: f64 = 2.0;
+/// Silence after which the upstream of a plain (non-streaming) request is probed, as a multiple of the
+/// route's response time objective.
+const PLAIN_PROBE_FACTOR: f64 = 1.0;
+/// Time after which a plain request moves to another upstream, as a multiple of the route's response time
+/// objective: by then the response is late, and another upstream may still respond before the caller's
+/// deadline.
+const PLAIN_STALL_FACTOR: f64 = 2.0;
 
-/// Bounds on silence.
+/// Timeouts for a waiting request and its silent upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LivenessBounds {
-    /// Silence of the upstream after which it is probed.
+    /// Silence of the upstream, on all connections, after which it is probed.
     pub probe_after: Duration,
-    /// Silence after the probe's start that means that the upstream is dead.
+    /// Silence of the upstream after the start of a probe, after which it is declared dead.
     pub probe_timeout: Duration,
-    /// Time without progress of this stream, at a living upstream, after which it is moved.
+    /// Time without progress of this request, at an upstream that is alive, after which the request is
+    /// moved to another upstream.
     pub stall_after: Duration,
 }
 
 impl LivenessBounds {
-    /// Bounds for a plain request.
+    /// Timeouts for a plain (non-streaming) request.
     ///
-    /// `has_alternative` says whether another upstream may get the request; without one it
-    /// waits for the whole `route_timeout`.
+    /// `objective` is the route's response time objective. `has_alternative` is whether another upstream
+    /// may get the request; without one the request waits for the whole `route_timeout`.
     pub fn of_plain(
         objective: Duration,
         route_timeout: Duration,
@@ -47,18 +53,19 @@
         has_alternative: bool,
     ) -> Self {
         Self {
-            probe_after: objective.mul_f64(PLAIN_PROBE_OBJECTIVES),
+            probe_after: objective.mul_f64(PLAIN_PROBE_FACTOR),
             probe_timeout,
             stall_after: if has_alternative {
-                objective.mul_f64(PLAIN_STALL_OBJECTIVES)
+                objective.mul_f64(PLAIN_STALL_FACTOR)
             } else {
                 route_timeout
             },
         }
     }
 
-    /// The same bounds for a stream whose pauses are in time up to `gap_objective`: it is not
-    /// moved before it is late.
+    /// Raises `stall_after` to at least `gap_objective`, the longest time between two events of a stream
+    /// that meets the route's objective: a stream that is not late yet is not moved. `None`, for a route
+    /// without such an objective, changes nothing.
     #[must_use]
     pub fn with_gap_objective(self, gap_objective: Option<Duration>) -> Self {
         let stall_after = match gap_objective {
@@ -72,69 +79,73 @@
     }
 }
 
-/// What to do about a silent upstream.
+/// What a router does next for a request whose upstream is silent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LivenessStep {
-    /// Wait and decide again at this moment.
+    /// Wait, and call [`Liveness::step`] again at this time.
     WaitUntil(Instant),
     /// Probe the upstream.
     Probe,
-    /// The upstream is dead: continue at another one.
+    /// The upstream is dead: move the request to another one.
     UpstreamDead,
-    /// The upstream lives and this stream does not progress: continue at another one.
+    /// The upstream may be alive, but this request makes no progress: move the request to another
+    /// upstream.
     Stalled,
 }
 
-/// The silence of one stream and its upstream.
+/// Tracks the silence of a request's upstream and the progress of the request.
 #[derive(Clone, Copy, Debug)]
 pub struct Liveness {
     bounds: LivenessBounds,
-    /// The last event of this stream, or the moment when it was sent.
-    progressed: Instant,
-    /// When the timer should have fired that is awaited now.
-    awaited: Instant,
-    /// Silence before this moment does not count, as this process was paused.
+    /// When the last event of the stream, or part of a plain response, arrived; before the first, when
+    /// the request was sent.
+    last_progress: Instant,
+    /// When the current wait should end.
+    expected_wakeup: Instant,
+    /// Silence before this time is ignored, because this process was paused.
     paused_until: Instant,
-    /// The upstream is not probed before; `None` where it may be now.
-    probes_from: Option<Instant>,
+    /// The upstream must not be probed before this time; `None` if it may be probed now.
+    no_probe_before: Option<Instant>,
 }
 
 impl Liveness {
-    /// A stream that was sent just now.
+    /// The state of a request that is sent at `now`.
     pub fn new(bounds: LivenessBounds, now: Instant) -> Self {
         Self {
             bounds,
-            progressed: now,
-            awaited: now,
+            last_progress: now,
+            expected_wakeup: now,
             paused_until: now,
-            probes_from: None,
+            no_probe_before: None,
         }
     }
 
-    /// Holds probes back until a moment, as the upstream wants nothing before ([`cloverpier_core::wait`]).
-    pub fn hold_probes_until(&mut self, from: Option<Instant>) {
-        self.probes_from = from;
+    /// Delays probes until the given time, because the upstream accepts none earlier
+    /// ([`cloverpier_core::wait`]) or a probe still waits for its permit. `None` allows probes at any time.
+    pub fn hold_probes_until(&mut self, earliest: Option<Instant>) {
+        self.no_probe_before = earliest;
     }
 
-    /// Sets other bounds, as when the first event has arrived.
+    /// Replaces the timeouts, for example after the first event of a stream has arrived.
     pub fn set_bounds(&mut self, bounds: LivenessBounds) {
         self.bounds = bounds;
     }
 
-    /// Records an event of this stream.
+    /// Records that an event of the stream, or a part of a plain response, arrived.
     pub fn on_event(&mut self, now: Instant) {
-        self.progressed = now;
-        self.awaited = now;
+        self.last_progress = now;
+        self.expected_wakeup = now;
     }
 
-    /// Decides, given the upstream's last activity and since when it is being probed.
+    /// Decides the next step. `last_activity` is when data last arrived from the upstream on any
+    /// connection; `probing_since` is when the probe in flight was sent, `None` without one.
     pub fn step(
         &mut self,
         last_activity: Instant,
         probing_since: Option<Instant>,
         now: Instant,
     ) -> LivenessStep {
-        if now.saturating_duration_since(self.awaited) > PAUSE_THRESHOLD {
+        if now.saturating_duration_since(self.expected_wakeup) > PAUSE_THRESHOLD {
             self.paused_until = now;
         }
         if now >= self.stalled_at() {
@@ -142,22 +153,24 @@
         }
         let silent_since = last_activity.max(self.paused_until);
         match probing_since {
-            Some(probed) => self.while_probing(silent_since.max(probed), now),
-            None => self.while_idle(silent_since, now),
+            Some(probe_sent) => self.while_probing(silent_since.max(probe_sent), now),
+            None => self.without_probe(silent_since, now),
         }
     }
 
-    fn while_probing(&mut self, since: Instant, now: Instant) -> LivenessStep {
-        let dead_at = since + self.bounds.probe_timeout;
+    fn while_probing(&mut self, silent_since: Instant, now: Instant) -> LivenessStep {
+        let dead_at = silent_since + self.bounds.probe_timeout;
         if now >= dead_at {
             return LivenessStep::UpstreamDead;
         }
         self.wait_until(dead_at)
     }
 
-    fn while_idle(&mut self, since: Instant, now: Instant) -> LivenessStep {
-        let probe_at = since + self.bounds.probe_after;
-        let probe_at = self.probes_from.map_or(probe_at, |from| probe_at.max(from));
+    fn without_probe(&mut self, silent_since: Instant, now: Instant) -> LivenessStep {
+        let probe_at = silent_since + self.bounds.probe_after;
+        let probe_at = self
+            .no_probe_before
+            .map_or(probe_at, |earliest| probe_at.max(earliest));
         if now >= probe_at {
             return LivenessStep::Probe;
         }
@@ -165,11 +178,11 @@
     }
 
     fn wait_until(&mut self, at: Instant) -> LivenessStep {
-        self.awaited = at.min(self.stalled_at());
-        LivenessStep::WaitUntil(self.awaited)
+        self.expected_wakeup = at.min(self.stalled_at());
+        LivenessStep::WaitUntil(self.expected_wakeup)
     }
 
     fn stalled_at(&self) -> Instant {
-        self.progressed.max(self.paused_until) + self.bounds.stall_after
+        self.last_progress.max(self.paused_until) + self.bounds.stall_after
     }
 }
--- a/crates/router/cloverpier_router_policy/src/refusal.rs
+++ b/crates/router/cloverpier_router_policy/src/refusal.rs
@@ -72,9 +72,9 @@
         }
         Refusal::UpstreamsWait { wait, objective } => {
             // Earlier nobody serves it, however short its objective is; all at once, they would meet full upstreams.
-            let room = objective.saturating_sub(wait.left);
-            let later = wait.passed.min(room.mul_f64(RETURN_SHARE));
-            (wait.left + later).max(MIN_WAIT)
+            let room = objective.saturating_sub(wait.remaining);
+            let later = wait.elapsed.min(room.mul_f64(RETURN_SHARE));
+            (wait.remaining + later).max(MIN_WAIT)
         }
         Refusal::UpstreamsLimited { turn } => turn.max(MIN_WAIT),
     }
--- a/crates/router/cloverpier_router_policy/src/replica.rs
+++ b/crates/router/cloverpier_router_policy/src/replica.rs
@@ -12,7 +12,7 @@
 use crate::choice::{Demand, filtered, fits, known_load};
 use crate::permit::LimitedUpstreams;
 use crate::rollout::VersionRule;
-use crate::upstream::{StartNumber, Upstream, UpstreamState};
+use crate::upstream::{IncarnationNumber, Upstream, UpstreamState};
 use crate::upstream_table::UpstreamTable;
 use std::time::Instant;
 
@@ -37,7 +37,7 @@
 pub struct Replica {
     engine: Upstream,
     /// `None` where the engine was forgotten before the replica began.
-    start: Option<StartNumber>,
+    start: Option<IncarnationNumber>,
 }
 
 impl Replica {
@@ -45,7 +45,7 @@
     pub fn begin(table: &UpstreamTable, engine: Upstream) -> Self {
         let state = table.get(&engine.name);
         Self {
-            start: state.map(UpstreamState::start),
+            start: state.map(UpstreamState::incarnation),
             engine,
         }
     }
@@ -65,7 +65,7 @@
     if limits.is_withheld(state.key) {
         return None;
     }
-    let is_kept = state.is_usable(now) && replica.start == Some(state.start());
+    let is_kept = state.is_usable(now) && replica.start == Some(state.incarnation());
     let is_allowed = !versions.bars(state.upstream.version());
     (is_kept && is_allowed).then(|| replica.engine.clone())
 }
--- a/crates/router/cloverpier_router_policy/src/rollout/evidence/own.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/evidence/own.rs
@@ -10,7 +10,7 @@
 use crate::attempt_failure::AttemptFailure;
 use crate::rollout::versions::group_of;
 use crate::rollout::{OrderId, Stage};
-use crate::upstream::StartNumber;
+use crate::upstream::IncarnationNumber;
 use cloverpier_core::UpstreamName;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 struct Broken {
     upstream: UpstreamName,
-    start: StartNumber,
+    start: IncarnationNumber,
     key: EvidenceKey,
     at: Instant,
 }
@@ -40,7 +40,7 @@
     /// Its name.
     pub upstream: &'a UpstreamName,
     /// Its start.
-    pub start: StartNumber,
+    pub start: IncarnationNumber,
     /// Whether it is of the new version.
     pub is_target: bool,
     /// The route of the request.
--- a/crates/router/cloverpier_router_policy/src/statement.rs
+++ b/crates/router/cloverpier_router_policy/src/statement.rs
@@ -1,76 +1,84 @@
-//! What an answer says of the upstream that gave it, and of which upstream it says so.
+//! Statements that upstreams make about themselves in responses, and which upstream a statement is
+//! attributed to.
 //!
-//! - **Question.** An answer carries statements on its sender: that it leaves, that it wants nothing
-//!   for a while, how many requests it takes, when it started. Whose are they?
-//! - **Inputs.** An [`UpstreamStatement`], as the platform's adapter has decoded it; which upstream
-//!   was asked; for the answer to a request, whether it counts ([`crate::attempt_failure`]).
+//! - **Question.** A response contains statements of the sender about itself: that it leaves, that it
+//!   accepts no requests for some time, how many requests per second it accepts, when it started. Which
+//!   upstream is the sender?
+//! - **Inputs.** An [`UpstreamStatement`], decoded by the platform's adapter; the upstream that the
+//!   request, probe or check was sent to; for the response to a request, whether it is a valid response
+//!   to that request ([`crate::attempt_failure`]).
 //! - **Answer.** A [`Sender`].
-//! - **Why.** Addresses are used again and answers arrive late or twice, so an answer may come from
-//!   another process than the one that was asked, or belong to nothing. A leaving that counts as
-//!   another upstream's takes a sound one out of service, for good.
+//! - **Why.** Addresses are reused, and responses arrive late or twice, so a response may come from a
+//!   process other than the addressed upstream, or may belong to no open request. A leave announcement
+//!   that is attributed to the wrong upstream takes a healthy upstream out of service permanently.
 //!
-//! How long a statement binds is decided in [`crate::leaving`], [`crate::limit`]
-//! and [`cloverpier_core::wait`]. Owns nothing.
+//! How long a statement counts is defined in [`crate::leaving`], [`crate::limit`] and
+//! [`cloverpier_core::wait`]. Owns no state; relies on the platform's adapter to decode responses.
 
 use crate::attempt_failure::AttemptFailure;
 use crate::limit::LimitStatement;
 use cloverpier_core::UpstreamName;
 use std::time::Duration;
 
-/// What an answer says of its sender.
+/// The statements about its sender that a response contains.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamStatement {
-    /// Its name; `None` where it does not say.
+    /// The sender's name; `None` if the response does not contain it.
     pub name: Option<UpstreamName>,
-    /// When it started, as a Unix time in milliseconds; `None` where it does not say.
-    pub born_ms: Option<u64>,
-    /// Whether it is about to leave.
+    /// When the sender's process started, as a Unix time in milliseconds; `None` if the response does
+    /// not contain the time.
+    pub start_time_ms: Option<u64>,
+    /// Whether the sender announces that it is about to leave.
     pub is_leaving: bool,
-    /// For how long it wants nothing from this VM.
+    /// For how long the sender accepts no requests from this VM (`Retry-After`); `None` if the response
+    /// sets no such period.
     pub wait: Option<Duration>,
-    /// How many requests a second it takes from all routers together.
+    /// How many requests per second the sender accepts from all routers together.
     pub limit: LimitStatement,
-    /// A statement that cannot be read, and so says nothing.
+    /// Describes a statement that could not be decoded and is ignored; `None` if all were decoded.
     pub unreadable: Option<String>,
 }
 
-/// Who made a statement.
+/// The upstream that the statements in a response are attributed to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Sender {
-    /// The upstream that was asked.
-    Asked,
-    /// Another one, which names itself.
+    /// The upstream to which the request, probe or check was sent.
+    Addressee,
+    /// Another upstream, whose name the response contains.
     Other(UpstreamName),
-    /// Nobody knows.
+    /// The sender cannot be determined, so the statements are ignored.
     Unknown,
 }
 
-/// Who answered a question that any process at the address answers.
+/// The sender of the response to a probe, check or load query, to which any process at the address
+/// responds.
 ///
-/// One that does not name itself counts as the upstream that was asked. If it is the next process at
-/// the address, the upstream has ended, and what is concluded of it harms nobody.
-pub fn sender_of_answer(asked: &UpstreamName, said: &UpstreamStatement) -> Sender {
-    match &said.name {
-        Some(name) if name != asked => Sender::Other(name.clone()),
-        _ => Sender::Asked,
+/// A response without a name counts as the addressee's. If it comes from the next process at the
+/// address, the addressee has ended, and a statement that is wrongly attributed to it has no effect.
+pub fn sender_of_query_response(addressee: &UpstreamName, statement: &UpstreamStatement) -> Sender {
+    match &statement.name {
+        Some(name) if name != addressee => Sender::Other(name.clone()),
+        _ => Sender::Addressee,
     }
 }
 
-/// Who answered a request, which only the upstream that it names runs.
+/// The sender of the response to a request, which only the upstream named in the request executes.
+/// `validity` is whether the response counts as the response to this request
+/// ([`crate::attempt_failure`]).
 ///
-/// An answer to another request may be anybody's bytes. One that turns the request down as meant for
-/// another process speaks for the process that it names.
-pub fn sender_of_reply(
-    asked: &UpstreamName,
-    said: &UpstreamStatement,
-    verdict: &Result<(), AttemptFailure>,
+/// The sender of a response to another request is unknown. A process that rejects the request as
+/// misdirected is the sender if the response contains that process's name.
+pub fn sender_of_request_response(
+    addressee: &UpstreamName,
+    statement: &UpstreamStatement,
+    validity: &Result<(), AttemptFailure>,
 ) -> Sender {
-    match verdict {
+    match validity {
         Err(AttemptFailure::OtherRequest) => Sender::Unknown,
-        Err(AttemptFailure::Misdirected) => match &said.name {
-            Some(name) if name != asked => Sender::Other(name.clone()),
+        Err(AttemptFailure::Misdirected) => match &statement.name {
+            Some(name) if name != addressee => Sender::Other(name.clone()),
             _ => Sender::Unknown,
         },
-        _ => Sender::Asked,
+        _ => Sender::Addressee,
     }
 }
--- a/crates/router/cloverpier_router_policy/src/successor.rs
+++ b/crates/router/cloverpier_router_policy/src/successor.rs
@@ -1,41 +1,48 @@
-//! Whether the process at the address of a dead upstream belongs to the same service.
+//! Whether the process that took over a dead upstream's address belongs to the same service.
 //!
-//! - **Question.** A check of a dead upstream is answered under another name. May that process
-//!   get requests of the service before the platform's list names it?
-//! - **Inputs.** The last sign of life of the former process, which has to be part of its own
-//!   answer to a request: a probe may have been answered by the next process already. When the
-//!   answer arrived; how long the platform keeps an address from other services after its
-//!   process has ended.
-//! - **Answer.** [`must_be_same_service`]; how often a dead upstream is checked meanwhile.
-//! - **Why.** An engine that crashes is back after about a second under another name. While the
-//!   platform's store is away, it cannot enter itself into the list, and after the deaths of
-//!   two data centres in such a time half of the engines were unknown though they lived.
-//!   The proof: the former process ended after its last sign of life. Until the platform lets
-//!   another service have the address, counted from that end, only the same service can answer
-//!   there. A name belongs to one start of one process, so what is concluded holds for as long
-//!   as the name does: each request names the upstream that is meant, and any other one turns
-//!   it down. The platform's list overrides: what it says of the upstream counts, and one
-//!   that it does not name two seconds after the store was reached again is gone.
+//! - **Question.** A check of a dead upstream gets a response from a process with another name, its
+//!   possible *successor*. May the successor get requests of the service before the platform's list
+//!   contains it?
+//! - **Inputs.** When data from the dead process, the *predecessor*, last arrived. Only its responses to
+//!   requests count: a probe may already have been answered by the successor. When the response to the
+//!   check arrived. How long the platform withholds an address from other services after the process
+//!   there has ended.
+//! - **Answer.** [`must_be_same_service`]; how often a dead upstream is checked until then.
+//! - **Why.** An engine that crashes is back after about a second under another name. During an outage of
+//!   the platform's store it cannot register, so when two data centres crash during such an outage, half
+//!   of the engines run but are unknown to routers. The conclusion is safe: the predecessor ended
+//!   after its last response. From that end on, the platform withholds the address from other services
+//!   for a fixed time, during which only the same service can respond there. A name belongs to one
+//!   process, so the conclusion holds for as long as the name does: each request names the upstream
+//!   that it is for, and any other upstream rejects it. The platform's list takes precedence: its entry for
+//!   the successor overrides the assumed one, and a successor that is still missing two seconds after the
+//!   store became reachable counts as removed.
+//!
+//! Owns no state; relies on the caller for the times and on the platform for the withheld addresses.
 
 use std::time::{Duration, Instant};
 
-/// What arrived from a process was sent at most this long before: links of one region take 3 ms. A
-/// link whose packets wait longer is choked.
-const MAX_DELAY: Duration = Duration::from_millis(250);
-/// How often a dead upstream is checked while a successor would be recognized.
-pub(crate) const CHECK_PAUSE: Duration = Duration::from_millis(100);
+/// Upper bound on the network delay of data from a process. Links within a region take 3 ms; longer
+/// delays mean that packets are queued on a congested link.
+const MAX_NETWORK_DELAY: Duration = Duration::from_millis(250);
+/// Interval between checks of a dead upstream while its successor can still be accepted.
+pub(crate) const SUCCESSOR_CHECK_PERIOD: Duration = Duration::from_millis(100);
 
-/// Until when an answer at the address of a process must come from its own service; `last_sign`
-/// is when anything of that process arrived last.
-pub fn recognizable_until(last_sign: Instant, address_reuse: Duration) -> Instant {
-    last_sign + address_reuse.saturating_sub(MAX_DELAY)
+/// Until when a response at a dead process's address must come from the same service.
+///
+/// `last_response` is when data of a response from the dead process last arrived. `address_reuse` is how
+/// long the platform withholds the address of a process that has ended from other services, a router
+/// setting; zero if the platform guarantees no time, and then no successor is accepted.
+pub fn successor_deadline(last_response: Instant, address_reuse: Duration) -> Instant {
+    last_response + address_reuse.saturating_sub(MAX_NETWORK_DELAY)
 }
 
-/// Whether a process that answered at `answered` must belong to the service of the former one.
+/// Whether a process that responded at `responded_at` at a dead process's address must belong to the
+/// same service. `last_response` and `address_reuse` are those of [`successor_deadline`].
 pub fn must_be_same_service(
-    last_sign: Instant,
-    answered: Instant,
+    last_response: Instant,
+    responded_at: Instant,
     address_reuse: Duration,
 ) -> bool {
-    answered < recognizable_until(last_sign, address_reuse)
+    responded_at < successor_deadline(last_response, address_reuse)
 }
--- a/crates/router/cloverpier_router_policy/src/suspicion.rs
+++ b/crates/router/cloverpier_router_policy/src/suspicion.rs
@@ -1,90 +1,97 @@
-//! Suspected upstreams: how they are checked, and what their number says of a data centre.
+//! Failure detection after an upstream was declared dead: when it is checked, and whether its data
+//! centre is down.
 //!
-//! - **Question.** An upstream was declared dead. When is it checked again, what does a
-//!   check's answer mean, and are the other upstreams of its data centre worth a try?
-//! - **Inputs.** When it was suspected, by this router or by a peer; when its entry vanished
-//!   from the platform's list; how many upstreams of a service in a data centre are listed,
+//! - **Question.** An upstream was declared dead and is suspected. When is it checked again, what does
+//!   the response to a check mean, and should requests avoid the other upstreams of its data centre?
+//! - **Inputs.** When the upstream was suspected, by this router or by a peer; when its entry was
+//!   removed from the platform's list; how many upstreams of a service are listed in a data centre,
 //!   and how many of them are suspected.
-//! - **Answer.** Times of checks; a [`CheckResult`]; whether a data centre seems dead.
-//! - **Why.** A suspected upstream gets nothing new, so only a check can clear it. On the
-//!   platform's sites most engines of a data centre die together, and each dead one that is
-//!   tried costs a request time.
+//! - **Answer.** The times of checks; a [`CheckResult`]; whether a data centre seems to be down.
+//! - **Why.** A suspected upstream gets no new requests, so only a check can clear it. When a data
+//!   centre fails, most of its engines fail together, and each attempt at a dead engine delays a
+//!   request.
 //!
-//! `cloverpierd` has no such state: its operators list upstreams, and after a failure one is
-//! a last resort for a while (`cloverpier_route::view`).
+//! `cloverpierd` has no such state: its operators list upstreams, and after a failure it uses an
+//! upstream only as a last resort for a while (`cloverpier_route::view`).
 //!
-//! The state itself is kept per upstream in [`crate::upstream::UpstreamState`].
+//! Owns the constants and rules; [`crate::upstream::UpstreamState`] holds the suspicion of each
+//! upstream.
 
-use crate::successor::CHECK_PAUSE;
+use crate::successor::SUCCESSOR_CHECK_PERIOD;
 use cloverpier_core::UpstreamName;
 use std::time::{Duration, Instant};
 
-/// Pause before the second check of a suspect; doubled up to [`MAX_CHECK_BACKOFF`].
+/// Delay between the first and the second check of a suspected upstream; doubled for each further
+/// check up to [`MAX_CHECK_BACKOFF`].
 const INITIAL_CHECK_BACKOFF: Duration = Duration::from_millis(150);
-/// Longest pause between two checks.
+/// Longest delay between two checks of a suspected upstream.
 const MAX_CHECK_BACKOFF: Duration = Duration::from_millis(1_000);
-/// How often due checks are looked for.
+/// Interval at which a router looks for suspected upstreams whose check is due.
 pub const CHECK_PERIOD: Duration = Duration::from_millis(50);
-/// How long a check waits for connection and answer.
+/// Timeout of a check, from the connection attempt to the end of the response.
 pub const CHECK_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long a probe of a silent upstream waits in the background; the verdict that the upstream is
-/// dead comes earlier, by [`crate::liveness::LivenessBounds::probe_timeout`].
+/// Timeout of a probe's HTTP request to a silent upstream. Usually a waiting request declares the
+/// upstream dead earlier, after [`crate::liveness::LivenessBounds::probe_timeout`].
 pub const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
-/// A probe whose connection breaks is repeated after this time: well within the time for which a request
-/// waits for the judgement of its last attempt ([`cloverpier_crashes::cases::MAX_HOLD`]).
-pub const REPROBE_AFTER: Duration = Duration::from_millis(40);
-/// Probes in a row at most, where each is reset: about as long as one may stay unanswered.
+/// Delay before a probe whose connection broke is repeated. Well below the time for which a request
+/// is held until its last attempt is classified as a crash or not
+/// ([`cloverpier_crashes::cases::MAX_HOLD`]).
+pub const PROBE_RETRY_DELAY: Duration = Duration::from_millis(40);
+/// Maximum number of consecutive probes while each connection is reset. With
+/// [`PROBE_RETRY_DELAY`] between them they take about as long as one probe may stay unanswered
+/// ([`PROBE_TIMEOUT`]).
 pub const MAX_PROBES: u32 = 25;
-/// How long the connection that carries probes may take to come up.
+/// Connect timeout for the connection that carries probes.
 pub const PROBE_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a peer's suspicion counts. Heartbeats repeat it each 200 ms by default, so it ends
-/// about a second after the peer has cleared the upstream.
+/// How long a peer's report that it suspects an upstream counts. Heartbeats repeat the report every
+/// 200 ms by default, so the suspicion ends about a second after the peer has cleared the upstream.
 pub const PEER_SUSPICION_TTL: Duration = Duration::from_millis(1_000);
-/// Entries of living upstreams that lapsed in an outage of the platform's store are back
-/// within two seconds of its end: the platform's bound.
-pub const RETURN_WINDOW: Duration = Duration::from_millis(2_000);
+/// Time within which running upstreams whose entries expired during an outage of the platform's store
+/// are listed again after the outage: the platform guarantees two seconds.
+pub const RELIST_WINDOW: Duration = Duration::from_millis(2_000);
 
-/// A data centre seems dead to a service from this number of suspects on, as one or two engines
-/// crash alone.
+/// Minimum number of suspected upstreams of a service at which a data centre seems to be down: one
+/// or two engines may crash independently.
 const MIN_SUSPECTS: usize = 3;
-/// And from this part of the service's upstreams there.
+/// Minimum fraction of a service's upstreams in a data centre that are suspected when the data centre
+/// seems to be down.
 const MIN_SUSPECT_SHARE: f64 = 0.2;
 
-/// Why an upstream gets no requests although it is listed.
+/// This router's suspicion that an upstream is dead, with the schedule of its checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Suspicion {
     pub since: Instant,
     next_check: Instant,
     backoff: Duration,
-    /// It is checked closely until then, as a successor would be recognized.
-    successor_until: Option<Instant>,
+    /// Checks are due every [`SUCCESSOR_CHECK_PERIOD`] until then, to find a successor in time.
+    frequent_checks_until: Option<Instant>,
 }
 
 impl Suspicion {
-    /// A suspicion that is checked at once.
+    /// A new suspicion; the first check is due immediately.
     pub fn new(now: Instant) -> Self {
         Self {
             since: now,
             next_check: now,
             backoff: INITIAL_CHECK_BACKOFF,
-            successor_until: None,
+            frequent_checks_until: None,
         }
     }
 
-    /// Has the upstream checked closely until a moment.
-    pub fn await_successor(&mut self, until: Instant) {
-        self.successor_until = Some(until);
+    /// Makes checks due every [`SUCCESSOR_CHECK_PERIOD`] until the given moment.
+    pub fn check_frequently_until(&mut self, until: Instant) {
+        self.frequent_checks_until = Some(until);
     }
 
-    /// Whether a check is due; if so, the next one is scheduled.
+    /// Returns whether a check is due; if so, schedules the next one.
     pub fn start_due_check(&mut self, now: Instant) -> bool {
         if now < self.next_check {
             return false;
         }
-        let is_close = self.successor_until.is_some_and(|until| now < until);
-        if is_close {
-            self.next_check = now + CHECK_PAUSE;
+        let is_frequent = self.frequent_checks_until.is_some_and(|until| now < until);
+        if is_frequent {
+            self.next_check = now + SUCCESSOR_CHECK_PERIOD;
             return true;
         }
         self.next_check = now + self.backoff;
@@ -93,25 +100,26 @@
     }
 }
 
-/// What the answer to a check means.
+/// What the response to a check of an upstream shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CheckResult {
-    /// The upstream lives.
+    /// The upstream responded, so it is alive.
     Alive,
-    /// Another process answers at its address: this upstream is gone.
+    /// Another process responded at the upstream's address, so the upstream has ended.
     Replaced,
 }
 
-/// Reads the answer to a check, which may name the upstream that gave it.
-pub fn check_result(expected: &UpstreamName, answering: Option<&UpstreamName>) -> CheckResult {
-    if answering.is_some_and(|name| name != expected) {
+/// Classifies the response to a probe or check of the upstream `expected`. `responder` is the name in
+/// the response; a response without a name (`None`) counts as the expected upstream's.
+pub fn check_result(expected: &UpstreamName, responder: Option<&UpstreamName>) -> CheckResult {
+    if responder.is_some_and(|name| name != expected) {
         CheckResult::Replaced
     } else {
         CheckResult::Alive
     }
 }
 
-/// Upstreams of one service in one data centre.
+/// Numbers of a service's listed and suspected upstreams in one data centre.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DataCentreCounts {
     pub listed: usize,
@@ -119,9 +127,9 @@
 }
 
 impl DataCentreCounts {
-    /// Whether enough are suspected that the others are probably dead, too.
-    pub fn seems_dead(self) -> bool {
-        let share = self.listed as f64 * MIN_SUSPECT_SHARE;
-        self.suspected >= MIN_SUSPECTS && self.suspected as f64 >= share
+    /// Whether so many upstreams are suspected that the others have probably failed, too.
+    pub fn seems_down(self) -> bool {
+        let min_suspected = self.listed as f64 * MIN_SUSPECT_SHARE;
+        self.suspected >= MIN_SUSPECTS && self.suspected as f64 >= min_suspected
     }
 }
--- a/crates/router/cloverpier_router_policy/src/upstream.rs
+++ b/crates/router/cloverpier_router_policy/src/upstream.rs
@@ -1,72 +1,82 @@
-//! One upstream: as the platform lists it, and what a router knows of it.
+//! Upstreams as the platform's list describes them, and the state that a router keeps per upstream.
 //!
-//! [`Upstream`] and [`UpstreamChange`] travel between routers, so the order of their fields
-//! and the names of variants are on the wire. [`UpstreamState`] is this router's own; it is
-//! changed only through [`crate::upstream_table::UpstreamTable`]. Relies on
-//! [`crate::suspicion`] for how long what it records counts.
+//! [`Upstream`] and [`UpstreamChange`] are sent between routers, so the order of their fields and
+//! the outer names of fields and variants are part of the wire format. [`UpstreamState`] is local to
+//! a router and is changed only through [`crate::upstream_table::UpstreamTable`]. How long recorded
+//! suspicions and removed entries count is defined in [`crate::suspicion`].
+//!
+//! An upstream may restart under the same name. Each of its processes is an *incarnation* of the
+//! upstream; the start time orders incarnations.
 
-use crate::leaving::LAST_RESORT_FOR;
+use crate::leaving::LAST_RESORT_PERIOD;
 use crate::load::Load;
-use crate::suspicion::{PEER_SUSPICION_TTL, RETURN_WINDOW, Suspicion};
+use crate::suspicion::{PEER_SUSPICION_TTL, RELIST_WINDOW, Suspicion};
 use cloverpier_core::{DataCentre, ServiceName, SoftwareVersion, UpstreamName, Wait, hash_of};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// One upstream, as the platform lists it.
+/// An upstream's entry in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upstream {
-    /// Names this start of the process; a restarted upstream has another name.
+    /// Identifies the upstream. Where entries have no start time, each restarted process has a new
+    /// name; otherwise a restarted process may keep its name.
     pub name: UpstreamName,
-    /// The service it belongs to.
+    /// The service whose requests the upstream serves.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address on which the upstream accepts requests.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// The zone in which the upstream runs.
     pub data_centre: DataCentre,
-    /// Requests that it works on at once.
+    /// Number of requests that the upstream processes concurrently.
     pub slots: u32,
-    /// Whether it announced that it is about to leave.
+    /// Whether the entry announces that the upstream is about to leave, so that it gets no new
+    /// requests.
     pub draining: bool,
-    /// What it says of its present start; `None` where a router of a release that does not hand
-    /// that on listed it. Written only if known, so that such routers read what they expect.
+    /// Software version and start time of the current process. `None` if the entry was received
+    /// from a router of an older release, which does not forward them. `None` is not serialized:
+    /// the older release does not expect the field.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub start: Option<UpstreamStart>,
 }
 
-/// What an upstream says of its present start.
+/// Software version and start time of an upstream's process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamStart {
-    /// The version of its software.
+    /// The software version that the process runs.
     pub version: SoftwareVersion,
-    /// When it started, as a Unix time in milliseconds; `None` where it does not say.
-    pub born_ms: Option<u64>,
+    /// Unix time in milliseconds at which the process started; `None` if the upstream does not
+    /// report a start time.
+    #[serde(rename = "born_ms")]
+    pub start_time_ms: Option<u64>,
 }
 
 impl UpstreamStart {
-    /// The start of the process that has taken an upstream's place: it runs the same version, as
-    /// far as its entry does not say otherwise, and began later.
-    pub fn of_successor(former: &Upstream) -> Option<Self> {
-        let version = former.version()?.clone();
+    /// The assumed version and start time of the process that replaced `predecessor` at its
+    /// address: the predecessor's version until the successor's own entry arrives, and an unknown
+    /// start time. `None` if the predecessor's version is unknown.
+    pub fn of_successor(predecessor: &Upstream) -> Option<Self> {
+        let version = predecessor.version()?.clone();
         Some(Self {
             version,
-            born_ms: None,
+            start_time_ms: None,
         })
     }
 }
 
 impl Upstream {
-    /// The version of its software, if known.
+    /// The software version of the upstream; `None` if the entry does not contain it.
     pub fn version(&self) -> Option<&SoftwareVersion> {
         self.start.as_ref().map(|start| &start.version)
     }
 
-    /// When it started, as a Unix time in milliseconds, if known.
-    pub fn born_ms(&self) -> Option<u64> {
-        self.start.as_ref()?.born_ms
+    /// Unix time in milliseconds at which the listed process started; `None` if the entry does not
+    /// contain it.
+    pub fn start_time_ms(&self) -> Option<u64> {
+        self.start.as_ref()?.start_time_ms
     }
 
-    /// The entry as routers of a release without [`UpstreamStart`] read it.
+    /// Returns the entry in the form that routers of a release without [`UpstreamStart`] can read.
     #[must_use]
     pub fn without_start(self) -> Self {
         Self {
@@ -76,29 +86,29 @@
     }
 }
 
-/// An upstream's name as a hash of eight bytes, for messages between routers.
+/// Eight-byte hash of an upstream's name, which identifies the upstream in messages between routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct UpstreamKey(pub u64);
 
 impl UpstreamKey {
-    /// The key of an upstream's name.
+    /// Hashes an upstream's name.
     pub fn of(name: &UpstreamName) -> Self {
         Self(hash_of(name.as_str()))
     }
 }
 
-/// A change of the platform's list.
+/// A change to the platform's list of upstreams.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamChange {
-    /// The upstream is new in the list, or its entry changed.
+    /// An entry was added or changed.
     Listed(Upstream),
-    /// The upstream's entry is gone.
+    /// The entry of the upstream with this name was removed.
     Gone(UpstreamName),
 }
 
 impl UpstreamChange {
-    /// The upstream that is listed, if any.
+    /// The added or changed entry; `None` for a removal.
     pub fn listed(&self) -> Option<&Upstream> {
         match self {
             Self::Listed(upstream) => Some(upstream),
@@ -107,68 +117,77 @@
     }
 }
 
-/// An upstream that the platform's list has not named yet.
+/// Marks an upstream that a router uses although the platform's list does not contain it yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Unlisted {
-    /// When a version of the list arrived first that did not name it: the store can be reached.
+pub(crate) struct NotYetListed {
+    /// When the first list version without the upstream arrived. From then on the store is
+    /// reachable and the upstream is expected to register.
     missing_since: Option<Instant>,
 }
 
-impl Unlisted {
-    /// Records that a version of the list did not name it; returns whether it is to be taken as gone:
-    /// a living upstream enters itself within [`RETURN_WINDOW`] of the store's return.
-    pub fn on_reports(&mut self, now: Instant) -> bool {
+impl NotYetListed {
+    /// Records a list version that does not contain the upstream.
+    ///
+    /// Returns whether the upstream counts as removed: a running upstream registers within
+    /// [`RELIST_WINDOW`] of the end of a store outage.
+    pub fn on_list_without_upstream(&mut self, now: Instant) -> bool {
         let since = *self.missing_since.get_or_insert(now);
-        now.saturating_duration_since(since) > RETURN_WINDOW
+        now.saturating_duration_since(since) > RELIST_WINDOW
     }
 }
 
-/// An upstream and what this router knows of it.
+/// The state that a router keeps for one upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamState {
-    /// As listed last.
+    /// The most recent entry.
     pub upstream: Upstream,
-    /// Its key.
+    /// The hash of the upstream's name.
     pub key: UpstreamKey,
-    /// This router's own load there.
+    /// Load that this router's requests put on the upstream.
     pub own_load: Load,
-    /// Smoothed share of requests that failed there, 0 to 1.
+    /// Exponentially smoothed fraction of this router's requests to the upstream that failed, 0 to 1.
     pub failure_rate: f64,
-    /// Smoothed time of a plain request there, in milliseconds; 0 before the first sample.
-    pub pace_ms: f64,
-    /// Set while the platform's list has not named it ([`crate::successor`]).
-    pub(crate) unlisted: Option<Unlisted>,
-    /// When its entry vanished.
-    pub(crate) gone: Option<Instant>,
-    /// Whether another start of it was seen at its address.
+    /// Exponentially smoothed duration of plain (non-streaming) requests to the upstream, in
+    /// milliseconds; 0 before the first sample.
+    pub latency_ms: f64,
+    /// `Some` until the platform's list contains an upstream that was added as a successor
+    /// ([`crate::successor`]).
+    pub(crate) not_yet_listed: Option<NotYetListed>,
+    /// When the upstream's entry was removed from the platform's list; `None` while it is listed.
+    pub(crate) delisted_at: Option<Instant>,
+    /// Whether another process was observed or listed at the upstream's address.
     pub(crate) replaced: bool,
-    /// This router's own suspicion.
+    /// Set while this router suspects that the upstream is dead.
     pub(crate) suspicion: Option<Suspicion>,
     /// When a peer last reported that it suspects the upstream.
-    pub(crate) suspected_by_peer: Option<Instant>,
-    /// For how long it wants nothing from this VM.
+    pub(crate) peer_suspected_at: Option<Instant>,
+    /// The latest period during which the upstream accepts no requests from this VM, from
+    /// `Retry-After` in a response.
     pub(crate) wait: Option<Wait>,
-    /// Since when it is known that its newest known start leaves, as it has said in an answer
-    /// ([`crate::leaving`]).
+    /// Since when the upstream's newest known incarnation is known to be leaving, as announced in a
+    /// response ([`crate::leaving`]).
     pub(crate) leaving: Option<Instant>,
-    /// When its newest known start was, as a Unix time in milliseconds.
-    born_ms: Option<u64>,
-    start: StartNumber,
+    /// Start time of the newest known incarnation, as a Unix time in milliseconds.
+    start_time_ms: Option<u64>,
+    incarnation: IncarnationNumber,
 }
 
-/// The starts of an upstream under one name that this router has seen, counted. What is kept of
-/// an upstream from one of them says nothing of the next.
+/// Counts the incarnations of an upstream that this router has observed under one name, from 0.
+///
+/// Data that was recorded for one incarnation does not apply to the next. The number is local to a
+/// router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct StartNumber(u32);
+pub struct IncarnationNumber(u32);
 
-/// How a start that an upstream names compares with the newest that is known of it.
+/// How a start time that was reported for an upstream compares with the newest known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartOrder {
-    /// It is that one, or nothing says otherwise.
+    /// The start times are equal, or one of them is unknown.
     Same,
-    /// It is a later one: the upstream holds and knows nothing of before.
+    /// The upstream has restarted: the new process has no connections, requests or cache contents
+    /// of the old one.
     Newer,
-    /// It is an earlier one: what comes with it is out of date.
+    /// The report is from an earlier incarnation and is out of date.
     Older,
 }
 
@@ -176,71 +195,74 @@
     pub(crate) fn new(upstream: Upstream) -> Self {
         Self {
             key: UpstreamKey::of(&upstream.name),
-            born_ms: upstream.born_ms(),
-            start: StartNumber::default(),
+            start_time_ms: upstream.start_time_ms(),
+            incarnation: IncarnationNumber::default(),
             upstream,
             own_load: Load::default(),
             failure_rate: 0.0,
-            pace_ms: 0.0,
-            unlisted: None,
-            gone: None,
+            latency_ms: 0.0,
+            not_yet_listed: None,
+            delisted_at: None,
             replaced: false,
             suspicion: None,
-            suspected_by_peer: None,
+            peer_suspected_at: None,
             leaving: None,
             wait: None,
         }
     }
 
-    /// When its newest known start was, as a Unix time in milliseconds, if known.
-    pub fn born_ms(&self) -> Option<u64> {
-        self.born_ms
+    /// Start time of the upstream's newest known incarnation, as a Unix time in milliseconds; `None`
+    /// if the upstream has not reported a start time.
+    pub fn start_time_ms(&self) -> Option<u64> {
+        self.start_time_ms
     }
 
-    /// Its start, as counted by this router.
-    pub fn start(&self) -> StartNumber {
-        self.start
+    /// The number of the upstream's newest known incarnation.
+    pub fn incarnation(&self) -> IncarnationNumber {
+        self.incarnation
     }
 
-    /// How a start compares with the newest that is known; `None` where nothing was said of it.
-    pub fn compare_start(&self, born_ms: Option<u64>) -> StartOrder {
-        match (born_ms, self.born_ms) {
-            (Some(named), Some(known)) if named > known => StartOrder::Newer,
-            (Some(named), Some(known)) if named < known => StartOrder::Older,
+    /// Compares a reported start time with the newest known one; `None` stands for a report without
+    /// a start time.
+    pub fn compare_start(&self, start_time_ms: Option<u64>) -> StartOrder {
+        match (start_time_ms, self.start_time_ms) {
+            (Some(reported), Some(known)) if reported > known => StartOrder::Newer,
+            (Some(reported), Some(known)) if reported < known => StartOrder::Older,
             _ => StartOrder::Same,
         }
     }
 
-    /// Records a start that the upstream named; after a later one, what was observed before
-    /// counts no more.
-    pub(crate) fn on_start(&mut self, born_ms: Option<u64>) -> StartOrder {
-        let order = self.compare_start(born_ms);
+    /// Records a start time that the upstream reported. If it belongs to a newer incarnation, resets
+    /// the observations of the previous one.
+    pub(crate) fn on_start(&mut self, start_time_ms: Option<u64>) -> StartOrder {
+        let order = self.compare_start(start_time_ms);
         if order == StartOrder::Newer {
-            self.forget_former_start();
+            self.reset_for_new_incarnation();
         }
         if order != StartOrder::Older {
-            self.born_ms = born_ms.or(self.born_ms);
+            self.start_time_ms = start_time_ms.or(self.start_time_ms);
         }
         order
     }
 
-    /// Whether an entry says something else than the one that is known.
-    pub(crate) fn differs_from(&self, listed: &Upstream) -> bool {
-        match self.compare_start(listed.born_ms()) {
+    /// Whether applying an entry would change the known one. An entry of an older incarnation is
+    /// ignored.
+    pub(crate) fn has_new_entry(&self, listed: &Upstream) -> bool {
+        match self.compare_start(listed.start_time_ms()) {
             StartOrder::Newer => true,
             StartOrder::Older => false,
             StartOrder::Same => self.with_known_start(listed.clone()) != self.upstream,
         }
     }
 
-    /// Takes a new entry.
-    pub(crate) fn set_listed(&mut self, listed: Upstream) {
+    /// Replaces the entry and marks the upstream as listed.
+    pub(crate) fn set_entry(&mut self, listed: Upstream) {
         self.upstream = self.with_known_start(listed);
-        self.gone = None;
-        self.unlisted = None;
+        self.delisted_at = None;
+        self.not_yet_listed = None;
     }
 
-    /// An entry that says nothing of the start, with what is known of it.
+    /// Fills in the known version and start time if the entry contains none.
     fn with_known_start(&self, listed: Upstream) -> Upstream {
         Upstream {
             start: listed.start.or_else(|| self.upstream.start.clone()),
@@ -248,78 +270,86 @@
         }
     }
 
-    /// Own load stays: it ends with the requests, which are lost and end at once.
-    fn forget_former_start(&mut self) {
-        self.start = StartNumber(self.start.0.wrapping_add(1));
+    /// Resets what was observed of the previous incarnation. Own load is kept: the requests that
+    /// make it up are lost with the old process, and each removes its load when it ends.
+    fn reset_for_new_incarnation(&mut self) {
+        self.incarnation = IncarnationNumber(self.incarnation.0.wrapping_add(1));
         self.failure_rate = 0.0;
-        self.pace_ms = 0.0;
+        self.latency_ms = 0.0;
         self.replaced = false;
         self.suspicion = None;
-        self.suspected_by_peer = None;
+        self.peer_suspected_at = None;
         self.wait = None;
     }
 
-    /// Whether it is listed, takes new requests and is not suspected by this router.
+    /// Whether new requests may be sent to the upstream: it is listed, neither leaving nor replaced,
+    /// not suspected by this router, and not in a wait period.
     pub fn is_usable(&self, now: Instant) -> bool {
-        self.is_listed() && !self.is_suspected() && !self.wants_nothing(now)
+        self.is_listed() && !self.is_suspected() && !self.in_wait_period(now)
     }
 
-    /// Whether it has turned a request of this router away and wants nothing yet.
-    pub fn wants_nothing(&self, now: Instant) -> bool {
+    /// Whether the upstream has rejected a request of this VM with a `Retry-After` period that has
+    /// not ended yet.
+    pub fn in_wait_period(&self, now: Instant) -> bool {
         self.wait.is_some_and(|wait| wait.binds(now))
     }
 
-    /// Whether it is listed, or known before the list names it, and may still serve.
+    /// Whether the upstream may serve requests and its entry was not removed. A successor counts as
+    /// listed before its entry arrives.
     pub fn is_listed(&self) -> bool {
-        self.gone.is_none() && self.may_still_serve()
+        self.delisted_at.is_none() && self.may_still_serve()
     }
 
-    /// Whether the platform's list named it no more at a moment.
-    pub fn had_lost_its_entry(&self, at: Instant) -> bool {
-        self.gone.is_some_and(|gone| gone <= at)
+    /// Whether the upstream's entry had already been removed from the platform's list at `at`.
+    pub fn was_delisted_at(&self, at: Instant) -> bool {
+        self.delisted_at.is_some_and(|removed| removed <= at)
     }
 
-    /// True unless the upstream leaves or another start took its address; a missing store entry
-    /// alone does not count.
+    /// False if the upstream is leaving or another process has its address. A missing entry alone
+    /// does not count, as an outage of the platform's store can cause it.
     pub fn may_still_serve(&self) -> bool {
         !self.is_leaving() && !self.replaced
     }
 
-    /// Whether it has announced that it leaves, in its entry or in an answer.
+    /// Whether the upstream has announced that it leaves, in its entry or in a response.
     pub fn is_leaving(&self) -> bool {
         self.upstream.draining || self.leaving.is_some()
     }
 
-    /// Whether it has said so recently that it gets what nobody else could serve. Of one whose entry
-    /// says that it drains, it is not known how long ago that was said.
+    /// Whether the upstream announced within [`LAST_RESORT_PERIOD`] that it leaves, so that it still
+    /// gets requests that no other upstream can serve. An entry that says `draining` does not
+    /// contain the time of the announcement, so it disqualifies the upstream.
     pub(crate) fn is_last_resort(&self, now: Instant) -> bool {
-        let is_new = |at| now.saturating_duration_since(at) < LAST_RESORT_FOR;
-        let says_so = self.leaving.is_some_and(is_new) && !self.upstream.draining;
-        says_so && self.gone.is_none() && !self.replaced
+        let is_recent = |at| now.saturating_duration_since(at) < LAST_RESORT_PERIOD;
+        let announced = self.leaving.is_some_and(is_recent) && !self.upstream.draining;
+        announced && self.delisted_at.is_none() && !self.replaced
     }
 
-    /// Whether it has been gone for this long. One that the list never named is gone when
-    /// another process has its address, or from when it was declared dead.
-    pub(crate) fn is_over(&self, now: Instant, kept_for: Duration) -> bool {
-        let is_old = |at: Instant| now.saturating_duration_since(at) > kept_for;
+    /// Whether the state can be dropped: the entry was removed more than `retention` ago. An
+    /// upstream that was never listed can be dropped once it is replaced, or `retention` after it
+    /// was declared dead.
+    pub(crate) fn can_be_forgotten(&self, now: Instant, retention: Duration) -> bool {
+        let is_old = |at: Instant| now.saturating_duration_since(at) > retention;
         let is_dead = self.suspicion.is_some_and(|s| is_old(s.since));
-        self.gone.is_some_and(is_old) || (self.unlisted.is_some() && (self.replaced || is_dead))
+        self.delisted_at.is_some_and(is_old)
+            || (self.not_yet_listed.is_some() && (self.replaced || is_dead))
     }
 
-    /// Whether its entry vanished so recently that an outage of the store may be the reason.
-    pub fn vanished_recently(&self, now: Instant) -> bool {
-        self.gone
-            .is_some_and(|at| now.saturating_duration_since(at) <= RETURN_WINDOW)
+    /// Whether the upstream's entry was removed so recently that an outage of the platform's store
+    /// may be the cause and a running upstream may register again.
+    pub fn was_delisted_recently(&self, now: Instant) -> bool {
+        self.delisted_at
+            .is_some_and(|at| now.saturating_duration_since(at) <= RELIST_WINDOW)
     }
 
-    /// Whether this router suspects it to be dead.
+    /// Whether this router suspects that the upstream is dead.
     pub fn is_suspected(&self) -> bool {
         self.suspicion.is_some()
     }
 
-    /// Whether a peer suspects it to be dead.
+    /// Whether a peer reported within [`PEER_SUSPICION_TTL`] that it suspects the upstream.
     pub fn is_suspected_by_peer(&self, now: Instant) -> bool {
-        self.suspected_by_peer
+        self.peer_suspected_at
             .is_some_and(|at| now.saturating_duration_since(at) <= PEER_SUSPICION_TTL)
     }
 }
--- a/crates/router/cloverpier_router_policy/src/upstream_table.rs
+++ b/crates/router/cloverpier_router_policy/src/upstream_table.rs
@@ -1,67 +1,72 @@
-//! The upstreams that a router knows: the platform's list and its versions.
+//! The table of upstreams: a router's copy of the platform's list, and the state of each upstream.
 //!
-//! Owns the entry of each upstream, the revision of the platform's list that it is as new
-//! as, and the latest changes, which peers ask for. Revisions only rise. What requests and
-//! checks show of an upstream is recorded in the `observations` half of the type. A new start
-//! of an upstream has a new name, or says when it began; what was known of the former start is
-//! dropped then.
+//! Owns the state of each upstream, the revision of the platform's list up to which the table is
+//! current, and the latest changes, which peers request. Revisions only increase. The results of
+//! requests and checks are recorded by the `observations` module, statements of upstreams by
+//! `statements`. A restarted upstream has a new name or reports a later start time; in either case
+//! no observation of the previous process applies to it.
 
 mod addresses;
 mod observations;
 mod statements;
 
-pub use statements::{OutByStatement, ServiceWait};
+pub use statements::{ExclusionCounts, ServiceWait};
 
-use crate::leaving::Leavings;
+use crate::leaving::LeavingUpstreams;
 use crate::load::{Load, PeerLoad};
 use crate::suspicion::DataCentreCounts;
-use crate::upstream::{StartOrder, Unlisted, Upstream, UpstreamChange, UpstreamKey, UpstreamState};
+use crate::upstream::{
+    NotYetListed, StartOrder, Upstream, UpstreamChange, UpstreamKey, UpstreamState,
+};
 use addresses::AddressIndex;
 use cloverpier_core::{DataCentre, ServiceName, SoftwareVersion, UpstreamName};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Changes of the list that are kept for peers at least, and as many as there are upstreams: a peer that
-/// is further behind fetches the whole list, which is no longer.
+/// Minimum number of list changes that are kept for peers. With more upstreams than this, one change
+/// per upstream is kept. A peer that is further behind fetches the whole list, which is then no
+/// larger than the changes.
 const MIN_CHANGES_KEPT: usize = 1_024;
-/// How long an upstream without entry is remembered: longer than
-/// [`crate::suspicion::RETURN_WINDOW`], and than most requests that run there.
-const GONE_KEPT_FOR: Duration = Duration::from_secs(20);
+/// How long the state of an upstream is kept after its entry was removed: longer than
+/// [`crate::suspicion::RELIST_WINDOW`], in which the entry may return, and longer than most requests
+/// that are in flight there.
+const DELISTED_RETENTION: Duration = Duration::from_secs(20);
 
-/// All upstreams that a router knows.
+/// The upstreams that a router knows, with indexes and the change history of the platform's list.
 #[derive(Debug, Default)]
 pub struct UpstreamTable {
     upstreams: HashMap<UpstreamName, UpstreamState>,
     by_service: BTreeMap<ServiceName, Vec<UpstreamName>>,
     by_key: HashMap<UpstreamKey, UpstreamName>,
     by_address: AddressIndex,
-    /// Those that are suspected, and some that were: looked through in place of all.
-    maybe_suspected: HashSet<UpstreamName>,
-    /// Load that other routers reported.
+    /// Superset of the suspected upstreams, so that a search for suspects does not visit all
+    /// upstreams. Cleared suspects are removed by the next round of checks.
+    possible_suspects: HashSet<UpstreamName>,
+    /// Load that other routers reported for their requests at the upstreams.
     pub peer_load: PeerLoad,
     revision: u64,
-    /// The newest changes, each with the revision that its batch reached.
+    /// The latest changes to the list, each with the list's revision after its batch of changes.
     changes: VecDeque<(u64, UpstreamChange)>,
-    /// The revision from which on `changes` is complete.
+    /// `changes` contains every change after this revision.
     changes_since: u64,
-    /// Upstreams that have said that they leave.
-    leavings: Leavings,
-    /// The services that the configuration names; `None` before one is known.
+    /// Upstreams that have announced in a response that they leave.
+    leaving_upstreams: LeavingUpstreams,
+    /// The services of the configuration in force; `None` until a configuration is known.
     services: Option<HashSet<ServiceName>>,
 }
 
-/// The effect of a new list of upstreams, or of changes to it.
+/// The effect of applying a whole list of upstreams, or a batch of changes, to the table.
 #[derive(Debug, Default)]
 pub struct AppliedUpdate {
-    /// Whether they were new.
+    /// False if the update was ignored because its revision was out of date.
     pub is_new: bool,
-    /// Upstreams that have started again under the names that they had.
+    /// Upstreams that the update shows to have restarted under the same name.
     pub restarted: Vec<Upstream>,
-    /// The versions that the update names, by service.
+    /// The software versions of the upstreams in the update, by service.
     pub versions: BTreeMap<ServiceName, BTreeSet<SoftwareVersion>>,
 }
 
-/// The versions of upstreams, by service.
+/// Groups the software versions of upstreams by service; upstreams without a version are skipped.
 fn versions_of<'a>(
     upstreams: impl Iterator<Item = &'a Upstream>,
 ) -> BTreeMap<ServiceName, BTreeSet<SoftwareVersion>> {
@@ -76,45 +81,48 @@
 }
 
 impl UpstreamTable {
-    /// Number of upstreams, those that are gone for a while among them.
+    /// Number of upstreams, including those whose entries were removed but whose state is still kept.
     pub fn len(&self) -> usize {
         self.upstreams.len()
     }
 
-    /// Whether none is known.
+    /// Whether the table contains no upstream, listed or removed.
     pub fn is_empty(&self) -> bool {
         self.upstreams.is_empty()
     }
 
-    /// The platform's revision that this view is as new as.
+    /// The revision of the platform's list up to which the table is current; 0 before the first list.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// All upstreams that are listed, as they travel between routers.
+    /// The entries of all upstreams in the platform's list, in the form that is sent to peers.
     pub fn listed(&self) -> Vec<Upstream> {
-        let is_listed = |s: &&UpstreamState| s.gone.is_none() && s.unlisted.is_none();
+        let is_listed = |s: &&UpstreamState| s.delisted_at.is_none() && s.not_yet_listed.is_none();
         let listed = self.upstreams.values().filter(is_listed);
         listed.map(|s| s.upstream.clone()).collect()
     }
 
-    /// An upstream by its name.
+    /// Returns an upstream's state; `None` if the upstream is unknown or was forgotten.
     pub fn get(&self, name: &UpstreamName) -> Option<&UpstreamState> {
         self.upstreams.get(name)
     }
 
-    /// An upstream by its key.
+    /// Returns the state of the upstream with this hash of its name; `None` if the upstream is
+    /// unknown or was forgotten.
     pub fn by_key(&self, key: UpstreamKey) -> Option<&UpstreamState> {
         self.upstreams.get(self.by_key.get(&key)?)
     }
 
-    /// The upstreams of a service, gone ones that are still remembered among them.
+    /// The upstreams of a service, including those whose entries were removed but whose state is
+    /// still kept.
     pub fn of_service(&self, service: &ServiceName) -> impl Iterator<Item = &UpstreamState> {
         let names = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
         names.iter().filter_map(|name| self.upstreams.get(name))
     }
 
-    /// The data centres that seem dead to a service, by what this router and its peers suspect.
+    /// The data centres that seem to be down for a service, given which of its upstreams this router
+    /// and its peers suspect.
     pub fn suspect_data_centres(
         &self,
         service: &ServiceName,
@@ -127,38 +135,43 @@
             let is_suspected = state.is_suspected() || state.is_suspected_by_peer(now);
             counts.suspected += usize::from(is_suspected);
         }
-        let dead = counts.into_iter().filter(|(_, c)| c.seems_dead());
-        dead.map(|(data_centre, _)| data_centre).collect()
+        let down = counts.into_iter().filter(|(_, c)| c.seems_down());
+        down.map(|(data_centre, _)| data_centre).collect()
     }
 
-    /// Number of a service's upstreams that are listed under a version.
+    /// Number of a service's listed upstreams that run a software version and can serve requests.
     pub fn count_of_version(&self, service: &ServiceName, version: &SoftwareVersion) -> usize {
         let listed = self.of_service(service).filter(|s| s.is_listed());
         let of_version = listed.filter(|s| s.upstream.version() == Some(version));
         of_version.count()
     }
 
-    /// This router's own requests at the upstreams of a service that have another version.
-    pub fn own_requests_but(&self, service: &ServiceName, version: &SoftwareVersion) -> u32 {
+    /// Number of this router's requests in flight at upstreams of a service that run a software
+    /// version other than `version`, or an unknown one.
+    pub fn own_requests_at_other_versions(
+        &self,
+        service: &ServiceName,
+        version: &SoftwareVersion,
+    ) -> u32 {
         let others = self.of_service(service);
         let others = others.filter(|s| s.upstream.version() != Some(version));
         others.map(|s| s.own_load.requests).sum()
     }
 
-    /// This router's own load, by upstream.
+    /// This router's own load at each upstream where it has requests in flight.
     pub fn own_load(&self) -> Vec<(UpstreamKey, Load)> {
         let busy = self.upstreams.values().filter(|s| !s.own_load.is_none());
         busy.map(|s| (s.key, s.own_load)).collect()
     }
 
-    /// All load known at an upstream.
+    /// The load at an upstream from this router and, as last reported, from its peers.
     pub fn load_at(&self, state: &UpstreamState) -> Load {
         let mut load = state.own_load;
         load.add(self.peer_load.at(state.key));
         load
     }
 
-    /// Applies a whole list; changes nothing where it is older than this one.
+    /// Applies a whole list. Ignores the list if its revision is older than the table's.
     pub fn apply_list(
         &mut self,
         upstreams: Vec<Upstream>,
@@ -170,14 +183,14 @@
         }
         let versions = versions_of(upstreams.iter());
         let is_first = self.revision == 0;
-        let restarted = self.apply_all(self.changes_to(upstreams), revision, now);
+        let restarted = self.apply_all(self.changes_to_match(upstreams), revision, now);
         if is_first {
-            // Nothing is known of the time before.
+            // The changes before the first list are unknown.
             self.changes.clear();
             self.changes_since = revision;
         }
-        self.forget_old_changes();
-        self.forget_unlisted(now);
+        self.trim_changes();
+        self.delist_missing(now);
         AppliedUpdate {
             is_new: true,
             restarted,
@@ -185,26 +198,26 @@
         }
     }
 
-    /// What makes this table the same as a whole list. A list that is read again, as when the
-    /// store has forgotten its history, differs little from what is known; handed on as
-    /// changes, it does not make each peer fetch the list (about 100 bytes for each upstream).
-    fn changes_to(&self, upstreams: Vec<Upstream>) -> Vec<UpstreamChange> {
+    /// The changes that turn the table into a whole list. A list that is read again, for example
+    /// after the store lost its history, differs little from the table. Sent to peers as changes, it
+    /// does not make each of them fetch the list, which has about 100 bytes for each upstream.
+    fn changes_to_match(&self, upstreams: Vec<Upstream>) -> Vec<UpstreamChange> {
         let listed: HashSet<&UpstreamName> = upstreams.iter().map(|s| &s.name).collect();
-        let is_listed = |s: &&UpstreamState| s.gone.is_none() && s.unlisted.is_none();
+        let is_listed = |s: &&UpstreamState| s.delisted_at.is_none() && s.not_yet_listed.is_none();
         let known = self.upstreams.values().filter(is_listed);
         let missing = known.filter(|s| !listed.contains(&s.upstream.name));
-        let gone = missing.map(|s| UpstreamChange::Gone(s.upstream.name.clone()));
-        let mut changes: Vec<UpstreamChange> = gone.collect();
+        let removed = missing.map(|s| UpstreamChange::Gone(s.upstream.name.clone()));
+        let mut changes: Vec<UpstreamChange> = removed.collect();
         let is_new = |upstream: &Upstream| {
             let known = self.upstreams.get(&upstream.name);
-            known.is_none_or(|s| s.gone.is_some() || s.differs_from(upstream))
+            known.is_none_or(|s| s.delisted_at.is_some() || s.has_new_entry(upstream))
         };
         let new = upstreams.into_iter().filter(is_new);
         changes.extend(new.map(UpstreamChange::Listed));
         changes
     }
 
-    /// Applies changes up to a revision; changes nothing where they are not new.
+    /// Applies changes up to a revision. Ignores them unless the revision is newer than the table's.
     pub fn apply_changes(
         &mut self,
         changes: Vec<UpstreamChange>,
@@ -217,9 +230,9 @@
         let listed = changes.iter().filter_map(UpstreamChange::listed);
         let versions = versions_of(listed);
         let restarted = self.apply_all(changes, revision, now);
-        self.forget_old_changes();
-        self.forget_unlisted(now);
-        self.forget_gone(now);
+        self.trim_changes();
+        self.delist_missing(now);
+        self.forget_delisted(now);
         AppliedUpdate {
             is_new: true,
             restarted,
@@ -227,7 +240,8 @@
         }
     }
 
-    /// Applies changes and keeps them for peers; returns the upstreams that started again.
+    /// Applies changes and keeps them for peers; returns the upstreams that restarted under the same
+    /// name.
     fn apply_all(
         &mut self,
         changes: Vec<UpstreamChange>,
@@ -243,17 +257,18 @@
         restarted
     }
 
-    /// Takes upstreams as gone that the list should have named by now.
-    fn forget_unlisted(&mut self, now: Instant) {
+    /// Marks successors as removed that the list still does not contain although the store has been
+    /// reachable for longer than [`crate::suspicion::RELIST_WINDOW`].
+    fn delist_missing(&mut self, now: Instant) {
         for state in self.upstreams.values_mut() {
-            let unlisted = state.unlisted.as_mut();
-            if unlisted.is_some_and(|unlisted| unlisted.on_reports(now)) {
-                state.gone.get_or_insert(now);
+            let not_yet_listed = state.not_yet_listed.as_mut();
+            if not_yet_listed.is_some_and(|mark| mark.on_list_without_upstream(now)) {
+                state.delisted_at.get_or_insert(now);
             }
         }
     }
 
-    fn forget_old_changes(&mut self) {
+    fn trim_changes(&mut self) {
         let kept = self.upstreams.len().max(MIN_CHANGES_KEPT);
         while self.changes.len() > kept {
             if let Some((revision, _)) = self.changes.pop_front() {
@@ -262,7 +277,7 @@
         }
     }
 
-    /// The changes after a revision; `None` when they are forgotten.
+    /// The changes after a revision; `None` if some of them are no longer kept.
     pub fn changes_after(&self, revision: u64) -> Option<Vec<UpstreamChange>> {
         if revision < self.changes_since {
             return None;
@@ -271,67 +286,74 @@
         Some(newer.map(|(_, change)| change.clone()).collect())
     }
 
-    /// Applies a change; returns the upstream if it has started again under its name.
+    /// Applies a change; returns the upstream if it restarted under the same name.
     fn apply(&mut self, change: UpstreamChange, now: Instant) -> Option<Upstream> {
         match change {
-            UpstreamChange::Listed(upstream) => self.list(upstream),
+            UpstreamChange::Listed(upstream) => self.apply_entry(upstream),
             UpstreamChange::Gone(name) => {
                 if let Some(state) = self.upstreams.get_mut(&name) {
-                    state.gone.get_or_insert(now);
+                    state.delisted_at.get_or_insert(now);
                 }
                 None
             }
         }
     }
 
-    fn list(&mut self, upstream: Upstream) -> Option<Upstream> {
+    fn apply_entry(&mut self, upstream: Upstream) -> Option<Upstream> {
         let Some(state) = self.upstreams.get_mut(&upstream.name) else {
             self.insert(UpstreamState::new(upstream));
             return None;
         };
-        let order = state.on_start(upstream.born_ms());
+        let order = state.on_start(upstream.start_time_ms());
         if order == StartOrder::Older {
             return None;
         }
-        let (name, former) = (upstream.name.clone(), state.upstream.address);
-        state.set_listed(upstream);
-        state.leaving = self.leavings.since(state.key, state.born_ms());
+        let (name, old_address) = (upstream.name.clone(), state.upstream.address);
+        state.set_entry(upstream);
+        state.leaving = self
+            .leaving_upstreams
+            .since(state.key, state.start_time_ms());
         let restarted = (order == StartOrder::Newer).then(|| state.upstream.clone());
-        let present = state.upstream.address;
-        if present != former {
-            self.by_address.remove(former, &name);
-            self.by_address.add(present, name);
+        let new_address = state.upstream.address;
+        if new_address != old_address {
+            self.by_address.remove(old_address, &name);
+            self.by_address.add(new_address, name);
         }
         restarted
     }
 
-    /// Sets the services of the configuration in force. Another writer may list an upstream of
-    /// a service that nobody has named, at a living one's address; the living one stays.
+    /// Sets the services of the configuration in force.
+    ///
+    /// An entry of a service that is not configured does not mark the upstream at the same address
+    /// as replaced: another writer to the store may list such an entry at a live upstream's address.
     pub fn set_services(&mut self, services: HashSet<ServiceName>) {
         self.services = Some(services);
     }
 
-    /// Adds an upstream that the platform's list does not name yet, after the one before at its
-    /// address; false where it is known, or another one than `former` is known there.
-    pub fn add_successor(&mut self, former: &UpstreamName, upstream: Upstream) -> bool {
+    /// Adds an upstream that took over the address of `predecessor` and that the platform's list does
+    /// not contain yet.
+    ///
+    /// Returns false, and changes nothing, if the upstream is known already or an upstream other than
+    /// `predecessor` is known at the address and not replaced.
+    pub fn add_successor(&mut self, predecessor: &UpstreamName, upstream: Upstream) -> bool {
         let is_known = self.upstreams.contains_key(&upstream.name);
         let others = self.by_address.at(upstream.address).iter();
-        let others = others.filter(|name| *name != former);
-        let mut there = others.filter_map(|name| self.upstreams.get(name));
-        if is_known || there.any(|s| !s.replaced) {
+        let others = others.filter(|name| *name != predecessor);
+        let mut states = others.filter_map(|name| self.upstreams.get(name));
+        if is_known || states.any(|s| !s.replaced) {
             return false;
         }
         let mut state = UpstreamState::new(upstream);
-        state.unlisted = Some(Unlisted::default());
+        state.not_yet_listed = Some(NotYetListed::default());
         self.insert(state);
         true
     }
 
     fn insert(&mut self, mut state: UpstreamState) {
-        self.apply_known_statements(&mut state);
+        self.apply_leaving_state(&mut state);
         let upstream = &state.upstream;
         let name = upstream.name.clone();
-        self.replace_at(&state.upstream);
+        self.mark_replaced(&state.upstream);
         let of_service = self.by_service.entry(upstream.service.clone()).or_default();
         of_service.push(name.clone());
         self.by_key.insert(state.key, name.clone());
@@ -339,10 +361,11 @@
         self.upstreams.insert(name, state);
     }
 
-    /// A new start at an address means that the one before has ended, if its service is one.
-    fn replace_at(&mut self, newer: &Upstream) {
+    /// Marks the upstreams at the address of a new upstream as replaced: two processes cannot have
+    /// one address. Ignores a new upstream whose service is not configured.
+    fn mark_replaced(&mut self, newer: &Upstream) {
         let services = self.services.as_ref();
-        if services.is_some_and(|named| !named.contains(&newer.service)) {
+        if services.is_some_and(|configured| !configured.contains(&newer.service)) {
             return;
         }
         for name in self.by_address.at(newer.address) {
@@ -352,16 +375,16 @@
         }
     }
 
-    fn forget_gone(&mut self, now: Instant) {
-        self.leavings.forget_old(now);
-        let over: Vec<UpstreamName> = self
+    fn forget_delisted(&mut self, now: Instant) {
+        self.leaving_upstreams.forget_old(now);
+        let expired: Vec<UpstreamName> = self
             .upstreams
             .values()
             .filter(|s| s.own_load.is_none())
-            .filter(|s| s.is_over(now, GONE_KEPT_FOR))
+            .filter(|s| s.can_be_forgotten(now, DELISTED_RETENTION))
             .map(|s| s.upstream.name.clone())
             .collect();
-        for name in over {
+        for name in expired {
             self.forget(&name);
         }
     }
--- a/crates/router/cloverpier_router_policy/tests/addresses.rs
+++ b/crates/router/cloverpier_router_policy/tests/addresses.rs
@@ -1,4 +1,4 @@
-//! Addresses that are used again: the upstream that had one before is replaced, and no other.
+//! Reused addresses: a new upstream at an address replaces the upstreams there, and no others.
 
 use cloverpier_core::{DataCentre, ServiceName, UpstreamName};
 use cloverpier_router_policy::prelude::*;
@@ -18,7 +18,7 @@
     }
 }
 
-/// A name is listed at an address, or it is gone.
+/// The number of an upstream, and the number of the port at which it is listed; `None` for a removal.
 type Change = (u8, Option<u8>);
 
 fn change((name, port): Change) -> UpstreamChange {
@@ -29,14 +29,14 @@
 }
 
 quickcheck! {
-    /// The same as comparing each new name with all that are known.
-    fn a_new_name_at_an_address_replaces_those_that_had_it(changes: Vec<Change>) -> bool {
+    /// The index gives the same result as comparing each new upstream with all known ones.
+    fn a_new_upstream_replaces_those_at_its_address(changes: Vec<Change>) -> bool {
         let now = Instant::now();
         let mut table = UpstreamTable::default();
-        // What each name's address is, and whether it was replaced there.
+        // The port of each upstream, and whether the upstream was replaced there.
         let mut known: HashMap<u8, (u8, bool)> = HashMap::new();
-        let few = changes.into_iter().map(|(name, port)| (name % 12, port.map(|p| p % 6)));
-        for (revision, (name, port)) in (1..).zip(few) {
+        let colliding = changes.into_iter().map(|(name, port)| (name % 12, port.map(|p| p % 6)));
+        for (revision, (name, port)) in (1..).zip(colliding) {
             table.apply_changes(vec![change((name, port))], revision, now);
             match (port, known.contains_key(&name)) {
                 (Some(port), true) => {
@@ -59,14 +59,17 @@
 }
 
 #[test]
-fn what_was_forgotten_at_an_address_comes_back_as_new() {
+fn a_forgotten_upstream_that_is_listed_again_counts_as_new() {
     let start = Instant::now();
     let mut table = UpstreamTable::default();
     table.apply_changes(vec![change((1, Some(1)))], 1, start);
     table.apply_changes(vec![change((1, None))], 2, start);
     let later = start + Duration::from_secs(60);
     table.apply_changes(vec![change((2, Some(2)))], 3, later);
-    assert!(table.get(&upstream(1, 0).name).is_none(), "it is forgotten");
+    assert!(
+        table.get(&upstream(1, 0).name).is_none(),
+        "the table has dropped its state"
+    );
     table.apply_changes(vec![change((3, Some(1)))], 4, later);
     table.apply_changes(vec![change((1, Some(1)))], 5, later);
     assert!(table.get(&upstream(1, 0).name).unwrap().may_still_serve());
--- a/crates/router/cloverpier_router_policy/tests/crash_reports.rs
+++ b/crates/router/cloverpier_router_policy/tests/crash_reports.rs
@@ -1,16 +1,18 @@
-//! What peers are told of requests that end upstreams, and who is told again.
+//! Which crashes of upstreams are reported to peers, how reports are split into messages, and when facts
+//! are sent to peers again.
 
 use cloverpier_core::DataCentre;
 use cloverpier_crashes::prelude::*;
-use cloverpier_router_policy::crash_reports::{in_messages, is_told};
+use cloverpier_router_policy::crash_reports::{is_reported, split_into_messages};
 use cloverpier_router_policy::dissemination::{
     REPEATED_FOR, is_repeated, may_have_missed, sends_missed,
 };
 use cloverpier_router_policy::prelude::*;
 use std::time::{Duration, Instant};
 
-/// An end in a data centre of six upstreams of 24, of which so many ended beside it.
-fn around(ended: u64) -> Surroundings {
+/// The surroundings of a crash in a data centre with five other upstreams of the service, which has 23
+/// others in total. `ended` of the five crashed at the same time.
+fn surroundings(ended: u64) -> Surroundings {
     Surroundings {
         in_service: 23,
         in_data_centre: 5,
@@ -19,10 +21,13 @@
 }
 
 #[test]
-fn an_end_that_a_dying_data_centre_explains_is_told_to_nobody_unless_it_is_the_contents_second() {
-    let told: Vec<bool> = (0..=5).map(|ended| is_told(&around(ended), 1)).collect();
-    assert_eq!(told, [true, true, true, false, false, false]);
-    assert!(is_told(&around(5), 2));
+fn a_first_crash_that_a_failed_data_centre_explains_is_not_reported() {
+    let reported: Vec<bool> = (0..=5)
+        .map(|ended| is_reported(&surroundings(ended), 1))
+        .collect();
+    assert_eq!(reported, [true, true, true, false, false, false]);
+    // The second crash under the same content is reported in any case.
+    assert!(is_reported(&surroundings(5), 2));
 }
 
 fn entry(configuration_version: u64, last_heartbeat: Instant) -> PeerEntry {
@@ -39,12 +44,12 @@
 }
 
 #[test]
-fn a_peer_that_is_new_was_silent_or_started_anew_is_told_what_it_may_have_missed() {
+fn a_peer_that_is_new_was_silent_or_restarted_may_have_missed_facts() {
     let timeout = Duration::from_millis(1_100);
     let now = Instant::now();
-    let former = entry(9, now);
+    let previous = entry(9, now);
     let soon = now + Duration::from_millis(400);
-    let missed = |entry: &PeerEntry| may_have_missed(Some(&former), entry, timeout);
+    let missed = |entry: &PeerEntry| may_have_missed(Some(&previous), entry, timeout);
     assert!(!missed(&entry(9, soon)));
     assert!(!missed(&entry(10, soon)));
     assert!(missed(&entry(0, soon)));
@@ -53,34 +58,34 @@
 }
 
 #[test]
-fn a_peer_that_starts_anew_before_its_former_run_said_a_version_is_told_what_it_may_have_missed() {
+fn a_peer_that_restarts_before_it_has_a_configuration_may_have_missed_facts() {
     let now = Instant::now();
-    let (former, anew) = (entry(0, now), entry(0, now + Duration::from_millis(313)));
+    let (previous, restarted) = (entry(0, now), entry(0, now + Duration::from_millis(313)));
     let timeout = Duration::from_millis(1_100);
-    assert!(may_have_missed(Some(&former), &anew, timeout));
+    assert!(may_have_missed(Some(&previous), &restarted, timeout));
 }
 
 #[test]
-fn of_many_peers_a_few_tell_and_of_few_all_do() {
+fn in_a_large_fleet_only_some_peers_send_missed_facts() {
     let mut rng = fastrand::Rng::with_seed(1);
-    let mut tellers = |peers: usize| (0..peers).filter(|_| sends_missed(peers, &mut rng)).count();
-    assert_eq!(tellers(7), 7);
-    let told_by: Vec<usize> = (0..50).map(|_| tellers(295)).collect();
+    let mut senders = |peers: usize| (0..peers).filter(|_| sends_missed(peers, &mut rng)).count();
+    assert_eq!(senders(7), 7);
+    let sender_counts: Vec<usize> = (0..50).map(|_| senders(295)).collect();
     assert!(
-        told_by.iter().all(|count| (4..=32).contains(count)),
-        "{told_by:?}"
+        sender_counts.iter().all(|count| (4..=32).contains(count)),
+        "{sender_counts:?}"
     );
 }
 
 #[test]
-fn news_are_told_again_for_a_while_only() {
+fn facts_are_repeated_for_a_limited_time() {
     let now = Instant::now();
     assert!(!is_repeated(None, now));
     assert!(is_repeated(Some(now), now + REPEATED_FOR / 2));
     assert!(!is_repeated(Some(now), now + REPEATED_FOR));
 }
 
-/// The content of a request, and as many ends as are kept of one.
+/// A report with the maximum number of crashes that are kept for one content, each of the maximum size.
 fn largest_report(name: &str) -> ContentReport {
     let content = ContentKey::of(&Content {
         account: "lab",
@@ -110,10 +115,10 @@
 }
 
 #[test]
-fn reports_are_cut_into_messages_of_a_few_ends_and_none_is_lost() {
+fn reports_are_split_into_messages_without_loss() {
     let reports: Vec<ContentReport> = (0..9).map(|n| largest_report(&n.to_string())).collect();
-    let messages = in_messages(reports.clone());
+    let messages = split_into_messages(reports.clone());
     assert_eq!(messages.len(), 5);
     assert_eq!(messages.concat(), reports);
-    assert!(in_messages(Vec::new()).is_empty());
+    assert!(split_into_messages(Vec::new()).is_empty());
 }
--- a/crates/router/cloverpier_router_policy/tests/leaving.rs
+++ b/crates/router/cloverpier_router_policy/tests/leaving.rs
@@ -1,18 +1,21 @@
-//! Which upstreams get nothing as they have said that they leave, and who else must know.
+//! Upstreams that announce in a response that they leave: which requests they still get, and how the
+//! announcement reaches other routers.
 
 use cloverpier_core::{DataCentre, ServiceName, UpstreamName};
 use cloverpier_router_policy::attempt_failure::AttemptFailure;
-use cloverpier_router_policy::leaving::LAST_RESORT_FOR;
+use cloverpier_router_policy::leaving::LAST_RESORT_PERIOD;
 use cloverpier_router_policy::prelude::*;
-use cloverpier_router_policy::statement::{Sender, sender_of_answer, sender_of_reply};
+use cloverpier_router_policy::statement::{
+    Sender, sender_of_query_response, sender_of_request_response,
+};
 use quickcheck::quickcheck;
 use std::collections::{BTreeSet, HashSet};
 use std::time::{Duration, Instant};
 
 const SERVICE: &str = "lookups";
-const BORN_MS: u64 = 1_790_000_000_000;
+const START_TIME_MS: u64 = 1_790_000_000_000;
 
-fn upstream(name: &str, born_ms: Option<u64>) -> Upstream {
+fn upstream(name: &str, start_time_ms: Option<u64>) -> Upstream {
     Upstream {
         name: name.into(),
         service: ServiceName::new(SERVICE),
@@ -22,20 +25,20 @@
         draining: false,
         start: Some(UpstreamStart {
             version: "v1".into(),
-            born_ms,
+            start_time_ms,
         }),
     }
 }
 
 fn table(names: &[&str], now: Instant) -> UpstreamTable {
     let mut table = UpstreamTable::default();
-    let upstreams = names.iter().map(|name| upstream(name, Some(BORN_MS)));
+    let upstreams = names.iter().map(|name| upstream(name, Some(START_TIME_MS)));
     table.apply_list(upstreams.collect(), 1, now);
     table
 }
 
-/// The upstreams that get requests, of a hundred choices.
-fn chosen(table: &UpstreamTable, now: Instant) -> BTreeSet<String> {
+/// The names of the upstreams that a hundred requests are sent to.
+fn chosen_names(table: &UpstreamTable, now: Instant) -> BTreeSet<String> {
     let mut rng = fastrand::Rng::with_seed(1);
     let demand = Demand {
         service: &ServiceName::new(SERVICE),
@@ -64,174 +67,206 @@
     choices.collect()
 }
 
-fn names(names: &[&str]) -> BTreeSet<String> {
+fn set_of(names: &[&str]) -> BTreeSet<String> {
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
 #[test]
-fn one_that_has_said_that_it_leaves_gets_nothing_whatever_its_entry_says() {
+fn a_leaving_upstream_gets_no_requests_whatever_its_entry_contains() {
     let now = Instant::now();
     let mut table = table(&["a", "b"], now);
     assert!(table.on_leaving(&"a".into(), None, now));
-    assert!(!table.on_leaving(&"a".into(), Some(BORN_MS), now), "known");
-    assert_eq!(chosen(&table, now), names(&["b"]));
-    // Entries that were written before, or by one who knows less, say that it is ready.
-    let again = vec![upstream("a", Some(BORN_MS)), upstream("b", Some(BORN_MS))];
-    table.apply_list(again, 2, now);
+    assert!(
+        !table.on_leaving(&"a".into(), Some(START_TIME_MS), now),
+        "the announcement is known already"
+    );
+    assert_eq!(chosen_names(&table, now), set_of(&["b"]));
+    // Entries that are out of date, or from a writer with older information, list it as ready.
+    let outdated = vec![
+        upstream("a", Some(START_TIME_MS)),
+        upstream("b", Some(START_TIME_MS)),
+    ];
+    table.apply_list(outdated, 2, now);
     let changed = Upstream {
         slots: 9,
-        ..upstream("a", Some(BORN_MS))
+        ..upstream("a", Some(START_TIME_MS))
     };
     table.apply_changes(vec![UpstreamChange::Listed(changed)], 3, now);
-    assert_eq!(chosen(&table, now), names(&["b"]));
+    assert_eq!(chosen_names(&table, now), set_of(&["b"]));
 }
 
 #[test]
-fn it_is_remembered_though_its_entry_comes_and_goes() {
+fn an_announcement_is_kept_while_the_entry_is_removed_and_added_again() {
     let now = Instant::now();
     let mut table = table(&["a", "b"], now);
     table.on_leaving(&"a".into(), None, now);
     table.apply_changes(vec![UpstreamChange::Gone("a".into())], 2, now);
-    // Long enough for the entry to be forgotten.
+    // Long enough for the table to drop the upstream's state.
     let later = now + Duration::from_secs(60);
-    let other = UpstreamChange::Listed(upstream("b", Some(BORN_MS)));
+    let other = UpstreamChange::Listed(upstream("b", Some(START_TIME_MS)));
     table.apply_changes(vec![other], 3, later);
     assert!(table.get(&"a".into()).is_none());
-    let back = UpstreamChange::Listed(upstream("a", Some(BORN_MS)));
-    table.apply_changes(vec![back], 4, later);
-    assert_eq!(chosen(&table, later), names(&["b"]));
+    let listed_again = UpstreamChange::Listed(upstream("a", Some(START_TIME_MS)));
+    table.apply_changes(vec![listed_again], 4, later);
+    assert_eq!(chosen_names(&table, later), set_of(&["b"]));
 }
 
 #[test]
-fn a_later_start_under_the_same_name_serves() {
+fn a_later_incarnation_under_the_same_name_gets_requests() {
     let now = Instant::now();
     let mut listed = table(&["a", "b"], now);
     listed.on_leaving(&"a".into(), None, now);
-    let next = upstream("a", Some(BORN_MS + 1));
+    let next = upstream("a", Some(START_TIME_MS + 1));
     listed.apply_changes(vec![UpstreamChange::Listed(next)], 2, now);
-    assert_eq!(chosen(&listed, now), names(&["a", "b"]));
-    // The same where an answer names the start before the list does.
-    let mut answered = table(&["a", "b"], now);
-    answered.on_leaving(&"a".into(), None, now);
-    answered.on_start(&"a".into(), Some(BORN_MS + 1));
-    assert_eq!(chosen(&answered, now), names(&["a", "b"]));
-    // What a peer was told of the former start changes nothing.
+    assert_eq!(chosen_names(&listed, now), set_of(&["a", "b"]));
+    // The same if a response contains the start time before the list does.
+    let mut responded = table(&["a", "b"], now);
+    responded.on_leaving(&"a".into(), None, now);
+    responded.on_start(&"a".into(), Some(START_TIME_MS + 1));
+    assert_eq!(chosen_names(&responded, now), set_of(&["a", "b"]));
+    // A peer's report about the earlier incarnation has no effect.
     let report = LeavingReport {
         upstream: UpstreamKey::of(&"a".into()),
-        born_ms: Some(BORN_MS),
+        start_time_ms: Some(START_TIME_MS),
         age_ms: 30,
     };
-    assert!(answered.on_peer_leavings(&[report], now).is_empty());
-    assert_eq!(chosen(&answered, now), names(&["a", "b"]));
-    // And that start may leave, too.
-    assert!(answered.on_leaving(&"a".into(), Some(BORN_MS + 1), now));
-    assert_eq!(chosen(&answered, now), names(&["b"]));
+    assert!(responded.on_peer_leaving_reports(&[report], now).is_empty());
+    assert_eq!(chosen_names(&responded, now), set_of(&["a", "b"]));
+    // The later incarnation may leave, too.
+    assert!(responded.on_leaving(&"a".into(), Some(START_TIME_MS + 1), now));
+    assert_eq!(chosen_names(&responded, now), set_of(&["b"]));
 }
 
 #[test]
-fn a_peer_may_tell_of_it_before_the_list_names_it() {
+fn a_peers_report_counts_even_if_it_arrives_before_the_entry() {
     let now = Instant::now();
-    let mut told = table(&["b"], now);
+    let mut informed = table(&["b"], now);
     let report = LeavingReport {
         upstream: UpstreamKey::of(&"a".into()),
-        born_ms: None,
+        start_time_ms: None,
         age_ms: 0,
     };
-    assert!(told.on_peer_leavings(&[report], now).is_empty(), "unknown");
-    let listed = UpstreamChange::Listed(upstream("a", Some(BORN_MS)));
-    told.apply_changes(vec![listed], 2, now);
-    assert_eq!(chosen(&told, now), names(&["b"]));
+    assert!(
+        informed.on_peer_leaving_reports(&[report], now).is_empty(),
+        "the table does not contain the upstream"
+    );
+    let listed = UpstreamChange::Listed(upstream("a", Some(START_TIME_MS)));
+    informed.apply_changes(vec![listed], 2, now);
+    assert_eq!(chosen_names(&informed, now), set_of(&["b"]));
 }
 
 #[test]
-fn the_last_ones_serve_for_a_moment_after_they_have_said_so() {
+fn the_last_upstreams_of_a_service_get_requests_for_a_while_after_their_announcements() {
     let now = Instant::now();
     let mut table = table(&["a", "b"], now);
     table.on_leaving(&"a".into(), None, now);
-    let later = now + LAST_RESORT_FOR / 2;
+    let later = now + LAST_RESORT_PERIOD / 2;
     table.on_leaving(&"b".into(), None, later);
-    assert_eq!(chosen(&table, later), names(&["a", "b"]));
-    // Each from when it has said so.
-    assert_eq!(chosen(&table, now + LAST_RESORT_FOR), names(&["b"]));
-    assert_eq!(chosen(&table, later + LAST_RESORT_FOR), names(&[]));
-    // A suspected one that stays comes before them.
+    assert_eq!(chosen_names(&table, later), set_of(&["a", "b"]));
+    // The period begins with each upstream's own announcement.
+    assert_eq!(
+        chosen_names(&table, now + LAST_RESORT_PERIOD),
+        set_of(&["b"])
+    );
+    assert_eq!(
+        chosen_names(&table, later + LAST_RESORT_PERIOD),
+        set_of(&[])
+    );
+    // A suspected upstream that is not leaving is preferred.
     table.apply_changes(
-        vec![UpstreamChange::Listed(upstream("c", Some(BORN_MS)))],
+        vec![UpstreamChange::Listed(upstream("c", Some(START_TIME_MS)))],
         2,
         later,
     );
     table.suspect(&"c".into(), later);
-    assert_eq!(chosen(&table, later), names(&["c"]));
+    assert_eq!(chosen_names(&table, later), set_of(&["c"]));
 }
 
 #[test]
-fn how_long_ago_it_was_said_travels_with_the_news() {
+fn a_report_contains_the_age_of_the_announcement() {
     let now = Instant::now();
     let mut first = table(&["a"], now);
     first.on_leaving(&"a".into(), None, now);
-    let told_at = now + LAST_RESORT_FOR / 2;
-    let reports = first.leavings(told_at);
-    let mut second = table(&["a"], told_at);
-    assert_eq!(second.on_peer_leavings(&reports, told_at).len(), 1);
-    // Otherwise each router that hears of it late would serve the longer.
-    assert_eq!(chosen(&second, told_at), names(&["a"]));
-    assert_eq!(chosen(&second, now + LAST_RESORT_FOR), names(&[]));
+    let reported_at = now + LAST_RESORT_PERIOD / 2;
+    let reports = first.leaving_reports(reported_at);
+    let mut second = table(&["a"], reported_at);
+    assert_eq!(
+        second.on_peer_leaving_reports(&reports, reported_at).len(),
+        1
+    );
+    // Without the age, a router that receives the report late would send requests for longer.
+    assert_eq!(chosen_names(&second, reported_at), set_of(&["a"]));
+    assert_eq!(chosen_names(&second, now + LAST_RESORT_PERIOD), set_of(&[]));
 }
 
 #[test]
-fn whose_statement_it_is() {
-    let asked: UpstreamName = "a".into();
-    let said = |name: Option<&str>| UpstreamStatement {
+fn statements_are_attributed_to_the_upstream_that_sent_them() {
+    let addressee: UpstreamName = "a".into();
+    let statement = |name: Option<&str>| UpstreamStatement {
         name: name.map(Into::into),
         is_leaving: true,
         ..UpstreamStatement::default()
     };
     let other = Sender::Other("b".into());
-    assert_eq!(sender_of_answer(&asked, &said(None)), Sender::Asked);
-    assert_eq!(sender_of_answer(&asked, &said(Some("a"))), Sender::Asked);
-    assert_eq!(sender_of_answer(&asked, &said(Some("b"))), other);
-    // Only the upstream that a request names runs it, so whatever else counts is its own.
-    let reply = |verdict, name| sender_of_reply(&asked, &said(name), &verdict);
-    assert_eq!(reply(Ok(()), None), Sender::Asked);
+    assert_eq!(
+        sender_of_query_response(&addressee, &statement(None)),
+        Sender::Addressee
+    );
+    assert_eq!(
+        sender_of_query_response(&addressee, &statement(Some("a"))),
+        Sender::Addressee
+    );
+    assert_eq!(
+        sender_of_query_response(&addressee, &statement(Some("b"))),
+        other
+    );
+    // Only the upstream named in a request executes it, so a response to the request that does not
+    // reject it as misdirected is from that upstream.
+    let sender_of =
+        |validity, name| sender_of_request_response(&addressee, &statement(name), &validity);
+    assert_eq!(sender_of(Ok(()), None), Sender::Addressee);
     let refused = Err(AttemptFailure::NotRun { status: 503 });
-    assert_eq!(reply(refused, None), Sender::Asked);
-    assert_eq!(reply(Err(AttemptFailure::Unsigned), None), Sender::Asked);
-    // Another process turns it down, and may say who it is.
+    assert_eq!(sender_of(refused, None), Sender::Addressee);
+    assert_eq!(
+        sender_of(Err(AttemptFailure::Unsigned), None),
+        Sender::Addressee
+    );
+    // Another process rejects the request and may include its own name.
     let misdirected = || Err(AttemptFailure::Misdirected);
-    assert_eq!(reply(misdirected(), None), Sender::Unknown);
-    assert_eq!(reply(misdirected(), Some("a")), Sender::Unknown);
-    assert_eq!(reply(misdirected(), Some("b")), other);
-    // Surplus bytes belong to nobody.
-    let surplus = Err(AttemptFailure::OtherRequest);
-    assert_eq!(reply(surplus, Some("a")), Sender::Unknown);
+    assert_eq!(sender_of(misdirected(), None), Sender::Unknown);
+    assert_eq!(sender_of(misdirected(), Some("a")), Sender::Unknown);
+    assert_eq!(sender_of(misdirected(), Some("b")), other);
+    // The sender of a response to another request is unknown.
+    let other_request = Err(AttemptFailure::OtherRequest);
+    assert_eq!(sender_of(other_request, Some("a")), Sender::Unknown);
 }
 
 quickcheck! {
-    /// Routers that are told the same, in whatever order and however often, believe the same.
-    fn the_order_of_news_changes_nothing(news: Vec<(u8, Option<u8>)>, again: Vec<u8>) -> bool {
+    /// Routers that receive the same reports, in any order and any number of times, have the same state.
+    fn the_order_and_repetition_of_reports_have_no_effect(draws: Vec<(u8, Option<u8>)>, again: Vec<u8>) -> bool {
         let now = Instant::now();
-        let reports: Vec<LeavingReport> = news
+        let reports: Vec<LeavingReport> = draws
             .iter()
-            .map(|(name, born)| LeavingReport {
+            .map(|(name, start_offset_ms)| LeavingReport {
                 upstream: UpstreamKey::of(&["a", "b", "c"][usize::from(*name) % 3].into()),
-                // Where an upstream says when it started, it always does.
-                born_ms: born.map(|born| BORN_MS + u64::from(born % 3)).filter(|_| name % 3 != 0),
+                // An upstream reports a start time in all its responses or in none.
+                start_time_ms: start_offset_ms.map(|offset| START_TIME_MS + u64::from(offset % 3)).filter(|_| name % 3 != 0),
                 age_ms: 10,
             })
-            .filter(|report| report.born_ms.is_some() || report.upstream == UpstreamKey::of(&"a".into()))
+            .filter(|report| report.start_time_ms.is_some() || report.upstream == UpstreamKey::of(&"a".into()))
             .collect();
         let repeated: Vec<LeavingReport> = again
             .iter()
             .filter_map(|at| reports.get(usize::from(*at) % reports.len().max(1)).copied())
             .collect();
         let mut forward = table(&["a", "b", "c"], now);
-        forward.on_peer_leavings(&reports, now);
+        forward.on_peer_leaving_reports(&reports, now);
         let mut backward = table(&["a", "b", "c"], now);
-        backward.on_peer_leavings(&repeated, now);
+        backward.on_peer_leaving_reports(&repeated, now);
         for report in reports.iter().rev() {
-            backward.on_peer_leavings(&[*report], now);
+            backward.on_peer_leaving_reports(&[*report], now);
         }
-        let later = now + LAST_RESORT_FOR;
-        chosen(&forward, later) == chosen(&backward, later)
+        let later = now + LAST_RESORT_PERIOD;
+        chosen_names(&forward, later) == chosen_names(&backward, later)
     }
 }
--- a/crates/router/cloverpier_router_policy/tests/liveness.rs
+++ b/crates/router/cloverpier_router_policy/tests/liveness.rs
@@ -1,4 +1,4 @@
-//! How long a silent upstream is believed in.
+//! When a silent upstream is probed, declared dead, or left for another one.
 
 use cloverpier_router_policy::prelude::*;
 use std::time::{Duration, Instant};
@@ -13,49 +13,54 @@
     Duration::from_millis(ms)
 }
 
-/// Steps as a timer would: at the moment that was asked for.
-fn wait(liveness: &mut Liveness, heard: Instant, asked: Option<Instant>, now: Instant) -> Instant {
-    match liveness.step(heard, asked, now) {
+/// Steps once and returns the time at which the caller is to step again; panics for any other step.
+fn next_wakeup(
+    liveness: &mut Liveness,
+    last_activity: Instant,
+    probing_since: Option<Instant>,
+    now: Instant,
+) -> Instant {
+    match liveness.step(last_activity, probing_since, now) {
         LivenessStep::WaitUntil(at) => at,
-        step => panic!("{step:?} instead of a wait"),
+        step => panic!("expected a wait, got {step:?}"),
     }
 }
 
 #[test]
-fn a_silent_server_is_asked_and_then_dead() {
+fn a_silent_upstream_is_probed_and_then_declared_dead() {
     let start = Instant::now();
     let mut liveness = Liveness::new(BOUNDS, start);
-    let ask_at = wait(&mut liveness, start, None, start);
-    assert_eq!(ask_at, start + ms(150));
-    assert_eq!(liveness.step(start, None, ask_at), LivenessStep::Probe);
-    let dead_at = wait(&mut liveness, start, Some(ask_at), ask_at);
+    let probe_at = next_wakeup(&mut liveness, start, None, start);
+    assert_eq!(probe_at, start + ms(150));
+    assert_eq!(liveness.step(start, None, probe_at), LivenessStep::Probe);
+    let dead_at = next_wakeup(&mut liveness, start, Some(probe_at), probe_at);
     assert_eq!(dead_at, start + ms(350));
-    let step = liveness.step(start, Some(ask_at), dead_at);
+    let step = liveness.step(start, Some(probe_at), dead_at);
     assert_eq!(step, LivenessStep::UpstreamDead);
 }
 
 #[test]
-fn whatever_is_heard_from_the_server_is_a_sign_of_life() {
+fn data_on_any_connection_shows_that_the_upstream_is_alive() {
     let start = Instant::now();
     let mut liveness = Liveness::new(BOUNDS, start);
-    let heard = start + ms(140);
-    let ask_at = wait(&mut liveness, heard, None, start + ms(150));
-    assert_eq!(ask_at, start + ms(290));
-    // It was asked, and another stream brought something meanwhile.
-    let asked = Some(start + ms(290));
-    let heard = start + ms(400);
-    let dead_at = wait(&mut liveness, heard, asked, start + ms(440));
+    let last_activity = start + ms(140);
+    let probe_at = next_wakeup(&mut liveness, last_activity, None, start + ms(150));
+    assert_eq!(probe_at, start + ms(290));
+    // While the probe is in flight, data arrives on another stream.
+    let probing_since = Some(start + ms(290));
+    let last_activity = start + ms(400);
+    let dead_at = next_wakeup(&mut liveness, last_activity, probing_since, start + ms(440));
     assert_eq!(dead_at, start + ms(600));
 }
 
 #[test]
-fn a_stuck_stream_leaves_a_living_server() {
+fn a_stream_without_progress_leaves_an_upstream_that_is_alive() {
     let start = Instant::now();
     let mut liveness = Liveness::new(BOUNDS, start);
     let mut now = start;
     let step = loop {
-        let heard = now;
-        match liveness.step(heard, None, now) {
+        let last_activity = now;
+        match liveness.step(last_activity, None, now) {
             LivenessStep::WaitUntil(at) => now = at,
             step => break step,
         }
@@ -65,23 +70,23 @@
 }
 
 #[test]
-fn events_keep_a_stream_where_it_is() {
+fn a_stream_with_events_stays_at_its_upstream() {
     let start = Instant::now();
     let mut liveness = Liveness::new(BOUNDS, start);
     for n in 1..50 {
         let now = start + ms(100 * n);
         liveness.on_event(now);
-        wait(&mut liveness, now, None, now);
+        next_wakeup(&mut liveness, now, None, now);
     }
 }
 
 #[test]
-fn a_process_that_stood_still_does_not_blame_the_server() {
+fn silence_during_a_pause_of_the_router_does_not_count() {
     let start = Instant::now();
     let mut liveness = Liveness::new(BOUNDS, start);
-    let ask_at = wait(&mut liveness, start, None, start);
-    // The timer fires 3 s late: what the upstream sent meanwhile is yet to be read.
-    let woken = ask_at + ms(3_000);
-    let next = wait(&mut liveness, start, None, woken);
-    assert_eq!(next, woken + ms(150));
+    let probe_at = next_wakeup(&mut liveness, start, None, start);
+    // The timer fires 3 s late: data that the upstream sent during the pause has not been read yet.
+    let woken_at = probe_at + ms(3_000);
+    let next_probe_at = next_wakeup(&mut liveness, start, None, woken_at);
+    assert_eq!(next_probe_at, woken_at + ms(150));
 }
--- a/crates/router/cloverpier_router_policy/tests/rollout.rs
+++ b/crates/router/cloverpier_router_policy/tests/rollout.rs
@@ -288,16 +288,16 @@
         draining: false,
         start: Some(UpstreamStart {
             version: "v2".into(),
-            born_ms: Some(1),
+            start_time_ms: Some(1),
         }),
     };
     table.apply_list(vec![upstream], 1, now);
-    let first = table.get(&name).unwrap().start();
+    let first = table.get(&name).unwrap().incarnation();
     own.on_failure(observed(first), &broke, now);
     assert_eq!(failures(&own), 0);
     // Its next start answers: the one before has died.
     table.on_start(&name, Some(2));
-    let second = table.get(&name).unwrap().start();
+    let second = table.get(&name).unwrap().incarnation();
     let id = own.begin(observed(second), Measure::Answer, now);
     own.on_answer(id, observed(second), now);
     assert_eq!(failures(&own), 0);
--- a/crates/router/cloverpier_router_policy/tests/successor.rs
+++ b/crates/router/cloverpier_router_policy/tests/successor.rs
@@ -1,12 +1,13 @@
-//! Upstreams that are known before the platform's list names them.
+//! Successors: processes at the addresses of dead upstreams that get requests before the platform's list
+//! contains them.
 
 use cloverpier_core::{DataCentre, ServiceName, UpstreamName};
 use cloverpier_router_policy::prelude::*;
-use cloverpier_router_policy::successor::{must_be_same_service, recognizable_until};
+use cloverpier_router_policy::successor::{must_be_same_service, successor_deadline};
 use quickcheck::quickcheck;
 use std::time::{Duration, Instant};
 
-const REUSE: Duration = Duration::from_secs(2);
+const ADDRESS_REUSE: Duration = Duration::from_secs(2);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -24,7 +25,7 @@
     }
 }
 
-/// A table that lists "former" at 9000 and "other" at 9001.
+/// A table that lists "former" at port 9000 and "other" at port 9001.
 fn table(now: Instant) -> UpstreamTable {
     let mut table = UpstreamTable::default();
     let listed = vec![upstream("former", 9_000), upstream("other", 9_001)];
@@ -38,43 +39,63 @@
 }
 
 #[test]
-fn an_answer_counts_while_no_other_service_can_have_the_address() {
-    let sign = Instant::now();
-    assert!(must_be_same_service(sign, sign + ms(1_200), REUSE));
-    assert!(must_be_same_service(sign, sign + ms(1_749), REUSE));
-    // What arrived may have been on its way for a while.
-    assert!(!must_be_same_service(sign, sign + ms(1_750), REUSE));
-    assert!(!must_be_same_service(sign, sign + ms(5_000), REUSE));
-    // Where the platform says nothing of addresses, nothing is concluded.
-    assert!(!must_be_same_service(sign, sign, Duration::ZERO));
+fn a_successor_is_accepted_while_no_other_service_can_have_the_address() {
+    let last_response = Instant::now();
+    assert!(must_be_same_service(
+        last_response,
+        last_response + ms(1_200),
+        ADDRESS_REUSE
+    ));
+    assert!(must_be_same_service(
+        last_response,
+        last_response + ms(1_749),
+        ADDRESS_REUSE
+    ));
+    // The last response may have been delayed in the network for up to 250 ms.
+    assert!(!must_be_same_service(
+        last_response,
+        last_response + ms(1_750),
+        ADDRESS_REUSE
+    ));
+    assert!(!must_be_same_service(
+        last_response,
+        last_response + ms(5_000),
+        ADDRESS_REUSE
+    ));
+    // A platform without a guarantee on addresses: no successor is accepted.
+    assert!(!must_be_same_service(
+        last_response,
+        last_response,
+        Duration::ZERO
+    ));
 }
 
 quickcheck! {
-    /// However long the last sign of life travelled, up to the bound on delays, the process
-    /// that gave the answer was there before another service could be.
-    fn the_answering_process_was_there_in_time(delay_ms: u8, ended_ms: u16, answered_ms: u16) -> bool {
+    /// Whatever network delay up to the bound the predecessor's last response had, an accepted successor
+    /// responded before another service could have the address.
+    fn an_accepted_successor_responded_in_time(delay_ms: u8, ended_ms: u16, responded_ms: u16) -> bool {
         let start = Instant::now();
         let sent = start;
-        let sign = sent + ms(u64::from(delay_ms) % 251);
+        let last_response = sent + ms(u64::from(delay_ms) % 251);
         let ended = sent + ms(ended_ms.into());
-        let answered = sign + ms(answered_ms.into());
-        !must_be_same_service(sign, answered, REUSE) || answered < ended.max(sent) + REUSE
+        let responded_at = last_response + ms(responded_ms.into());
+        !must_be_same_service(last_response, responded_at, ADDRESS_REUSE) || responded_at < ended.max(sent) + ADDRESS_REUSE
     }
 }
 
 #[test]
-fn a_successor_gets_requests_and_its_former_start_does_not() {
+fn a_successor_gets_requests_and_its_predecessor_does_not() {
     let now = Instant::now();
     let mut table = table(now);
     assert!(table.add_successor(&"former".into(), upstream("next", 9_000)));
     assert!(is_usable(&table, "next"));
     assert!(!is_usable(&table, "former"));
-    // Peers learn of it by a message of its own: it is not in the platform's list.
+    // The platform's list does not contain the successor, so peers receive it in a separate message.
     assert!(table.listed().iter().all(|u| u.name.as_str() != "next"));
 }
 
 #[test]
-fn what_is_known_at_an_address_is_not_replaced_by_an_older_message() {
+fn an_outdated_successor_message_does_not_replace_a_known_upstream() {
     let now = Instant::now();
     let mut table = table(now);
     assert!(!table.add_successor(&"former".into(), upstream("other", 9_001)));
@@ -86,7 +107,7 @@
 }
 
 #[test]
-fn the_platforms_list_overrides_what_was_concluded() {
+fn the_platforms_list_overrides_an_accepted_successor() {
     let now = Instant::now();
     for (change, usable) in [
         (UpstreamChange::Gone("next".into()), false),
@@ -108,25 +129,24 @@
 }
 
 #[test]
-fn one_that_the_list_does_not_name_in_time_is_gone() {
+fn a_successor_that_is_not_listed_in_time_counts_as_removed() {
     let now = Instant::now();
     let later = now + ms(9_000);
-    let news = |table: &mut UpstreamTable, revision, at| {
+    let apply_list = |table: &mut UpstreamTable, revision, at| {
         table.apply_list(vec![upstream("other", 9_001)], revision, at);
     };
     let mut table = table(now);
     table.add_successor(&"former".into(), upstream("next", 9_000));
-    // Without news of the list nothing is missed, and an upstream has two seconds to enter
-    // itself once there are some.
-    news(&mut table, 2, later);
-    news(&mut table, 3, later + ms(2_000));
+    // The two seconds to register begin with the first list version after the store's outage.
+    apply_list(&mut table, 2, later);
+    apply_list(&mut table, 3, later + ms(2_000));
     assert!(is_usable(&table, "next"));
-    news(&mut table, 4, later + ms(2_001));
+    apply_list(&mut table, 4, later + ms(2_001));
     assert!(!is_usable(&table, "next"));
 }
 
 #[test]
-fn one_that_is_listed_later_is_handed_on_like_any_other() {
+fn a_successor_that_is_listed_later_is_sent_to_peers_with_the_list() {
     let now = Instant::now();
     let mut table = table(now);
     table.add_successor(&"former".into(), upstream("next", 9_000));
@@ -136,7 +156,7 @@
 }
 
 #[test]
-fn one_that_is_never_listed_is_forgotten_when_it_is_dead() {
+fn a_successor_that_is_never_listed_is_forgotten_after_it_was_declared_dead() {
     let now = Instant::now();
     let mut table = table(now);
     table.add_successor(&"former".into(), upstream("next", 9_000));
@@ -148,14 +168,14 @@
 }
 
 #[test]
-fn a_dead_upstream_is_checked_closely_while_a_successor_would_be_recognized() {
+fn a_dead_upstream_is_checked_more_often_while_a_successor_can_be_accepted() {
     let now = Instant::now();
     let mut table = table(now);
     let name = UpstreamName::new("former");
     table.suspect(&name, now);
-    table.await_successor(&name, recognizable_until(now, REUSE));
+    table.check_frequently_until(&name, successor_deadline(now, ADDRESS_REUSE));
     let steps = (0..40).map(|step| now + ms(step * 50));
     let checks = steps.filter(|at| !table.start_due_checks(*at).is_empty());
-    // Every 100 ms up to 1.75 s, and then with growing pauses.
+    // Every 100 ms up to 1.75 s, and then at growing intervals.
     assert_eq!(checks.count(), 20);
 }
--- a/crates/router/cloverpier_router_policy/tests/upstreams.rs
+++ b/crates/router/cloverpier_router_policy/tests/upstreams.rs
@@ -1,4 +1,4 @@
-//! Which upstreams get requests as the platform's list changes.
+//! Choice of upstreams for requests and replicas, as the platform's list, load and suspicions change.
 
 use cloverpier_core::{DataCentre, ServiceName, UpstreamName};
 use cloverpier_router_policy::prelude::*;
@@ -10,7 +10,7 @@
 const SERVICE: &str = "lookups";
 static ANY_VERSION: VersionRule = VersionRule::ANY;
 static UNLIMITED: LimitedUpstreams = LimitedUpstreams::NONE;
-static NOT_ASKED: LazyLock<ReportedLoad> = LazyLock::new(ReportedLoad::default);
+static NO_REPORTED_LOAD: LazyLock<ReportedLoad> = LazyLock::new(ReportedLoad::default);
 
 fn upstream(name: &str, port: u16) -> Upstream {
     Upstream {
@@ -24,7 +24,7 @@
     }
 }
 
-fn fleet_of(names: &[&str], now: Instant) -> UpstreamTable {
+fn table_of(names: &[&str], now: Instant) -> UpstreamTable {
     let mut table = UpstreamTable::default();
     let upstreams = names
         .iter()
@@ -54,7 +54,7 @@
         connected: &HashSet::new(),
         apart: None,
         overcommit: false,
-        reported: &NOT_ASKED,
+        reported: &NO_REPORTED_LOAD,
         versions: &ANY_VERSION,
         limits: &UNLIMITED,
         now,
@@ -66,22 +66,22 @@
 }
 
 #[test]
-fn a_server_that_left_gets_nothing_while_others_are_listed() {
+fn a_removed_upstream_gets_no_requests_while_others_are_listed() {
     let now = Instant::now();
-    let mut table = fleet_of(&["leaves", "suspected", "tried"], now);
+    let mut table = table_of(&["leaves", "suspected", "tried"], now);
     table.apply_changes(vec![UpstreamChange::Gone("leaves".into())], 2, now);
     table.suspect(&"suspected".into(), now);
-    // The suspect is the only one left: better a doubtful upstream than one that leaves.
+    // Only the suspected upstream is left: it is preferred to a removed one.
     let chosen = choose(&table, &["tried".into()]);
     assert_eq!(chosen.as_deref(), Some("suspected"));
-    // With that one tried, too, nobody is left.
+    // Once the request has failed there, too, no upstream is left.
     assert_eq!(choose(&table, &["tried".into(), "suspected".into()]), None);
 }
 
 #[test]
-fn a_draining_server_gets_nothing_even_as_the_last_one() {
+fn a_draining_upstream_gets_no_requests_even_if_it_is_the_only_one() {
     let now = Instant::now();
-    let mut table = fleet_of(&["drains"], now);
+    let mut table = table_of(&["drains"], now);
     let mut drains = upstream("drains", 9_000);
     drains.draining = true;
     table.apply_changes(vec![UpstreamChange::Listed(drains)], 2, now);
@@ -89,18 +89,18 @@
 }
 
 #[test]
-fn servers_serve_on_when_an_outage_empties_the_list() {
+fn upstreams_still_get_requests_when_a_store_outage_empties_the_list() {
     let now = Instant::now();
-    let mut table = fleet_of(&["one", "two"], now);
+    let mut table = table_of(&["one", "two"], now);
     let gone = ["one", "two"].map(|name| UpstreamChange::Gone(name.into()));
     table.apply_changes(gone.to_vec(), 2, now);
     assert!(choose_at(&table, &[], now + Duration::from_millis(1_900)).is_some());
 }
 
 #[test]
-fn servers_missing_for_more_than_two_seconds_are_gone_even_if_all_are() {
+fn upstreams_get_no_requests_two_seconds_after_their_removal_even_if_all_were_removed() {
     let now = Instant::now();
-    let mut table = fleet_of(&["one", "two"], now);
+    let mut table = table_of(&["one", "two"], now);
     let gone = ["one", "two"].map(|name| UpstreamChange::Gone(name.into()));
     table.apply_changes(gone.to_vec(), 2, now);
     let later = now + Duration::from_millis(2_100);
@@ -114,9 +114,9 @@
 }
 
 #[test]
-fn a_replaced_server_is_never_chosen() {
+fn a_replaced_upstream_is_never_chosen() {
     let now = Instant::now();
-    let mut table = fleet_of(&["before"], now);
+    let mut table = table_of(&["before"], now);
     table.apply_changes(
         vec![UpstreamChange::Listed(upstream("after", 9_000))],
         2,
@@ -127,9 +127,9 @@
 }
 
 #[test]
-fn an_older_list_changes_nothing() {
+fn a_list_with_an_older_revision_is_ignored() {
     let now = Instant::now();
-    let mut table = fleet_of(&["one"], now);
+    let mut table = table_of(&["one"], now);
     table.apply_changes(vec![UpstreamChange::Listed(upstream("two", 9_001))], 5, now);
     assert!(
         !table
@@ -144,30 +144,30 @@
 }
 
 #[test]
-fn a_suspect_is_probed_with_growing_pauses_until_it_answers() {
+fn a_suspected_upstream_is_checked_at_growing_intervals_until_it_responds() {
     let start = Instant::now();
-    let mut table = fleet_of(&["one"], start);
+    let mut table = table_of(&["one"], start);
     assert!(table.suspect(&"one".into(), start));
     assert!(
         !table.suspect(&"one".into(), start),
         "it is suspected already"
     );
-    let mut probes = Vec::new();
+    let mut checks = Vec::new();
     for ms in (0..4_000).step_by(50) {
         let now = start + Duration::from_millis(ms);
         if !table.start_due_checks(now).is_empty() {
-            probes.push(ms);
+            checks.push(ms);
         }
     }
-    assert_eq!(probes, [0, 150, 450, 1_050, 2_050, 3_050]);
+    assert_eq!(checks, [0, 150, 450, 1_050, 2_050, 3_050]);
     assert!(table.on_alive(&"one".into(), start).is_some());
     assert_eq!(choose(&table, &[]).as_deref(), Some("one"));
 }
 
 #[test]
-fn reports_of_peers_count_until_they_are_old() {
+fn a_peers_load_report_counts_until_it_is_replaced_or_old() {
     let now = Instant::now();
-    let mut table = fleet_of(&["one", "two"], now);
+    let mut table = table_of(&["one", "two"], now);
     let key = UpstreamKey::of(&"one".into());
     let load = Load {
         requests: 3,
@@ -201,7 +201,7 @@
         connected: &HashSet::new(),
         apart: None,
         overcommit: false,
-        reported: &NOT_ASKED,
+        reported: &NO_REPORTED_LOAD,
         versions: &ANY_VERSION,
         limits: &UNLIMITED,
         now: Instant::now(),
@@ -212,11 +212,11 @@
     }
 }
 
-/// Engines that run a request each; one has slightly less to read than the others.
+/// 24 engines with one request each; the first has fewer prompt tokens to process than the others.
 fn busy_engines(now: Instant) -> UpstreamTable {
     let names: Vec<String> = (0..24).map(|n| format!("engine-{n}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let mut table = fleet_of(&names, now);
+    let mut table = table_of(&names, now);
     for (index, name) in names.iter().enumerate() {
         let running = Load {
             requests: 1,
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn routers_that_see_the_same_do_not_all_choose_the_same_engine() {
+fn routers_with_the_same_information_choose_different_engines() {
     let table = busy_engines(Instant::now());
     let chosen: HashSet<_> = (0..12)
         .filter_map(|n| choose_engine(&table, n, n))
@@ -238,30 +238,30 @@
 }
 
 #[test]
-fn an_engine_that_a_peer_has_just_chosen_is_left_to_it() {
+fn an_engine_that_a_peer_has_just_chosen_is_not_chosen() {
     let now = Instant::now();
     let mut table = busy_engines(now);
     let first = choose_engine(&table, 5, 1).unwrap();
-    let begun = Load {
+    let reported = Load {
         requests: 1,
         unread_tokens: 8_000,
         memory_tokens: 8_800,
     };
     let key = UpstreamKey::of(&UpstreamName::new(&first));
     let peer = ([127, 0, 0, 1], 7_000).into();
-    table.peer_load.on_report(peer, vec![(key, begun)], now);
+    table.peer_load.on_report(peer, vec![(key, reported)], now);
     assert_ne!(choose_engine(&table, 5, 1).unwrap(), first);
 }
 
 #[test]
-fn a_prompt_that_comes_back_finds_the_engine_that_read_it() {
+fn equal_prompts_are_sent_to_the_same_engine() {
     let table = busy_engines(Instant::now());
     let first = choose_engine(&table, 77, 1);
-    assert_eq!(first, choose_engine(&table, 77, 2), "whoever chooses");
+    assert_eq!(first, choose_engine(&table, 77, 2), "with any random seed");
 }
 
 #[test]
-fn a_search_begins_with_the_engines_that_routers_would_have_chosen() {
+fn a_prompt_search_begins_with_the_engines_that_routers_choose_for_the_prompt() {
     let now = Instant::now();
     let centres = ["hall-a", "hall-b", "hall-c"];
     let engines = (0..30).map(|index| Upstream {
@@ -280,14 +280,14 @@
             let demand = stream_demand(&service, &home, &connected, prompt, now);
             let chosen = choose_upstream(&table, &demand, &mut fastrand::Rng::with_seed(1));
             let Choice::Upstream(chosen) = chosen else {
-                panic!("an engine is free");
+                panic!("no engine was chosen although all are free");
             };
             assert!(order[..centres.len()].contains(&chosen), "{prompt} {home}");
         }
     }
 }
 
-/// Engines in two data centres, and a demand of one usual stream.
+/// `count` idle engines, alternately in the data centres hall-a and hall-b.
 fn engines(count: u16, now: Instant) -> UpstreamTable {
     let engines = (0..count).map(|index| Upstream {
         data_centre: DataCentre::new(if index % 2 == 0 { "hall-a" } else { "hall-b" }),
@@ -298,6 +298,7 @@
     table
 }
 
+/// The demand of a stream with a typical prompt; `prompt` identifies the prompt for affinity.
 fn stream_demand<'a>(
     service: &'a ServiceName,
     home: &'a DataCentre,
@@ -321,7 +322,7 @@
         connected,
         apart: None,
         overcommit: false,
-        reported: &NOT_ASKED,
+        reported: &NO_REPORTED_LOAD,
         versions: &ANY_VERSION,
         limits: &UNLIMITED,
         now,
@@ -329,10 +330,10 @@
 }
 
 #[test]
-fn routers_that_see_the_same_spread_their_backups() {
+fn routers_with_the_same_information_spread_their_replicas() {
     let now = Instant::now();
     let mut table = engines(20, now);
-    // All but one have some load; the emptiest one alone would get all copies.
+    // All engines but one have some load. Choosing the least loaded one would put all replicas there.
     for index in 0..19 {
         let load = Load {
             memory_tokens: 3_000,
@@ -355,7 +356,7 @@
 }
 
 #[test]
-fn a_data_centre_that_seems_dead_gets_nothing_new() {
+fn a_data_centre_that_seems_down_gets_no_new_requests() {
     let now = Instant::now();
     let mut table = engines(20, now);
     for index in [0, 2, 4] {
@@ -367,14 +368,14 @@
         let demand = stream_demand(&service, &home, &connected, prompt, now);
         let mut rng = fastrand::Rng::with_seed(prompt);
         let Choice::Upstream(chosen) = choose_upstream(&table, &demand, &mut rng) else {
-            panic!("ten engines are free elsewhere");
+            panic!("no engine was chosen although ten are free in hall-b");
         };
         assert_eq!(chosen.data_centre, DataCentre::new("hall-b"));
         let replica = choose_replica(&table, &demand, &chosen, &mut rng).unwrap();
-        // Only the data centre that seems dead is another one than the primary's.
+        // A replica is not kept in the primary's data centre, and the only other one seems down.
         assert_eq!(replica.data_centre, home);
     }
-    // Where all data centres seem dead, any engine that isn't suspected will do.
+    // If all data centres seem down, engines that are not suspected get requests.
     for index in [1, 3, 5] {
         table.suspect(&format!("engine-{index}").as_str().into(), now);
     }
@@ -383,7 +384,7 @@
     assert!(matches!(chosen, Choice::Upstream(_)), "{chosen:?}");
 }
 
-/// Fills an upstream with as much of this router's load as it takes.
+/// Adds so many requests of this router to an upstream that the upstream is full.
 fn fill(table: &mut UpstreamTable, name: &str) {
     let load = Load {
         requests: 100,
@@ -392,13 +393,13 @@
     table.add_load(&UpstreamName::new(name), load);
 }
 
+/// Guards against refusals while upstreams that only peers suspect are idle. When each of four lookup
+/// upstreams lost a fifth of its responses by resets, peers' suspicions, which count for a second,
+/// excluded three of them, the fourth was full, and every second request was refused.
 #[test]
-fn a_full_upstream_that_nobody_suspects_does_not_keep_requests_from_living_ones() {
-    // Each of four lookup servers lost a fifth of its answers by resets. Peers' suspicions, which
-    // count for a second, took three of them out of the choice, the fourth was full, and every
-    // second request was refused while three servers were idle.
+fn upstreams_that_only_peers_suspect_get_requests_when_the_others_are_full() {
     let now = Instant::now();
-    let mut table = fleet_of(&["one", "two", "three", "four"], now);
+    let mut table = table_of(&["one", "two", "three", "four"], now);
     for name in ["one", "two", "three"] {
         table.on_peer_suspicion(UpstreamKey::of(&UpstreamName::new(name)), now);
     }
@@ -406,7 +407,7 @@
     fill(&mut table, "four");
     let chosen = choose_at(&table, &[], now).unwrap();
     assert!(["one", "two", "three"].contains(&chosen.as_str()));
-    // One that this router itself suspects is none of them.
+    // An upstream that this router itself suspects gets none.
     table.suspect(&UpstreamName::new("one"), now);
     table.suspect(&UpstreamName::new("two"), now);
     assert_eq!(choose_at(&table, &[], now).as_deref(), Some("three"));
--- a/crates/router/cloverpier_router_policy/tests/wait.rs
+++ b/crates/router/cloverpier_router_policy/tests/wait.rs
@@ -1,4 +1,5 @@
-//! Upstreams that want nothing for a while: who gets requests, what may be asked, what callers learn.
+//! Wait periods (`Retry-After`) of upstreams: where requests go, which probes are allowed, and when
+//! refused callers should retry.
 
 use cloverpier_core::{DataCentre, ServiceName, Wait};
 use cloverpier_router_policy::prelude::*;
@@ -10,7 +11,7 @@
 
 const SERVICE: &str = "drafts";
 const WAIT: Duration = Duration::from_millis(1_500);
-const BORN_MS: u64 = 1_790_000_000_000;
+const START_TIME_MS: u64 = 1_790_000_000_000;
 
 fn table(names: &[&str], now: Instant) -> UpstreamTable {
     let mut table = UpstreamTable::default();
@@ -23,7 +24,7 @@
         draining: false,
         start: Some(UpstreamStart {
             version: "v1".into(),
-            born_ms: Some(BORN_MS),
+            start_time_ms: Some(START_TIME_MS),
         }),
     });
     table.apply_list(upstreams.collect(), 1, now);
@@ -63,24 +64,24 @@
 }
 
 #[test]
-fn one_that_wants_nothing_gets_nothing_until_its_time_is_over() {
+fn an_upstream_gets_no_requests_during_its_wait_period() {
     let now = Instant::now();
     let mut table = table(&["a", "b"], now);
     assert!(table.on_wait(&"a".into(), WAIT, now));
     assert_eq!(name_of(&choose(&table, &[], now)), Some("b"));
-    // Also where the other one has failed the request.
+    // Nor after the request failed at the other upstream.
     assert_eq!(
         choose(&table, &["b"], now),
         Choice::None(NoUpstream::NoneUsable)
     );
-    // A suspected one comes first: it may live, and this one does not want it.
+    // A suspected upstream is preferred: it may be alive, while the other one rejects requests.
     table.suspect(&"b".into(), now);
     assert_eq!(name_of(&choose(&table, &[], now)), Some("b"));
     assert_eq!(name_of(&choose(&table, &["b"], now + WAIT)), Some("a"));
 }
 
 #[test]
-fn a_replica_there_is_not_used_meanwhile() {
+fn a_replica_is_not_used_during_its_engines_wait_period() {
     let now = Instant::now();
     let mut table = table(&["a", "b"], now);
     let engine = table.get(&"a".into()).unwrap().upstream.clone();
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn a_whole_service_that_wants_nothing_is_told_by_the_first_that_may_be_asked_again() {
+fn a_services_wait_ends_with_its_first_upstreams_wait_period() {
     let now = Instant::now();
     let service = ServiceName::new(SERVICE);
     let mut table = table(&["a", "b"], now);
@@ -110,69 +111,71 @@
     table.on_wait(&"b".into(), WAIT, now);
     assert_eq!(choose(&table, &[], now), Choice::None(NoUpstream::AllWait));
     let wait = table.wait_of_service(&service, now).unwrap();
-    assert_eq!((wait.left, wait.passed), (WAIT, Duration::ZERO));
+    assert_eq!((wait.remaining, wait.elapsed), (WAIT, Duration::ZERO));
     let later = now + WAIT / 3;
     let wait = table.wait_of_service(&service, later).unwrap();
-    assert_eq!((wait.left, wait.passed), (WAIT - WAIT / 3, WAIT / 3));
-    // Nobody who comes too late for its objective is kept longer.
+    assert_eq!((wait.remaining, wait.elapsed), (WAIT - WAIT / 3, WAIT / 3));
+    // A caller whose objective ends before the wait gets no extra delay.
     let objective = WAIT / 2;
     let refusal = Refusal::UpstreamsWait { wait, objective };
     assert_eq!(retry_after(refusal), WAIT - WAIT / 3);
 }
 
-/// Guards against callers that all return at the moment at which their upstreams want requests again.
+/// Guards against refused callers that all retry at the moment at which the wait period ends: they would
+/// overload the upstreams.
 #[test]
-fn callers_return_in_the_order_in_which_they_were_refused_and_soon() {
+fn callers_retry_in_the_order_of_their_refusals_soon_after_the_wait() {
     let objective = 5 * WAIT;
-    let after = |passed: Duration| {
+    let after = |elapsed: Duration| {
         let wait = ServiceWait {
-            left: WAIT - passed,
-            passed,
+            remaining: WAIT - elapsed,
+            elapsed,
         };
         retry_after(Refusal::UpstreamsWait { wait, objective })
     };
-    let returns: Vec<Duration> = (0..10)
+    // Ten callers are refused at regular intervals during the wait.
+    let retry_times: Vec<Duration> = (0..10)
         .map(|n| WAIT * n / 10 + after(WAIT * n / 10))
         .collect();
-    assert_eq!(returns[0], WAIT);
-    assert!(returns.is_sorted());
-    assert_eq!(returns[5], WAIT + WAIT / 2);
-    let room = objective - WAIT / 10;
-    assert!(returns[9] <= WAIT + room / 5);
+    assert_eq!(retry_times[0], WAIT);
+    assert!(retry_times.is_sorted());
+    assert_eq!(retry_times[5], WAIT + WAIT / 2);
+    let time_left = objective - WAIT / 10;
+    assert!(retry_times[9] <= WAIT + time_left / 5);
 }
 
 #[test]
-fn a_later_start_wants_requests() {
+fn a_later_incarnation_has_no_wait_period() {
     let now = Instant::now();
     let mut table = table(&["a"], now);
     table.on_wait(&"a".into(), WAIT, now);
-    table.on_start(&"a".into(), Some(BORN_MS + 1));
+    table.on_start(&"a".into(), Some(START_TIME_MS + 1));
     assert_eq!(name_of(&choose(&table, &[], now)), Some("a"));
 }
 
 #[test]
-fn one_question_may_be_asked_meanwhile() {
+fn one_probe_or_check_is_allowed_during_a_wait_period() {
     let now = Instant::now();
     let mut table = table(&["a"], now);
     let name = "a".into();
     table.on_wait(&name, WAIT, now);
-    assert_eq!(table.asked_again_at(&name, now), None);
-    assert!(table.try_ask(&name, now));
-    assert!(!table.try_ask(&name, now));
-    assert_eq!(table.asked_again_at(&name, now), Some(now + WAIT));
-    assert!(table.try_ask(&name, now + WAIT));
-    // Checks of a suspected one are the same.
+    assert_eq!(table.next_probe_time(&name, now), None);
+    assert!(table.try_start_probe(&name, now));
+    assert!(!table.try_start_probe(&name, now));
+    assert_eq!(table.next_probe_time(&name, now), Some(now + WAIT));
+    assert!(table.try_start_probe(&name, now + WAIT));
+    // The same holds for checks of a suspected upstream.
     let later = now + WAIT;
     table.on_wait(&name, WAIT, later);
     table.suspect(&name, later);
     assert_eq!(table.start_due_checks(later).len(), 1);
-    let close_to_its_end = later + WAIT - Duration::from_millis(1);
-    assert_eq!(table.start_due_checks(close_to_its_end).len(), 0);
+    let just_before_end = later + WAIT - Duration::from_millis(1);
+    assert_eq!(table.start_due_checks(just_before_end).len(), 0);
     assert_eq!(table.start_due_checks(later + WAIT).len(), 1);
 }
 
 #[test]
-fn a_silent_upstream_is_probed_once_it_may_be_asked_again() {
+fn a_silent_upstream_is_probed_once_its_wait_period_is_over() {
     let now = Instant::now();
     let bounds = LivenessBounds {
         probe_after: Duration::from_millis(100),
@@ -188,21 +191,22 @@
 }
 
 quickcheck! {
-    /// Whatever times an upstream names, it is left alone until the last of them is over.
-    fn no_time_that_was_named_is_shortened(named: Vec<(u16, u16)>) -> bool {
+    /// A sequence of overlapping wait periods ends with the latest end among them. Each response has
+    /// the time since the previous one and the period in its `Retry-After`, both in milliseconds.
+    fn a_wait_period_is_never_shortened(responses: Vec<(u16, u16)>) -> bool {
         let mut now = Instant::now();
         let mut wait = None;
-        let mut last = now;
-        for (pause, time) in named {
-            now += Duration::from_millis(u64::from(pause));
-            let time = Duration::from_millis(u64::from(time));
-            let begun = Wait::begin(wait, time, now);
-            last = last.max(now + time);
-            if begun.until() != last.max(now) {
+        let mut latest_end = now;
+        for (gap, period) in responses {
+            now += Duration::from_millis(u64::from(gap));
+            let period = Duration::from_millis(u64::from(period));
+            let extended = Wait::begin(wait, period, now);
+            latest_end = latest_end.max(now + period);
+            if extended.until() != latest_end.max(now) {
                 return false;
             }
-            wait = Some(begun);
+            wait = Some(extended);
         }
-        wait.is_none_or(|wait| !wait.binds(last))
+        wait.is_none_or(|wait| !wait.binds(latest_end))
     }
 }
--- a/crates/standins/cloverpier_router_standin/src/upstream.rs
+++ b/crates/standins/cloverpier_router_standin/src/upstream.rs
@@ -142,7 +142,7 @@
         state.limit = None;
         let address = state.upstream.address;
         if let Some(start) = &mut state.upstream.start {
-            start.born_ms = Some(born_ms);
+            start.start_time_ms = Some(born_ms);
         }
         lock(&state.ledger).copies.retain(|(at, _)| *at != address);
     }
--- a/crates/standins/cloverpier_router_standin/src/upstream/serve.rs
+++ b/crates/standins/cloverpier_router_standin/src/upstream/serve.rs
@@ -159,7 +159,7 @@
 
 fn answer_to_question(state: &State, head: &Head) -> String {
     let answer = question_body(state, head);
-    match state.upstream.born_ms() {
+    match state.upstream.start_time_ms() {
         Some(born_ms) => (state.with_start)(answer, born_ms),
         None => answer,
     }
--- a/tools/src/crash_play/reports.rs
+++ b/tools/src/crash_play/reports.rs
@@ -4,7 +4,7 @@
 use super::{Counting, Trouble};
 use cloverpier_crashes::prelude::*;
 use cloverpier_router::peer_messages::{CrashReports, PeerMessage, encode};
-use cloverpier_router_policy::crash_reports::{in_messages, is_told};
+use cloverpier_router_policy::crash_reports::{is_reported, split_into_messages};
 use cloverpier_router_policy::dissemination::{is_repeated, sends_missed};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,7 +28,9 @@
         let neighbours = self.neighbours();
         let state = &mut self.routers[router];
         let judged = state.cases.judge(now, neighbours);
-        let told = judged.iter().filter(|j| is_told(&j.surroundings, j.ends));
+        let told = judged
+            .iter()
+            .filter(|j| is_reported(&j.surroundings, j.ends));
         let told: Vec<ContentKey> = told.map(|j| j.attempt.content).collect();
         let reports = state.cases.book.reports(&told, now);
         if !reports.is_empty() {
@@ -72,7 +74,7 @@
 
     fn tell(&mut self, from: usize, reports: Vec<ContentReport>, to: &[usize]) {
         let sender = SocketAddr::from(([10, 0, 0, 1], 7_104));
-        for contents in in_messages(reports) {
+        for contents in split_into_messages(reports) {
             let message = PeerMessage::Crashes(CrashReports {
                 sender,
                 contents: contents.clone(),
--- a/tools/src/crash_play/upstreams.rs
+++ b/tools/src/crash_play/upstreams.rs
@@ -67,7 +67,7 @@
             draining: false,
             start: Some(UpstreamStart {
                 version: "v1".into(),
-                born_ms: Some(self.start_of(index)),
+                start_time_ms: Some(self.start_of(index)),
             }),
         }
     }
--- a/tools/src/return_play/mod.rs
+++ b/tools/src/return_play/mod.rs
@@ -26,7 +26,7 @@
         let refusal = match (self, refusal) {
             (Self::AtOnce, Refusal::UpstreamsWait { wait, objective }) => Refusal::UpstreamsWait {
                 wait: ServiceWait {
-                    passed: Duration::ZERO,
+                    elapsed: Duration::ZERO,
                     ..wait
                 },
                 objective,
--- a/tools/src/rollout_play/requests.rs
+++ b/tools/src/rollout_play/requests.rs
@@ -34,7 +34,7 @@
     request: Request,
 ) -> Observed<'a> {
     let state = &upstreams[request.upstream];
-    let start = table.get(&state.name).map(UpstreamState::start);
+    let start = table.get(&state.name).map(UpstreamState::incarnation);
     Observed {
         upstream: &state.name,
         start: start.unwrap_or_default(),
--- a/tools/src/rollout_play/upstreams.rs
+++ b/tools/src/rollout_play/upstreams.rs
@@ -72,7 +72,7 @@
             draining: false,
             start: Some(UpstreamStart {
                 version: version.into(),
-                born_ms: Some(1 + upstream.start),
+                start_time_ms: Some(1 + upstream.start),
             }),
         }
     }
--- a/tools/src/router_site/upstreams.rs
+++ b/tools/src/router_site/upstreams.rs
@@ -99,7 +99,7 @@
         for _ in 0..count {
             let start = UpstreamStart {
                 version: version.into(),
-                born_ms: None,
+                start_time_ms: None,
             };
             self.add_upstream_of(service == ENGINES, Some(start))
                 .await?;
@@ -187,7 +187,7 @@
         self.starts += 1;
         let upstream = &mut self.upstreams[index];
         if let Some(start) = &mut upstream.spec.start {
-            start.born_ms = start.born_ms.map(|born| born + self.starts);
+            start.start_time_ms = start.start_time_ms.map(|born| born + self.starts);
         }
         self.relaunch(index).await
     }
--- a/tools/src/soak.rs
+++ b/tools/src/soak.rs
@@ -144,7 +144,7 @@
     let with_starts = spec.with_versions || spec.with_crashes;
     site.upstream_start = with_starts.then(|| UpstreamStart {
         version: "v1".into(),
-        born_ms: Some(FIRST_BORN_MS),
+        start_time_ms: Some(FIRST_BORN_MS),
     });
     Ok(site)
 }
--- a/tools/src/statement_play/reports.rs
+++ b/tools/src/statement_play/reports.rs
@@ -5,7 +5,7 @@
 use cloverpier_core::UpstreamName;
 use cloverpier_router::peer_messages::{LeavingReports, PeerMessage, encode};
 use cloverpier_router_policy::dissemination::{is_repeated, sends_missed};
-use cloverpier_router_policy::leaving::in_messages;
+use cloverpier_router_policy::leaving::split_into_messages;
 use cloverpier_router_policy::prelude::*;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,14 +21,14 @@
         let now = self.instant();
         let state = &mut self.routers[router];
         state.last_report = Some(now);
-        let reports = state.table.leaving_of(upstream, now);
+        let reports = state.table.leaving_reports_of(upstream, now);
         let all: Vec<usize> = (0..self.spec.routers).collect();
         self.tell(router, &reports, &all);
     }
 
     fn tell(&mut self, from: usize, reports: &[LeavingReport], to: &[usize]) {
         let sender = SocketAddr::from(([10, 0, 0, 1], 7_104));
-        for upstreams in in_messages(reports) {
+        for upstreams in split_into_messages(reports) {
             let message = PeerMessage::Leavings(LeavingReports {
                 sender,
                 upstreams: upstreams.clone(),
@@ -59,7 +59,9 @@
         if !state.is_up {
             return;
         }
-        let new = state.table.on_peer_leavings(&self.messages[message], now);
+        let new = state
+            .table
+            .on_peer_leaving_reports(&self.messages[message], now);
         if !new.is_empty() {
             state.last_report = Some(now);
         }
@@ -70,7 +72,7 @@
         let now = self.instant();
         let state = &self.routers[router];
         if state.is_up && is_repeated(state.last_report, now) {
-            let reports = state.table.new_leavings(now);
+            let reports = state.table.recent_leaving_reports(now);
             let peer = self.rng.usize(..self.spec.routers);
             self.tell(router, &reports, &[peer]);
         }
@@ -84,11 +86,11 @@
         for peer in &peers {
             let tells = sends_missed(peers.len(), &mut self.rng);
             if tells && self.routers[*peer].is_up {
-                let reports = self.routers[*peer].table.leavings(now);
+                let reports = self.routers[*peer].table.leaving_reports(now);
                 self.tell(*peer, &reports, &[router]);
             }
         }
-        let reports = self.routers[router].table.leavings(now);
+        let reports = self.routers[router].table.leaving_reports(now);
         self.tell(router, &reports, &peers);
     }
 }
--- a/tools/src/statement_play/world.rs
+++ b/tools/src/statement_play/world.rs
@@ -121,7 +121,7 @@
         draining: false,
         start: Some(UpstreamStart {
             version: "v1".into(),
-            born_ms: Some(born_ms),
+            start_time_ms: Some(born_ms),
         }),
     }
 }
