--- a/crates/router/cloverpier_router_policy/src/crash_reports.rs
+++ b/crates/router/cloverpier_router_policy/src/crash_reports.rs
@@ -35,8 +35,8 @@
     crash_count > 1 || weight.thousandths() >= MIN_REPORTED_WEIGHT
 }
 
-/// Splits reports into messages of at most [`MAX_CRASHES_PER_MESSAGE`] crashes each. A report is never split; a
-/// report with more crashes gets a message of its own.
+/// Splits reports into messages of at most 32 crashes each, so that each message fits into a datagram.
+/// One report is never split; a report with more crashes would get a message of its own.
 pub fn split_into_messages(reports: Vec<ContentReport>) -> Vec<Vec<ContentReport>> {
     let mut messages: Vec<Vec<ContentReport>> = Vec::new();
     let mut crash_count = 0;
--- a/crates/router/cloverpier_router_policy/src/leaving.rs
+++ b/crates/router/cloverpier_router_policy/src/leaving.rs
@@ -149,8 +149,7 @@
     }
 }
 
-/// Splits reports into messages of at most [`MAX_REPORTS`] reports each, so that each message fits into
-/// a datagram.
+/// Splits reports into messages of at most 256 reports each, so that each message fits into a datagram.
 pub fn split_into_messages(reports: &[LeavingReport]) -> Vec<Vec<LeavingReport>> {
     reports.chunks(MAX_REPORTS).map(<[_]>::to_vec).collect()
 }
--- a/crates/router/cloverpier_router_policy/src/liveness.rs
+++ b/crates/router/cloverpier_router_policy/src/liveness.rs
@@ -24,9 +24,9 @@
 /// Silence after which the upstream of a plain (non-streaming) request is probed, as a multiple of the
 /// route's response time objective.
 const PLAIN_PROBE_FACTOR: f64 = 1.0;
-/// Time after which a plain request moves to another upstream, as a multiple of the route's response time
-/// objective: by then the response is late, and another upstream may still respond before the caller's
-/// deadline.
+/// Time without progress after which a plain request moves to another upstream, if one may get it, as a
+/// multiple of the route's response time objective. By then the response is late, and another upstream
+/// may still respond before the caller's deadline.
 const PLAIN_STALL_FACTOR: f64 = 2.0;
 
 /// Timeouts for a waiting request and its silent upstream.
@@ -36,8 +36,8 @@
     pub probe_after: Duration,
     /// Silence of the upstream after the start of a probe, after which it is declared dead.
     pub probe_timeout: Duration,
-    /// Time without progress of this request, at an upstream that is alive, after which the request is
-    /// moved to another upstream.
+    /// Time without progress of this request after which the request is moved to another upstream,
+    /// even if its upstream is alive.
     pub stall_after: Duration,
 }
 
--- a/crates/router/cloverpier_router_policy/src/upstream_table.rs
+++ b/crates/router/cloverpier_router_policy/src/upstream_table.rs
@@ -23,9 +23,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Minimum number of list changes that are kept for peers. With more upstreams than this, one change
-/// per upstream is kept. A peer that is further behind fetches the whole list, which is then no
-/// larger than the changes.
+/// Minimum number of list changes that are kept for peers. With more upstreams than this, as many
+/// changes as upstreams are kept. A peer that is further behind fetches the whole list, which is no
+/// larger than the missing changes.
 const MIN_CHANGES_KEPT: usize = 1_024;
 /// How long the state of an upstream is kept after its entry was removed: longer than
 /// [`crate::suspicion::RELIST_WINDOW`], in which the entry may return, and longer than most requests
