--- a/crates/router/cloverpier_router_policy/src/leaving.rs
+++ b/crates/router/cloverpier_router_policy/src/leaving.rs
@@ -1,16 +1,17 @@
 //! Upstreams that have announced in a response that they leave, and for how long an announcement counts.
 //!
 //! - **Question.** Which incarnation of which upstream gets no new requests because it has announced that
-//!   it leaves? For how long does it still get requests that no other upstream can serve?
+//!   it leaves? For how long does the upstream still get requests that no other upstream can serve?
 //! - **Inputs.** Announcements in responses and reports of peers: upstream, start time of the
 //!   incarnation, since when the announcement is known.
 //! - **Answer.** Since when an incarnation is leaving; the reports that are sent to peers.
-//! - **Why.** A leaving upstream announces it in all its responses, even while the platform's store is
-//!   unreachable. A router that read it from the store alone would keep sending requests to the upstream
-//!   during an outage of the store. An announcement is never revoked, not even by the upstream's own
-//!   entry, which may be read late or written by a process with older information. So the set only
-//!   grows, and the order in which messages arrive does not matter. An announcement applies to one
-//!   incarnation: a later one under the same name is another process and gets requests.
+//! - **Why.** A leaving upstream announces in all its responses that it leaves, even while the platform's
+//!   store is unreachable. A router that read the state from the store alone would keep sending requests
+//!   to the upstream during an outage of the store. An announcement is never revoked, not even by the
+//!   upstream's own entry, which may be read late or written by a process with older information. So the
+//!   set of announcements only grows until they expire, and the order in which messages arrive does not
+//!   matter. An announcement applies to one incarnation: a later one under the same name is another
+//!   process and gets requests.
 //!
 //! Owns the announcements, which are kept separately from the listed upstreams: a peer may report one
 //! before the list contains the upstream, and a list that is read late may contain an upstream whose
@@ -95,8 +96,8 @@
     }
 
     /// Since when an incarnation of an upstream is known to be leaving; `None` if it is not. An
-    /// incarnation that started before the recorded one counts as leaving, too, and so does one
-    /// without a known start time.
+    /// incarnation that started before the recorded one counts as leaving, too. If either start time
+    /// is unknown, the two count as the same incarnation.
     pub fn since(&self, upstream: UpstreamKey, start_time_ms: Option<u64>) -> Option<Instant> {
         let leaving = self.by_upstream.get(&upstream)?;
         let is_later_start = match (start_time_ms, leaving.start_time_ms) {
--- a/crates/router/cloverpier_router_policy/tests/upstreams.rs
+++ b/crates/router/cloverpier_router_policy/tests/upstreams.rs
@@ -372,7 +372,8 @@
         };
         assert_eq!(chosen.data_centre, DataCentre::new("hall-b"));
         let replica = choose_replica(&table, &demand, &chosen, &mut rng).unwrap();
-        // A replica is not kept in the primary's data centre, and the only other one seems down.
+        // The replica is kept in the data centre that seems down: there is no other one besides the
+        // primary's.
         assert_eq!(replica.data_centre, home);
     }
     // If all data centres seem down, engines that are not suspected get requests.
