--- a/crates/router/cloverpier_router/src/crashes/record.rs
+++ b/crates/router/cloverpier_router/src/crashes/record.rs
@@ -5,8 +5,8 @@
 
 use crate::relay_request::RelayRequest;
 use crate::router::Router;
-use cloverpier_crashes::book::UNKNOWN_START;
 use cloverpier_crashes::prelude::*;
+use cloverpier_crashes::registry::UNKNOWN_START;
 use cloverpier_router_policy::prelude::*;
 use std::time::{Duration, Instant};
 
--- a/crates/router/cloverpier_router_policy/src/suspicion.rs
+++ b/crates/router/cloverpier_router_policy/src/suspicion.rs
@@ -31,7 +31,7 @@
 /// dead comes earlier, by [`crate::liveness::LivenessBounds::probe_timeout`].
 pub const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 /// A probe whose connection breaks is repeated after this time: well within the time for which a request
-/// waits for the judgement of its last attempt ([`cloverpier_crashes::cases::MAX_HOLD`]).
+/// waits for the judgement of its last attempt ([`cloverpier_crashes::tracker::MAX_HOLD`]).
 pub const REPROBE_AFTER: Duration = Duration::from_millis(40);
 /// Probes in a row at most, where each is reset: about as long as one may stay unanswered.
 pub const MAX_PROBES: u32 = 25;
--- a/crates/shared/cloverpier_crashes/src/lib.rs
+++ b/crates/shared/cloverpier_crashes/src/lib.rs
@@ -12,11 +12,11 @@
 //! | --- | --- |
 //! | which requests are the same | [`content`] |
 //! | did the upstream end under a lost attempt | [`lost_attempts`] |
-//! | which upstreams ended recently | [`ended_upstreams`] |
-//! | did the content run well a moment ago | [`recent_contents`] |
+//! | which upstreams ended recently | [`recent_failures`] |
+//! | did the content run well a moment ago | [`recent_completions`] |
 //! | how much does an end say against the request that ran there | [`weight`] |
-//! | all of these together, as a router sees them | [`cases`] |
-//! | what is known against a content; is it stopped; what do peers get of it | [`book`] |
+//! | all of these together, as a router sees them | [`tracker`] |
+//! | what is known against a content; is it stopped; what do peers get of it | [`registry`] |
 //!
 //! ```
 //! use cloverpier_crashes::prelude::*;
@@ -41,29 +41,29 @@
 
 #![warn(clippy::disallowed_methods)]
 
-pub mod book;
-pub mod cases;
 pub mod content;
-pub mod ended_upstreams;
+pub mod in_flight;
 pub mod lost_attempts;
-pub mod recent_contents;
-pub mod under_way;
+pub mod recent_completions;
+pub mod recent_failures;
+pub mod registry;
+pub mod tracker;
 pub mod weight;
 
 /// The types that users of the crate need daily; rules and constants are named by module.
 pub mod prelude {
-    pub use crate::book::{
-        ContentReport, Crash, CrashBook, CrashLimit, EndsBy, Evidence, ReportedCrash, UpstreamEnd,
-        Verdict,
-    };
-    pub use crate::cases::{Admission, CrashCases, Hold, Judged, Neighbours};
     pub use crate::content::{Content, ContentKey};
-    pub use crate::ended_upstreams::{EndedUpstream, EndedUpstreams};
+    pub use crate::in_flight::AttemptNumber;
     pub use crate::lost_attempts::{
         Dismissal, Dismissed, Loss, LostAttempt, LostAttempts, SignOfLife,
     };
-    pub use crate::recent_contents::RecentContents;
-    pub use crate::under_way::AttemptNumber;
+    pub use crate::recent_completions::RecentContents;
+    pub use crate::recent_failures::{EndedUpstream, EndedUpstreams};
+    pub use crate::registry::{
+        ContentReport, Crash, CrashBook, CrashLimit, EndsBy, Evidence, ReportedCrash, UpstreamEnd,
+        Verdict,
+    };
+    pub use crate::tracker::{Admission, CrashCases, Hold, Judged, Neighbours};
     pub use crate::weight::{EndedBeside, OwnEnd, Surroundings, Weight};
 }
 
--- a/crates/shared/cloverpier_crashes/src/lost_attempts.rs
+++ b/crates/shared/cloverpier_crashes/src/lost_attempts.rs
@@ -23,9 +23,9 @@
 //!
 //! Owns the open attempts.
 
-use crate::book::UpstreamEnd;
 use crate::content::ContentKey;
-use crate::ended_upstreams::EndedUpstream;
+use crate::recent_failures::EndedUpstream;
+use crate::registry::UpstreamEnd;
 use crate::weight::EndedRun;
 use serde::Serialize;
 use std::time::{Duration, Instant};
--- a/crates/shared/cloverpier_crashes/src/cases.rs
+++ b/crates/shared/cloverpier_crashes/src/tracker.rs
@@ -13,12 +13,12 @@
 
 pub use admission::{Admission, Hold, MAX_HOLD};
 
-use crate::book::{Crash, CrashBook, CrashLimit, EndsBy, SUSPECT_FROM, UpstreamEnd};
 use crate::content::{Content, ContentKey};
-use crate::ended_upstreams::{EndedUpstream, EndedUpstreams, SAME_MOMENT};
+use crate::in_flight::{AttemptNumber, AttemptsUnderWay};
 use crate::lost_attempts::{Dismissed, JUDGE_AFTER, Loss, LostAttempt, LostAttempts, SignOfLife};
-use crate::recent_contents::RecentContents;
-use crate::under_way::{AttemptNumber, AttemptsUnderWay};
+use crate::recent_completions::RecentContents;
+use crate::recent_failures::{EndedUpstream, EndedUpstreams, SAME_MOMENT};
+use crate::registry::{Crash, CrashBook, CrashLimit, EndsBy, SUSPECT_FROM, UpstreamEnd};
 use crate::weight::{EndedBeside, OwnEnd, Surroundings};
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
--- a/crates/shared/cloverpier_crashes/src/cases/admission.rs
+++ b/crates/shared/cloverpier_crashes/src/tracker/admission.rs
@@ -8,11 +8,11 @@
 //! Owns nothing; the cases are [`super`]'s.
 
 use super::{CrashCases, Neighbours, crash_of, survival_of};
-use crate::book::{CrashLimit, Evidence, SUSPECT_FROM, Verdict};
 use crate::content::ContentKey;
-use crate::ended_upstreams::EndedUpstream;
+use crate::in_flight::{AtRisk, AttemptNumber};
 use crate::lost_attempts::{Loss, LostAttempt};
-use crate::under_way::{AtRisk, AttemptNumber};
+use crate::recent_failures::EndedUpstream;
+use crate::registry::{CrashLimit, Evidence, SUSPECT_FROM, Verdict};
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
--- a/crates/shared/cloverpier_crashes/tests/holds.rs
+++ b/crates/shared/cloverpier_crashes/tests/holds.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
-use cloverpier_crashes::cases::MAX_HOLD;
 use cloverpier_crashes::lost_attempts::{CONFIRM_WITHIN, JUDGE_AFTER};
 use cloverpier_crashes::prelude::*;
+use cloverpier_crashes::tracker::MAX_HOLD;
 use std::collections::HashSet;
 use std::time::Instant;
 use support::*;
--- a/crates/shared/cloverpier_crashes/tests/book.rs
+++ b/crates/shared/cloverpier_crashes/tests/registry.rs
@@ -1,7 +1,7 @@
 //! What the ends of upstreams mean for the contents that ran there.
 
-use cloverpier_crashes::book::{CRASH_TTL, MAX_CONTENTS, MAX_CRASHES, UNKNOWN_START};
 use cloverpier_crashes::prelude::*;
+use cloverpier_crashes::registry::{CRASH_TTL, MAX_CONTENTS, MAX_CRASHES, UNKNOWN_START};
 use quickcheck::{QuickCheck, TestResult};
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
--- a/crates/shared/cloverpier_crashes/tests/weight.rs
+++ b/crates/shared/cloverpier_crashes/tests/weight.rs
@@ -1,8 +1,8 @@
 //! What an end counts by what else ended.
 
 use cloverpier_core::{DataCentre, ServiceName};
-use cloverpier_crashes::ended_upstreams::SAME_MOMENT;
 use cloverpier_crashes::prelude::*;
+use cloverpier_crashes::recent_failures::SAME_MOMENT;
 use cloverpier_crashes::weight::MAX_NAMED;
 use std::time::{Duration, Instant};
 
--- a/tools/src/scenarios/crashes.rs
+++ b/tools/src/scenarios/crashes.rs
@@ -3,7 +3,7 @@
 use super::plays::play_all;
 use crate::crash_play::{Counting, CrashOutcome, CrashSpec, Pauses, Trouble, Waiting, play};
 use crate::report::Figures;
-use cloverpier_crashes::cases::MAX_HOLD;
+use cloverpier_crashes::tracker::MAX_HOLD;
 use serde_json::{Value, json};
 use std::time::Duration;
 
