--- a/crates/daemon/cloverpier_daemon/src/answers/failure.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/failure.rs
@@ -1,7 +1,7 @@
 //! Why an attempt at an engine is over, what its failure proves, and what the engine said of itself.
 //! Owns nothing.
 
-use cloverpier_crashes::Loss;
+use cloverpier_crashes::LossCause;
 use cloverpier_upstream::{EventStream, StartError, UpstreamStatement};
 use serde::Serialize;
 
@@ -46,10 +46,12 @@
     }
 
     /// How the attempt was lost, where the engine may have ended while it ran it, or may yet by it.
-    pub fn loss(self) -> Option<Loss> {
+    pub fn loss(self) -> Option<LossCause> {
         match self {
-            Self::BrokenBeforeStream | Self::Closed | Self::ConnectionBroken => Some(Loss::Broke),
-            Self::NoAnswer | Self::Silent => Some(Loss::GivenUp),
+            Self::BrokenBeforeStream | Self::Closed | Self::ConnectionBroken => {
+                Some(LossCause::ConnectionBroken)
+            }
+            Self::NoAnswer | Self::Silent => Some(LossCause::UpstreamSilent),
             Self::NotReached | Self::Refused | Self::Unreadable | Self::TokensMissing => None,
         }
     }
--- a/crates/daemon/cloverpier_daemon/src/answers/live.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/live.rs
@@ -6,7 +6,7 @@
 use crate::error::ApiError;
 use cloverpier_answer::{Answer, AppendReply, EventId, Finish, ShipStep, Shipping, Source};
 use cloverpier_core::{AccountName, AdapterName, ModelName, RequestKey, ServiceName, lock};
-use cloverpier_crashes::{Content, ContentKey};
+use cloverpier_crashes::{ContentKey, RequestContent};
 use cloverpier_timers::Timers;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -44,8 +44,8 @@
 
 impl Spec {
     /// What repeats of the request have in common.
-    pub fn content(&self) -> Content<'_> {
-        Content {
+    pub fn content(&self) -> RequestContent<'_> {
+        RequestContent {
             account: self.account.as_str(),
             host: self.service.as_str(),
             method: "generate",
--- a/crates/daemon/cloverpier_daemon/src/answers/run.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/run.rs
@@ -12,7 +12,7 @@
 use crate::error::{ApiError, Run};
 use cloverpier_answer::Source;
 use cloverpier_core::{UpstreamName, hash_of, lock};
-use cloverpier_crashes::{Admission, Loss};
+use cloverpier_crashes::{Admission, LossCause};
 use cloverpier_route::{Ask, Choice, Chosen};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -63,7 +63,7 @@
     let content = live.spec.content_key();
     loop {
         let Admitted { admission, turn } = crashes::admit(app, content).await;
-        if admission == Admission::Stopped {
+        if admission == Admission::Blocked {
             if let Some(unused) = next {
                 release(app, &unused);
             }
@@ -72,7 +72,7 @@
         let Some(chosen) = next.take() else {
             // That may take long: others need not wait for it, and it is admitted anew before it is sent.
             drop(turn);
-            match go_on_at(app, live, &tries, admission.apart(content)).await {
+            match go_on_at(app, live, &tries, admission.isolation_key(content)).await {
                 Ok(chosen) => next = Some(chosen),
                 Err(error) => return live.end(End::Failed(error), app.now()),
             }
@@ -180,7 +180,7 @@
     };
     let ran_for = app.now().saturating_duration_since(begun);
     crashes::on_lost(app, &live.spec.content(), upstream, loss, ran_for);
-    if loss == Loss::GivenUp {
+    if loss == LossCause::UpstreamSilent {
         cancel_given_up(app, live, upstream);
     }
 }
--- a/crates/daemon/cloverpier_daemon/src/crashes/hold.rs
+++ b/crates/daemon/cloverpier_daemon/src/crashes/hold.rs
@@ -4,7 +4,7 @@
 use super::turn::Turn;
 use crate::app::App;
 use cloverpier_core::lock;
-use cloverpier_crashes::lost_attempts::CONFIRM_WITHIN;
+use cloverpier_crashes::lost_attempts::CONFIRMATION_TIMEOUT;
 use cloverpier_crashes::prelude::*;
 use std::pin::pin;
 use std::time::Instant;
@@ -59,20 +59,20 @@
     let view = lock(&app.view);
     let mut cases = lock(&app.crashes.cases);
     let neighbours =
-        |end: &EndedUpstream| view.neighbours(&end.service, &end.data_centre, end.upstream);
+        |end: &UpstreamEvent| view.neighbours(&end.service, &end.data_centre, end.upstream);
     let hold = cases.hold(content, now, neighbours);
-    if let Some(until) = hold.until(since, since + CONFIRM_WITHIN, now) {
+    if let Some(until) = hold.until(since, since + CONFIRMATION_TIMEOUT, now) {
         return Look::WaitsUntil(until);
     }
     let admission = cases.admission(content, now, neighbours);
-    let takes_turn = admission != Admission::Stopped && !cases.is_empty();
+    let takes_turn = admission != Admission::Blocked && !cases.is_empty();
     let number = takes_turn.then(|| cases.on_admitted(content));
     Look::Goes { admission, number }
 }
 
 fn is_stopped(app: &App, content: ContentKey) -> bool {
     let cases = lock(&app.crashes.cases);
-    cases.book.verdict(content, app.now()) == Verdict::Stopped
+    cases.registry.status(content, app.now()) == ContentStatus::Blocked
 }
 
 /// Waits until a content is stopped while its attempt has no token yet.
--- a/crates/daemon/cloverpier_daemon/src/crashes/judgement.rs
+++ b/crates/daemon/cloverpier_daemon/src/crashes/judgement.rs
@@ -25,7 +25,7 @@
 struct CrashDismissed<'a> {
     content: String,
     upstream: &'a UpstreamName,
-    reason: Dismissal,
+    reason: DiscardReason,
 }
 
 /// The verdict on a content has changed.
@@ -37,7 +37,7 @@
 }
 
 /// Records that an upstream ran a request to its end.
-pub fn on_completed(app: &App, content: &Content<'_>) {
+pub fn on_completed(app: &App, content: &RequestContent<'_>) {
     let acquitted = lock(&app.crashes.cases).on_completed(content, app.now());
     if acquitted.is_some() {
         app.news.notify_one();
@@ -69,10 +69,10 @@
     let (judged, dismissed) = {
         let view = lock(&app.view);
         let mut cases = lock(&app.crashes.cases);
-        let judged = cases.judge(now, |end| {
+        let judged = cases.record_confirmed(now, |end| {
             view.neighbours(&end.service, &end.data_centre, end.upstream)
         });
-        (judged, cases.take_dismissed())
+        (judged, cases.take_discarded())
     };
     for dismissed in &dismissed {
         log_dismissed(app, dismissed);
@@ -94,12 +94,12 @@
 
 /// The name of the upstream that an attempt was at.
 fn upstream_name(app: &App, attempt: &LostAttempt) -> UpstreamName {
-    let name = lock(&app.view).by_hash(attempt.end.upstream);
+    let name = lock(&app.view).by_hash(attempt.crash_id.upstream);
     // It may have left the configuration meanwhile.
     name.unwrap_or_else(|| UpstreamName::new("forgotten"))
 }
 
-fn log_dismissed(app: &App, dismissed: &Dismissed) {
+fn log_dismissed(app: &App, dismissed: &DiscardedAttempt) {
     let line = CrashDismissed {
         content: dismissed.attempt.content.to_string(),
         upstream: &upstream_name(app, &dismissed.attempt),
@@ -109,13 +109,13 @@
     app.log.info("crash.dismissed", &line);
 }
 
-fn log_crash(app: &App, judged: &Judged) {
+fn log_crash(app: &App, judged: &ConfirmedCrash) {
     let name = upstream_name(app, &judged.attempt);
     let line = CrashRecorded {
         content: judged.attempt.content.to_string(),
         upstream: &name,
-        ran_well: judged.attempt.ran_well,
-        ends: judged.ends,
+        ran_well: judged.attempt.has_completed,
+        ends: judged.crash_count,
         evidence: judged.evidence,
     };
     app.metrics.count("crash.recorded", 1);
@@ -124,7 +124,7 @@
 
 /// Takes what a peer knows; passes on what was not known.
 pub fn merge(app: &App, reports: &[ContentReport], from: &str) {
-    let changed = lock(&app.crashes.cases).book.merge(reports, app.now());
+    let changed = lock(&app.crashes.cases).registry.merge(reports, app.now());
     if changed.is_empty() {
         return;
     }
@@ -136,16 +136,16 @@
 fn apply_verdicts(app: &App, from: &str) {
     let now = app.now();
     let mut cases = lock(&app.crashes.cases);
-    let changed = cases.book.changed_stops(now);
+    let changed = cases.registry.take_block_changes(now);
     let verdicts = |contents: &[ContentKey]| -> Vec<VerdictChanged<'_>> {
         let verdicts = contents.iter().map(|content| VerdictChanged {
             content: content.to_string(),
-            ends: cases.book.crashes(*content, now),
+            ends: cases.registry.crash_count(*content, now),
             from,
         });
         verdicts.collect()
     };
-    let (stopped, cleared) = (verdicts(&changed.stopped), verdicts(&changed.lifted));
+    let (stopped, cleared) = (verdicts(&changed.blocked), verdicts(&changed.unblocked));
     drop(cases);
     for verdict in stopped {
         app.metrics.count("content.stopped", 1);
--- a/crates/daemon/cloverpier_daemon/src/crashes/record.rs
+++ b/crates/daemon/cloverpier_daemon/src/crashes/record.rs
@@ -22,9 +22,9 @@
 /// about to leave says nothing: it ends by itself.
 pub fn on_lost(
     app: &Arc<App>,
-    content: &Content<'_>,
+    content: &RequestContent<'_>,
     upstream: &UpstreamName,
-    loss: Loss,
+    loss: LossCause,
     ran_for: Duration,
 ) {
     let view = lock(&app.view);
@@ -36,22 +36,22 @@
     let attempt = LostAttempt {
         content: ContentKey::of(content),
         loss,
-        ran_well: false,
-        end: UpstreamEnd {
+        has_completed: false,
+        crash_id: CrashId {
             upstream: hash_of(upstream.as_str()),
-            start: wall_ms(),
+            time_ms: wall_ms(),
         },
         upstream: ended_upstream(upstream, &known, app.now()),
         ran_for,
     };
-    let change = |cases: &mut CrashCases| cases.on_lost(content, attempt);
+    let change = |cases: &mut CrashTracker| cases.on_lost(content, attempt);
     app.crashes.change(change);
     let (app, upstream) = (Arc::clone(app), upstream.clone());
     tokio::spawn(async move { probe(&app, &upstream, &known).await });
 }
 
-fn ended_upstream(name: &UpstreamName, upstream: &Upstream, at: Instant) -> EndedUpstream {
-    EndedUpstream {
+fn ended_upstream(name: &UpstreamName, upstream: &Upstream, at: Instant) -> UpstreamEvent {
+    UpstreamEvent {
         upstream: hash_of(name.as_str()),
         service: upstream.service.clone(),
         data_centre: upstream.data_centre.clone(),
@@ -66,20 +66,20 @@
     let now = app.now();
     let ended = ended_upstream(name, upstream, now);
     app.crashes.change(|cases| match host {
-        Host::HasProcess => cases.on_alive(SignOfLife {
+        Host::HasProcess => cases.on_response(UpstreamResponse {
             upstream: ended.upstream,
-            asked,
-            answered: now,
+            sent_at: asked,
+            received_at: now,
         }),
-        Host::HasNone => cases.on_end(ended),
+        Host::HasNone => cases.on_process_gone(ended),
         // It proves nothing; the host is asked again.
-        Host::Silent => cases.on_death(ended, now),
+        Host::Silent => cases.on_suspected_failure(ended, now),
     });
 }
 
 /// Asks the hosts again of which nothing was learned.
 pub(super) fn probe_unclear(app: &Arc<App>) {
-    let unclear = lock(&app.crashes.cases).unclear(app.now());
+    let unclear = lock(&app.crashes.cases).upstreams_to_probe(app.now());
     for broken in unclear {
         let view = lock(&app.view);
         let name = view.by_hash(broken.upstream);
--- a/crates/daemon/cloverpier_daemon/src/crashes/state.rs
+++ b/crates/daemon/cloverpier_daemon/src/crashes/state.rs
@@ -15,7 +15,7 @@
 /// What this router knows of requests that end upstreams.
 #[derive(Debug)]
 pub struct Crashes {
-    pub(super) cases: Mutex<CrashCases>,
+    pub(super) cases: Mutex<CrashTracker>,
     /// Wakes the loop that judges, and requests that wait for a judgement or a call back.
     pub(super) changed: Notify,
     /// Wakes requests that wait for another's attempt. Apart from the above, as attempts begin and end
@@ -26,9 +26,9 @@
 impl Crashes {
     /// Knows of no end yet.
     pub fn new(settings: &CrashSettings) -> Self {
-        let mut cases = CrashCases::new(settings.limit, EndsBy::TimeOfDay);
+        let mut cases = CrashTracker::new(settings.limit, CrashTimestamp::ObservedCrash);
         let cleared = settings.cleared.clone();
-        cases.book.set_bounds(settings.limit, cleared);
+        cases.registry.configure(settings.limit, cleared);
         Self {
             cases: Mutex::new(cases),
             changed: Notify::new(),
@@ -37,7 +37,7 @@
     }
 
     /// Changes the cases and wakes whoever waits for a judgement.
-    pub(super) fn change(&self, change: impl FnOnce(&mut CrashCases)) {
+    pub(super) fn change(&self, change: impl FnOnce(&mut CrashTracker)) {
         change(&mut lock(&self.cases));
         self.changed.notify_waiters();
     }
@@ -45,8 +45,8 @@
     /// What is reported to peers.
     pub fn reports(&self, now: Instant) -> Vec<ContentReport> {
         let cases = lock(&self.cases);
-        let told = cases.book.with_evidence(MIN_TOLD, now);
-        cases.book.reports(&told, now)
+        let told = cases.registry.contents_with_evidence(MIN_TOLD, now);
+        cases.registry.reports(&told, now)
     }
 
     /// A digest that differs where what is reported to peers does, but for what was around ends; 0 for
@@ -58,7 +58,7 @@
         }
         reports.sort_by_key(|report| report.content);
         let parts = reports.iter().map(|report| {
-            let excused = report.crashes.iter().filter(|crash| crash.excused);
+            let excused = report.crashes.iter().filter(|crash| crash.is_disregarded);
             let (ends, excused) = (report.crashes.len(), excused.count());
             format!("{}/{ends}/{excused}", report.content)
         });
--- a/crates/daemon/cloverpier_daemon/src/crashes/turn.rs
+++ b/crates/daemon/cloverpier_daemon/src/crashes/turn.rs
@@ -35,7 +35,7 @@
 impl Drop for Turn<'_> {
     fn drop(&mut self) {
         let crashes = &self.app.crashes;
-        lock(&crashes.cases).on_over(self.content, self.number);
+        lock(&crashes.cases).on_finished(self.content, self.number);
         crashes.turns.notify_waiters();
     }
 }
--- a/crates/daemon/cloverpier_daemon/src/plain.rs
+++ b/crates/daemon/cloverpier_daemon/src/plain.rs
@@ -11,7 +11,7 @@
 use crate::statements;
 use cloverpier_config::Repeatable;
 use cloverpier_core::{RequestKey, ServiceName, UpstreamName, hash_of, lock};
-use cloverpier_crashes::{Admission, Content, ContentKey, Loss};
+use cloverpier_crashes::{Admission, ContentKey, LossCause, RequestContent};
 use cloverpier_record::{Outcome, Record, Refusal, StoredAnswer};
 use cloverpier_route::{Ask, Choice, Chosen};
 use cloverpier_upstream::{PlainAnswer, PlainCall, PlainError, UpstreamStatement, call_plain};
@@ -62,8 +62,12 @@
 }
 
 /// Whose call it is and of what, as its repeats have it in common.
-fn content<'a>(service: &'a ServiceName, key: &'a RequestKey, req: &'a PlainCall) -> Content<'a> {
-    Content {
+fn content<'a>(
+    service: &'a ServiceName,
+    key: &'a RequestKey,
+    req: &'a PlainCall,
+) -> RequestContent<'a> {
+    RequestContent {
         account: key.account(),
         host: service.as_str(),
         method: req.method.as_str(),
@@ -88,11 +92,11 @@
     failed: &[UpstreamName],
 ) -> Result<Placed<'a>, ApiError> {
     let Admitted { admission, turn } = crashes::admit(app, content).await;
-    if admission == Admission::Stopped {
+    if admission == Admission::Blocked {
         return Err(crashes::stopped(Run::NotRun));
     }
     let mut ask = Ask::new(service.clone());
-    ask.apart = admission.apart(content);
+    ask.apart = admission.isolation_key(content);
     ask.failed = failed.to_vec();
     // Lookups are over at once: they never wait in line.
     ask.overcommit = true;
@@ -109,7 +113,7 @@
 
 async fn try_at(
     app: &Arc<App>,
-    content: &Content<'_>,
+    content: &RequestContent<'_>,
     chosen: &Chosen,
     req: &PlainCall,
 ) -> Result<PlainAnswer, PlainError> {
@@ -126,7 +130,13 @@
             lock(&app.view).on_failure(&chosen.upstream, app.now());
             if error.may_be_end_of_upstream() {
                 let ran_for = app.now().saturating_duration_since(begun);
-                crashes::on_lost(app, content, &chosen.upstream, Loss::Broke, ran_for);
+                crashes::on_lost(
+                    app,
+                    content,
+                    &chosen.upstream,
+                    LossCause::ConnectionBroken,
+                    ran_for,
+                );
             }
         }
     }
--- a/crates/daemon/cloverpier_daemon/src/web/completions.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/completions.rs
@@ -147,10 +147,10 @@
     let content = spec.content_key();
     // Each attempt takes its own turn.
     let Admitted { admission, turn: _ } = crashes::admit(app, content).await;
-    if admission == Admission::Stopped {
+    if admission == Admission::Blocked {
         return Err(crashes::stopped(Run::NotRun));
     }
-    let chosen = admit(app, caller, ask, admission.apart(content)).await?;
+    let chosen = admit(app, caller, ask, admission.isolation_key(content)).await?;
     if !spec.repeatable
         && let Err(refusal) = claims::claim(app, &keyed.key, ask.body).await
     {
--- a/crates/daemon/cloverpier_peer/tests/wire.rs
+++ b/crates/daemon/cloverpier_peer/tests/wire.rs
@@ -286,18 +286,18 @@
 
 fn crash_reports() -> Vec<ContentReport> {
     let crash = ReportedCrash {
-        end: UpstreamEnd {
+        id: CrashId {
             upstream: 21,
-            start: 1_790_000_000_000,
+            time_ms: 1_790_000_000_000,
         },
         age_ms: 1_900,
         ran_ms: 70,
-        surroundings: Surroundings {
-            in_service: 23,
-            in_data_centre: 5,
-            ended: EndedBeside::of([(91, false)]),
+        context: CrashContext {
+            others_in_service: 23,
+            others_in_data_centre: 5,
+            concurrent_failures: ConcurrentFailures::of([(91, false)]),
         },
-        excused: true,
+        is_disregarded: true,
     };
     vec![ContentReport {
         content: ContentKey::parse("0102030405060708090a0b0c0d0e0f10").unwrap(),
--- a/crates/daemon/cloverpier_route/src/view.rs
+++ b/crates/daemon/cloverpier_route/src/view.rs
@@ -6,7 +6,7 @@
 use crate::marks::{LeaveMark, LeaveMarks};
 use cloverpier_config::{Config, Upstream, UpstreamState};
 use cloverpier_core::{DataCentre, ServiceName, UpstreamName, VmName, Wait, hash_of, rank};
-use cloverpier_crashes::Neighbours;
+use cloverpier_crashes::NeighbourCounts;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
@@ -232,11 +232,11 @@
         service: &ServiceName,
         data_centre: &DataCentre,
         but: u64,
-    ) -> Neighbours {
+    ) -> NeighbourCounts {
         let names = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
         let others = names.iter().filter(|name| hash_of(name.as_str()) != but);
         let others = others.filter_map(|name| self.known.get(name));
-        let mut neighbours = Neighbours::default();
+        let mut neighbours = NeighbourCounts::default();
         for other in others {
             neighbours.in_service += 1;
             neighbours.in_data_centre += u32::from(other.upstream.data_centre == *data_centre);
--- a/crates/router/cloverpier_router/src/crashes/abandoned.rs
+++ b/crates/router/cloverpier_router/src/crashes/abandoned.rs
@@ -6,7 +6,7 @@
 use super::record;
 use crate::relay_request::RelayRequest;
 use crate::router::Router;
-use cloverpier_crashes::Loss;
+use cloverpier_crashes::LossCause;
 use cloverpier_router_policy::prelude::Upstream;
 use std::rc::Rc;
 use std::time::Instant;
@@ -53,7 +53,7 @@
                 begun,
             } = attempt;
             let ran_for = router.now().saturating_duration_since(begun);
-            record::on_lost(&router, &request, &upstream, Loss::Abandoned, ran_for);
+            record::on_lost(&router, &request, &upstream, LossCause::Abandoned, ran_for);
         }
     }
 }
--- a/crates/router/cloverpier_router/src/crashes/hold.rs
+++ b/crates/router/cloverpier_router/src/crashes/hold.rs
@@ -22,7 +22,7 @@
 impl Admitted {
     /// Of a request before its first admission.
     pub const NEW: Self = Self {
-        admission: Admission::Beside,
+        admission: Admission::Normal,
         turn: None,
     };
 
@@ -37,12 +37,12 @@
             .get_or_insert_with(|| Turn::begin(router, request));
         let cases = router.crashes.cases.borrow();
         let (content, now) = (request.content(), router.now());
-        let neighbours = |end: &EndedUpstream| neighbours(router, end);
+        let neighbours = |end: &UpstreamEvent| neighbours(router, end);
         let hold = cases.hold_admitted(content, turn.number, now, neighbours);
         let has_to_wait = hold.until(now, request.deadline, now).is_some();
         // One that waits briefly may have done so.
         let is_held = has_to_wait && hold != Hold::Briefly;
-        !is_held && cases.book.verdict(content, now) != Verdict::Stopped
+        !is_held && cases.registry.status(content, now) != ContentStatus::Blocked
     }
 
     /// Records that the attempt is sent.
@@ -70,9 +70,9 @@
         }
     }
     let now = router.now();
-    let neighbours = |end: &EndedUpstream| neighbours(router, end);
+    let neighbours = |end: &UpstreamEvent| neighbours(router, end);
     let admission = crashes.cases.borrow().admission(content, now, neighbours);
-    let turn = (admission != Admission::Stopped).then(|| Turn::begin(router, request));
+    let turn = (admission != Admission::Blocked).then(|| Turn::begin(router, request));
     if is_held {
         log_hold(
             router,
@@ -99,7 +99,12 @@
     let line = RequestHeld {
         request: &request.id,
         content: content.to_string(),
-        ends: router.crashes.cases.borrow().book.crashes(content, now),
+        ends: router
+            .crashes
+            .cases
+            .borrow()
+            .registry
+            .crash_count(content, now),
         held_ms: ms(held),
         admission,
     };
--- a/crates/router/cloverpier_router/src/crashes/judgement.rs
+++ b/crates/router/cloverpier_router/src/crashes/judgement.rs
@@ -37,7 +37,7 @@
 
 /// Probes the upstreams that are unclear.
 fn clear_up(router: &Rc<Router>, now: Instant) {
-    let unclear = router.crashes.cases.borrow_mut().unclear(now);
+    let unclear = router.crashes.cases.borrow_mut().upstreams_to_probe(now);
     for broken in unclear {
         let table = router.upstreams.borrow();
         let state = table.by_key(UpstreamKey(broken.upstream));
@@ -53,7 +53,7 @@
 
 fn judge_due(router: &Router, now: Instant) {
     let mut cases = router.crashes.cases.borrow_mut();
-    let judged = cases.judge(now, |end| neighbours(router, end));
+    let judged = cases.record_confirmed(now, |end| neighbours(router, end));
     drop(cases);
     if judged.is_empty() {
         return;
@@ -61,7 +61,7 @@
     for judged in &judged {
         log_crash(router, judged, now);
     }
-    let told = judged.iter().filter(|j| is_told(&j.surroundings, j.ends));
+    let told = judged.iter().filter(|j| is_told(&j.context, j.crash_count));
     let told: Vec<ContentKey> = told.map(|judged| judged.attempt.content).collect();
     reports::send_to_all(router, &told, now);
     apply_verdicts(router, "this router", now);
@@ -80,19 +80,19 @@
     }
 }
 
-fn log_crash(router: &Router, judged: &Judged, now: Instant) {
+fn log_crash(router: &Router, judged: &ConfirmedCrash, now: Instant) {
     let attempt = &judged.attempt;
-    let ended_beside = match &judged.surroundings.ended {
-        EndedBeside::Few(ended) => Some(ended.len()),
-        EndedBeside::Many => None,
+    let ended_beside = match &judged.context.concurrent_failures {
+        ConcurrentFailures::Few(ended) => Some(ended.len()),
+        ConcurrentFailures::Many => None,
     };
     let line = CrashRecorded {
         content: attempt.content.to_string(),
-        upstream: upstream_name(router, attempt.end.upstream),
-        start_ms: attempt.end.start,
+        upstream: upstream_name(router, attempt.crash_id.upstream),
+        start_ms: attempt.crash_id.time_ms,
         ended_beside,
-        ran_well: attempt.ran_well,
-        ends: judged.ends,
+        ran_well: attempt.has_completed,
+        ends: judged.crash_count,
         evidence: judged.evidence,
         age_ms: ms_since(attempt.upstream.at, now),
     };
@@ -101,16 +101,16 @@
 }
 
 fn log_dismissed(router: &Router, now: Instant) {
-    let dismissed = router.crashes.cases.borrow_mut().take_dismissed();
+    let dismissed = router.crashes.cases.borrow_mut().take_discarded();
     if !dismissed.is_empty() {
         // Requests may wait for what is now known not to count.
         router.crashes.changed.notify_waiters();
     }
-    for Dismissed { attempt, reason } in dismissed {
+    for DiscardedAttempt { attempt, reason } in dismissed {
         let line = CrashDismissed {
             content: attempt.content.to_string(),
-            upstream: upstream_name(router, attempt.end.upstream),
-            start_ms: attempt.end.start,
+            upstream: upstream_name(router, attempt.crash_id.upstream),
+            start_ms: attempt.crash_id.time_ms,
             reason,
             age_ms: ms_since(attempt.upstream.at, now),
         };
@@ -120,10 +120,10 @@
 }
 
 /// The name of a dismissal, for metrics.
-fn dismissal_name(reason: Dismissal) -> &'static str {
+fn dismissal_name(reason: DiscardReason) -> &'static str {
     match reason {
-        Dismissal::Answered => "dismissed-answered",
-        Dismissal::Unclear => "dismissed-unclear",
-        Dismissal::NoRoom => "dismissed-no-room",
+        DiscardReason::Survived => "dismissed-answered",
+        DiscardReason::Unconfirmed => "dismissed-unclear",
+        DiscardReason::TableFull => "dismissed-no-room",
     }
 }
--- a/crates/router/cloverpier_router/src/crashes/neighbours.rs
+++ b/crates/router/cloverpier_router/src/crashes/neighbours.rs
@@ -8,11 +8,11 @@
 use cloverpier_router_policy::prelude::*;
 
 /// The upstreams that are listed beside one that ended.
-pub(super) fn neighbours(router: &Router, end: &EndedUpstream) -> Neighbours {
+pub(super) fn neighbours(router: &Router, end: &UpstreamEvent) -> NeighbourCounts {
     let table = router.upstreams.borrow();
     let of_service = table.of_service(&end.service).filter(|s| s.is_listed());
     let others = of_service.filter(|s| s.key.0 != end.upstream);
-    let mut neighbours = Neighbours::default();
+    let mut neighbours = NeighbourCounts::default();
     for other in others {
         neighbours.in_service += 1;
         neighbours.in_data_centre += u32::from(other.upstream.data_centre == end.data_centre);
--- a/crates/router/cloverpier_router/src/crashes/record.rs
+++ b/crates/router/cloverpier_router/src/crashes/record.rs
@@ -6,7 +6,7 @@
 use crate::relay_request::RelayRequest;
 use crate::router::Router;
 use cloverpier_crashes::prelude::*;
-use cloverpier_crashes::registry::UNKNOWN_START;
+use cloverpier_crashes::registry::UNKNOWN_START_TIME;
 use cloverpier_router_policy::prelude::*;
 use std::time::{Duration, Instant};
 
@@ -17,7 +17,7 @@
     router: &Router,
     request: &RelayRequest,
     upstream: &Upstream,
-    loss: Loss,
+    loss: LossCause,
     ran_for: Duration,
 ) {
     let now = router.now();
@@ -33,8 +33,8 @@
     let attempt = LostAttempt {
         content: request.content(),
         loss,
-        ran_well: false,
-        end: end_of(upstream),
+        has_completed: false,
+        crash_id: end_of(upstream),
         upstream: ended_upstream(upstream, now),
         ran_for,
     };
@@ -47,50 +47,52 @@
 /// Records that an upstream's host has no process at its address any more.
 pub(crate) fn on_end(router: &Router, upstream: &Upstream, now: Instant) {
     let ended = ended_upstream(upstream, now);
-    router.crashes.change(|cases| cases.on_end(ended));
+    router.crashes.change(|cases| cases.on_process_gone(ended));
 }
 
 /// Records that an upstream is dead as far as a peer knows, or by its silence since a moment.
 pub(crate) fn on_death(router: &Router, upstream: &Upstream, silent_since: Instant, now: Instant) {
     let died = ended_upstream(upstream, now);
-    let change = |cases: &mut CrashCases| cases.on_death(died, silent_since);
+    let change = |cases: &mut CrashTracker| cases.on_suspected_failure(died, silent_since);
     router.crashes.change(change);
 }
 
 /// Records that an upstream has ended some time ago, as another start answers in its place.
 pub(crate) fn on_former_start(router: &Router, upstream: &Upstream) {
     let former = ended_upstream(upstream, router.now());
-    router.crashes.change(|cases| cases.on_former_start(former));
+    router
+        .crashes
+        .change(|cases| cases.on_process_replaced(former));
 }
 
 /// Records that an upstream lives, which has answered a question that it was asked at a moment.
 pub(crate) fn on_alive(router: &Router, upstream: &Upstream, asked: Instant) {
-    let sign = SignOfLife {
+    let sign = UpstreamResponse {
         upstream: UpstreamKey::of(&upstream.name).0,
-        asked,
-        answered: router.now(),
+        sent_at: asked,
+        received_at: router.now(),
     };
-    router.crashes.change(|cases| cases.on_alive(sign));
+    router.crashes.change(|cases| cases.on_response(sign));
 }
 
 /// Records that an upstream has answered a request that was sent at a moment.
 pub(crate) fn on_answer(router: &Router, upstream: &Upstream, sent: Instant) {
     let key = UpstreamKey::of(&upstream.name);
-    if router.crashes.cases.borrow().has_open_at(key.0) {
+    if router.crashes.cases.borrow().has_unresolved_at(key.0) {
         on_alive(router, upstream, sent);
     }
 }
 
-fn end_of(upstream: &Upstream) -> UpstreamEnd {
-    UpstreamEnd {
+fn end_of(upstream: &Upstream) -> CrashId {
+    CrashId {
         upstream: UpstreamKey::of(&upstream.name).0,
         // Where an upstream does not say when it started, each start has a name of its own.
-        start: upstream.born_ms().unwrap_or(UNKNOWN_START),
+        time_ms: upstream.born_ms().unwrap_or(UNKNOWN_START_TIME),
     }
 }
 
-fn ended_upstream(upstream: &Upstream, at: Instant) -> EndedUpstream {
-    EndedUpstream {
+fn ended_upstream(upstream: &Upstream, at: Instant) -> UpstreamEvent {
+    UpstreamEvent {
         upstream: UpstreamKey::of(&upstream.name).0,
         service: upstream.service.clone(),
         data_centre: upstream.data_centre.clone(),
--- a/crates/router/cloverpier_router/src/crashes/reports.rs
+++ b/crates/router/cloverpier_router/src/crashes/reports.rs
@@ -17,7 +17,12 @@
 
 /// Tells all peers what is known of contents.
 pub(crate) fn send_to_all(router: &Router, contents: &[ContentKey], now: Instant) {
-    let reports = router.crashes.cases.borrow().book.reports(contents, now);
+    let reports = router
+        .crashes
+        .cases
+        .borrow()
+        .registry
+        .reports(contents, now);
     if !reports.is_empty() {
         router.crashes.last_report.set(Some(now));
         send(router, reports, &Recipients::All);
@@ -38,7 +43,7 @@
 
 /// Sends a peer that may have missed something what is known, where this router is one of those that do.
 pub(crate) fn greet_newcomer(router: &Router, peer: SocketAddr) {
-    if router.crashes.cases.borrow().book.is_empty() {
+    if router.crashes.cases.borrow().registry.is_empty() {
         return;
     }
     if sends_missed(router.peers.count(), &mut router.rng.borrow_mut()) {
@@ -58,7 +63,9 @@
 
 fn send_suspects(router: &Router, to: &Recipients, now: Instant) {
     let cases = router.crashes.cases.borrow();
-    let reports = cases.book.reports(&cases.book.suspects(now), now);
+    let reports = cases
+        .registry
+        .reports(&cases.registry.suspect_or_blocked(now), now);
     drop(cases);
     send(router, reports, to);
 }
@@ -77,7 +84,7 @@
 /// Takes a peer's report; what was new is passed on for a while, as far as it is suspect.
 pub(crate) fn on_reports(router: &Router, reports: CrashReports, now: Instant) {
     let mut cases = router.crashes.cases.borrow_mut();
-    let changed = cases.book.merge(&reports.contents, now);
+    let changed = cases.registry.merge(&reports.contents, now);
     drop(cases);
     if changed.is_empty() {
         return;
--- a/crates/router/cloverpier_router/src/crashes/state.rs
+++ b/crates/router/cloverpier_router/src/crashes/state.rs
@@ -12,7 +12,7 @@
 /// What this router knows of requests that end upstreams.
 #[derive(Debug)]
 pub(crate) struct Crashes {
-    pub cases: RefCell<CrashCases>,
+    pub cases: RefCell<CrashTracker>,
     /// Requests under way, and some that have ended.
     pub in_flight: RefCell<Vec<Weak<RelayRequest>>>,
     /// When something about a content was learned last that peers should know.
@@ -27,9 +27,9 @@
 impl Crashes {
     /// Knows of no end yet.
     pub fn new(settings: &CrashSettings) -> Self {
-        let mut cases = CrashCases::new(settings.limit, EndsBy::Start);
+        let mut cases = CrashTracker::new(settings.limit, CrashTimestamp::ProcessStart);
         let cleared = settings.cleared.clone();
-        cases.book.set_bounds(settings.limit, cleared);
+        cases.registry.configure(settings.limit, cleared);
         Self {
             cases: RefCell::new(cases),
             in_flight: RefCell::default(),
@@ -40,7 +40,7 @@
     }
 
     /// Changes the cases and wakes whoever waits for a judgement.
-    pub fn change(&self, change: impl FnOnce(&mut CrashCases)) {
+    pub fn change(&self, change: impl FnOnce(&mut CrashTracker)) {
         change(&mut self.cases.borrow_mut());
         self.changed.notify_waiters();
     }
--- a/crates/router/cloverpier_router/src/crashes/turn.rs
+++ b/crates/router/cloverpier_router/src/crashes/turn.rs
@@ -41,7 +41,7 @@
     fn drop(&mut self) {
         let crashes = &self.router.crashes;
         let mut cases = crashes.cases.borrow_mut();
-        cases.on_over(self.content, self.number);
+        cases.on_finished(self.content, self.number);
         crashes.turns.notify_waiters();
     }
 }
--- a/crates/router/cloverpier_router/src/crashes/verdicts.rs
+++ b/crates/router/cloverpier_router/src/crashes/verdicts.rs
@@ -15,7 +15,7 @@
     let settings = router.settings();
     let mut cases = router.crashes.cases.borrow_mut();
     let cleared = settings.crashes.cleared.clone();
-    cases.book.set_bounds(settings.crashes.limit, cleared);
+    cases.registry.configure(settings.crashes.limit, cleared);
     drop(cases);
     apply_verdicts(router, "settings", router.now());
 }
@@ -32,12 +32,17 @@
 
 /// Calls back requests whose content has come to be stopped, and logs what has changed.
 pub(crate) fn apply_verdicts(router: &Router, from: &str, now: Instant) {
-    let changed = router.crashes.cases.borrow_mut().book.changed_stops(now);
-    for content in &changed.stopped {
+    let changed = router
+        .crashes
+        .cases
+        .borrow_mut()
+        .registry
+        .take_block_changes(now);
+    for content in &changed.blocked {
         log_stop(router, *content, from, now);
         call_back(router, *content);
     }
-    for content in &changed.lifted {
+    for content in &changed.unblocked {
         router.metrics.crashes.count("cleared");
         let line = ContentCleared {
             content: content.to_string(),
@@ -45,7 +50,7 @@
         };
         router.log.info("content.cleared", &line);
     }
-    let stopped = router.crashes.cases.borrow().book.stopped(now).len();
+    let stopped = router.crashes.cases.borrow().registry.blocked(now).len();
     let stopped = i64::try_from(stopped).unwrap_or(i64::MAX);
     router.metrics.stopped_contents.set(stopped);
 }
@@ -60,10 +65,15 @@
 
 fn log_stop(router: &Router, content: ContentKey, from: &str, now: Instant) {
     router.metrics.crashes.count("stopped");
-    let reports = router.crashes.cases.borrow().book.reports(&[content], now);
+    let reports = router
+        .crashes
+        .cases
+        .borrow()
+        .registry
+        .reports(&[content], now);
     let ends = reports.iter().flat_map(|report| &report.crashes);
-    let ends = ends.filter(|end| !end.excused).map(|end| {
-        let upstream = upstream_name(router, end.end.upstream);
+    let ends = ends.filter(|end| !end.is_disregarded).map(|end| {
+        let upstream = upstream_name(router, end.id.upstream);
         format!("{upstream}, {} ms ago", end.age_ms)
     });
     let line = ContentStopped {
--- a/crates/router/cloverpier_router/src/decision_log/upstreams.rs
+++ b/crates/router/cloverpier_router/src/decision_log/upstreams.rs
@@ -2,7 +2,7 @@
 //!
 //! As the parent module says, the names of events and fields stay.
 
-use cloverpier_crashes::{Admission, Dismissal};
+use cloverpier_crashes::{Admission, DiscardReason};
 use serde::Serialize;
 
 /// An upstream ended while it ran a request, as this router saw.
@@ -33,7 +33,7 @@
     pub upstream: String,
     /// When it had started, as a Unix time in milliseconds; 0 where it does not say.
     pub start_ms: u64,
-    pub reason: Dismissal,
+    pub reason: DiscardReason,
     /// How long ago the attempt was lost.
     pub age_ms: u64,
 }
--- a/crates/router/cloverpier_router/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -99,7 +99,7 @@
     async fn run(&mut self) -> Result<Reply, GivenUp> {
         loop {
             let mut admitted = hold::admit(self.router, self.request).await;
-            if admitted.admission == Admission::Stopped {
+            if admitted.admission == Admission::Blocked {
                 return Err(GivenUp::stopped());
             }
             let found = self.request.stop.unless_set(self.find_upstream()).await;
--- a/crates/router/cloverpier_router/src/relay_request.rs
+++ b/crates/router/cloverpier_router/src/relay_request.rs
@@ -5,7 +5,7 @@
 use crate::stop_signal::StopSignal;
 use crate::wire_names::PromptSize;
 use bytes::Bytes;
-use cloverpier_crashes::{Content, ContentKey};
+use cloverpier_crashes::{ContentKey, RequestContent};
 use cloverpier_router_policy::permit::patience;
 use cloverpier_router_policy::prelude::*;
 use hyper::Method;
@@ -79,8 +79,8 @@
     }
 
     /// All that its repeats have in common with it.
-    pub fn repeated_part(&self) -> Content<'_> {
-        Content {
+    pub fn repeated_part(&self) -> RequestContent<'_> {
+        RequestContent {
             // A request without an account has nobody's name.
             account: self.account.as_ref().map_or("", |account| &account.name),
             host: &self.host,
--- a/crates/router/cloverpier_router/src/stream/mod.rs
+++ b/crates/router/cloverpier_router/src/stream/mod.rs
@@ -29,7 +29,7 @@
 use crate::router::Router;
 use bytes::Bytes;
 use cloverpier_core::{UpstreamName, jitter};
-use cloverpier_crashes::Loss;
+use cloverpier_crashes::LossCause;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::replica::Replica;
 use futures_util::StreamExt;
@@ -298,7 +298,7 @@
     fn note_loss(&self, upstream: &Upstream, failure: &AttemptFailure) {
         let has_events = self.source.as_ref().is_some_and(|source| source.has_events);
         let loss = failure.loss();
-        let loss = loss.filter(|loss| *loss != Loss::Abandoned || !has_events);
+        let loss = loss.filter(|loss| *loss != LossCause::Abandoned || !has_events);
         if let Some(loss) = loss {
             let (router, request) = (&self.router, &self.request);
             let ran_for = router.now().saturating_duration_since(self.attempt_begun);
--- a/crates/router/cloverpier_router/src/stream/open.rs
+++ b/crates/router/cloverpier_router/src/stream/open.rs
@@ -27,7 +27,7 @@
             // The turn of the run that was lost is over.
             self.admitted = Admitted::NEW;
             self.admitted = hold::admit(&self.router, &self.request).await;
-            if self.admitted.admission == Admission::Stopped {
+            if self.admitted.admission == Admission::Blocked {
                 return Err(GivenUp::stopped());
             }
             let request = Rc::clone(&self.request);
--- a/crates/router/cloverpier_router/src/stream/pick.rs
+++ b/crates/router/cloverpier_router/src/stream/pick.rs
@@ -147,7 +147,10 @@
             is_continuation: self.request.last_event.is_some(),
             tried: &self.tried,
             connected: &around.connected,
-            apart: self.admitted.admission.apart(self.request.content()),
+            apart: self
+                .admitted
+                .admission
+                .isolation_key(self.request.content()),
             overcommit: self.is_resuming(),
             reported,
             versions: &around.versions,
@@ -220,7 +223,7 @@
 
     /// Whether the request may be what ends upstreams, so that it is kept apart from others.
     fn is_apart(&self) -> bool {
-        self.admitted.admission == Admission::Apart
+        self.admitted.admission == Admission::Isolated
     }
 
     /// Whether the next run keeps a replica of its KV cache.
--- a/crates/router/cloverpier_router/tests/peer_messages.rs
+++ b/crates/router/cloverpier_router/tests/peer_messages.rs
@@ -241,30 +241,30 @@
 
 #[test]
 fn what_is_known_of_crashing_contents_keeps_its_bytes() {
-    let end = |upstream, start| UpstreamEnd { upstream, start };
+    let crash_id = |upstream, time_ms| CrashId { upstream, time_ms };
     let few = [(91, false), (92, true)];
     let crashes = vec![
         ReportedCrash {
-            end: end(21, 1_790_000_000_000),
+            id: crash_id(21, 1_790_000_000_000),
             age_ms: 1_900,
             ran_ms: 70,
-            surroundings: Surroundings {
-                in_service: 23,
-                in_data_centre: 5,
-                ended: EndedBeside::of(few),
+            context: CrashContext {
+                others_in_service: 23,
+                others_in_data_centre: 5,
+                concurrent_failures: ConcurrentFailures::of(few),
             },
-            excused: false,
+            is_disregarded: false,
         },
         ReportedCrash {
-            end: end(22, 0),
+            id: crash_id(22, 0),
             age_ms: 3_000_000,
             ran_ms: 80_000,
-            surroundings: Surroundings {
-                in_service: 279,
-                in_data_centre: 69,
-                ended: EndedBeside::Many,
+            context: CrashContext {
+                others_in_service: 279,
+                others_in_data_centre: 69,
+                concurrent_failures: ConcurrentFailures::Many,
             },
-            excused: true,
+            is_disregarded: true,
         },
     ];
     let content = ContentKey::parse("0102030405060708090a0b0c0d0e0f10").unwrap();
--- a/crates/router/cloverpier_router_policy/src/attempt_failure.rs
+++ b/crates/router/cloverpier_router_policy/src/attempt_failure.rs
@@ -15,7 +15,7 @@
 //! [`io::ErrorKind`]. Relies on nothing but the values passed in.
 
 use crate::attempts::AttemptOutcome;
-use cloverpier_crashes::Loss;
+use cloverpier_crashes::LossCause;
 use std::fmt;
 use std::io;
 
@@ -151,15 +151,17 @@
 
     /// How the attempt was lost, where the upstream may have ended while it had the request, or may
     /// yet by it: the connection broke after the request was sent, or the upstream was found dead.
-    pub fn loss(&self) -> Option<Loss> {
+    pub fn loss(&self) -> Option<LossCause> {
         match self {
-            Self::SendBroke { was_unsent, .. } => (!was_unsent).then_some(Loss::Broke),
+            Self::SendBroke { was_unsent, .. } => {
+                (!was_unsent).then_some(LossCause::ConnectionBroken)
+            }
             Self::AnswerBroke { .. }
             | Self::FailureBroke { .. }
             | Self::StreamBroke { .. }
-            | Self::EndedInsideEvent => Some(Loss::Broke),
-            Self::UpstreamDead => Some(Loss::GivenUp),
-            Self::Stalled | Self::LateSent => Some(Loss::Abandoned),
+            | Self::EndedInsideEvent => Some(LossCause::ConnectionBroken),
+            Self::UpstreamDead => Some(LossCause::UpstreamSilent),
+            Self::Stalled | Self::LateSent => Some(LossCause::Abandoned),
             _ => None,
         }
     }
--- a/crates/router/cloverpier_router_policy/src/crash_reports.rs
+++ b/crates/router/cloverpier_router_policy/src/crash_reports.rs
@@ -11,7 +11,7 @@
 //! Who is sent them again is decided in [`crate::dissemination`]; which ends count, and what is done with a
 //! content, in `cloverpier_crashes`. Owns nothing.
 
-use cloverpier_crashes::{ContentReport, Surroundings};
+use cloverpier_crashes::{ContentReport, CrashContext};
 
 /// Ends of less weight, in thousandths, are not reported: three of five others in a data centre have
 /// ended beside it, so that two that one request ended at once are reported.
@@ -22,7 +22,7 @@
 
 /// Whether an end is reported to peers, which is one of `ends` that are known of its content. What else
 /// ended beside it explains the first; the others may be the content's own.
-pub fn is_told(surroundings: &Surroundings, ends: usize) -> bool {
+pub fn is_told(surroundings: &CrashContext, ends: usize) -> bool {
     let weight = surroundings.weight(|_| None);
     ends > 1 || weight.thousandths() >= MIN_REPORTED_WEIGHT
 }
--- a/crates/router/cloverpier_router_policy/tests/crash_reports.rs
+++ b/crates/router/cloverpier_router_policy/tests/crash_reports.rs
@@ -10,11 +10,11 @@
 use std::time::{Duration, Instant};
 
 /// An end in a data centre of six upstreams of 24, of which so many ended beside it.
-fn around(ended: u64) -> Surroundings {
-    Surroundings {
-        in_service: 23,
-        in_data_centre: 5,
-        ended: EndedBeside::of((0..ended).map(|upstream| (upstream, true))),
+fn around(ended: u64) -> CrashContext {
+    CrashContext {
+        others_in_service: 23,
+        others_in_data_centre: 5,
+        concurrent_failures: ConcurrentFailures::of((0..ended).map(|upstream| (upstream, true))),
     }
 }
 
@@ -82,7 +82,7 @@
 
 /// The content of a request, and as many ends as are kept of one.
 fn largest_report(name: &str) -> ContentReport {
-    let content = ContentKey::of(&Content {
+    let content = ContentKey::of(&RequestContent {
         account: "lab",
         host: "api.example",
         method: "POST",
@@ -90,18 +90,18 @@
         body: b"",
     });
     let crash = |upstream: u64| ReportedCrash {
-        end: UpstreamEnd {
+        id: CrashId {
             upstream: u64::MAX - upstream,
-            start: 1_790_000_000_000,
+            time_ms: 1_790_000_000_000,
         },
         age_ms: u32::MAX,
         ran_ms: u32::MAX,
-        surroundings: Surroundings {
-            in_service: u32::MAX,
-            in_data_centre: u32::MAX,
-            ended: EndedBeside::of((0..12).map(|n| (u64::MAX - n, true))),
+        context: CrashContext {
+            others_in_service: u32::MAX,
+            others_in_data_centre: u32::MAX,
+            concurrent_failures: ConcurrentFailures::of((0..12).map(|n| (u64::MAX - n, true))),
         },
-        excused: true,
+        is_disregarded: true,
     };
     ContentReport {
         content,
--- a/crates/shared/cloverpier_crashes/src/content.rs
+++ b/crates/shared/cloverpier_crashes/src/content.rs
@@ -1,76 +1,76 @@
-//! Which requests are the same, whoever repeats them.
+//! Identity of a request's content, to recognize repeats of a request.
 //!
-//! - **Question.** Is this request one that came before, though it has another id, came to another
-//!   router or is a later attempt?
-//! - **Inputs.** What a repeat has in common with it: client account, host, method, path with its
-//!   query, and body. Headers differ between repeats (the id, the time left, the last event that the
-//!   caller has), so they are left out.
-//! - **Answer.** A [`ContentKey`], equal for the same request.
-//! - **Why a cryptographic digest.** Requests are turned away by it. With a hash that can be steered,
-//!   a caller could make a body that meets another caller's key.
+//! A repeat may have another request id, arrive at another router or be a later attempt of a router. Two
+//! requests are repeats of each other if they have the same [`ContentKey`], computed from client account, host,
+//! method, path with query, and body. The headers are left out, as they differ between repeats: the request id,
+//! the remaining time, the last event that the caller has received.
 //!
-//! Owns nothing.
+//! The key is a cryptographic digest because requests are refused by it: with a hash whose collisions can be
+//! constructed, a caller could send a body that blocks another caller's request.
+//!
+//! This module owns no state.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// What repeats of a request have in common.
+/// The parts of a request that are the same in each of its repeats: retries by a router and repeats by the
+/// caller.
 #[derive(Clone, Copy, Debug)]
-pub struct Content<'a> {
-    /// The client account; empty for a request without one.
+pub struct RequestContent<'a> {
+    /// The client account; empty for a request without an account.
     pub account: &'a str,
-    /// The host that it names.
+    /// The host that the request is addressed to.
     pub host: &'a str,
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// Path and query.
+    /// The path with the query.
     pub target: &'a str,
-    /// The whole body.
+    /// The complete request body.
     pub body: &'a [u8],
 }
 
-impl Content<'_> {
-    /// All of it but the body.
+impl RequestContent<'_> {
+    /// All fields except the body.
     pub(crate) fn head(&self) -> [&str; 4] {
         [self.account, self.host, self.method, self.target]
     }
 }
 
-/// The first 16 bytes of a SHA-256 digest of a request's content.
+/// The first 16 bytes of the SHA-256 digest of a [`RequestContent`]: the same for all repeats of a request.
 ///
-/// Travels between routers as two numbers.
+/// Serialized, between routers, as two 64-bit numbers.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ContentKey(u64, u64);
 
 impl ContentKey {
-    /// The key of a request.
-    pub fn of(content: &Content<'_>) -> Self {
+    /// Computes the key of a request content.
+    pub fn of(content: &RequestContent<'_>) -> Self {
         let mut hasher = Sha256::new();
-        for part in content.head() {
-            // With its length before it, no part can pass for the end of another.
-            hasher.update((part.len() as u64).to_be_bytes());
-            hasher.update(part);
+        for field in content.head() {
+            // The length prefix keeps different splits of the same bytes into fields from having one digest.
+            hasher.update((field.len() as u64).to_be_bytes());
+            hasher.update(field);
         }
         hasher.update(content.body);
         let digest: [u8; 32] = hasher.finalize().into();
-        let number = |at: usize| {
-            let bytes = digest[at..at + 8].iter();
+        let number = |offset: usize| {
+            let bytes = digest[offset..offset + 8].iter();
             bytes.fold(0, |number, byte| number << 8 | u64::from(*byte))
         };
         Self(number(0), number(8))
     }
 
-    /// Reads the key from the hexadecimal form that `Display` writes; `None` for other text.
+    /// Parses the 32 hexadecimal digits that `Display` writes; `None` for any other text.
     pub fn parse(text: &str) -> Option<Self> {
         let is_key = text.len() == 32 && text.bytes().all(|b| b.is_ascii_hexdigit());
         let (high, low) = is_key.then(|| text.split_at(16))?;
-        let number = |part| u64::from_str_radix(part, 16).ok();
+        let number = |digits| u64::from_str_radix(digits, 16).ok();
         Some(Self(number(high)?, number(low)?))
     }
 
-    /// A number that is the same for the same content, to spread contents by.
-    pub fn spread(self) -> u64 {
+    /// A 64-bit hash for the choice of an upstream: different request contents prefer different upstreams.
+    pub fn placement_hash(self) -> u64 {
         self.0
     }
 }
--- a/crates/shared/cloverpier_crashes/src/lib.rs
+++ b/crates/shared/cloverpier_crashes/src/lib.rs
@@ -1,28 +1,30 @@
-//! What requests do to the upstreams that run them, by what the requests contain.
+//! Detection of requests that crash the upstreams that execute them.
 //!
-//! A request may end each upstream that begins to run it, and it comes again: as a retry of a
-//! router, as a repeat of its caller, at any router. Nothing but its content is the same then. So
-//! routers count, by content, the upstreams that ended while they ran it, inform each other, and send
-//! a content to no further upstream once it has ended too many.
+//! A request may crash each upstream that starts to execute it, and it is sent again: a router retries it, or the
+//! caller repeats it at any router. The repeats have only their content in common. So routers count upstream crashes
+//! by request content, exchange the crashes with their peers, and send a content to no further upstream once it has
+//! crashed too many.
 //!
-//! Both programs use it: everything here is a function or a small state machine over plain data and
-//! knows neither sockets nor a clock. In the order in which a lost attempt meets them:
+//! Both kinds of router use the crate. It consists of functions and small state machines over plain data, without
+//! sockets or a clock: the caller passes the events and the present time. The modules, in the order in which a lost
+//! attempt passes through them:
 //!
-//! | question | module |
+//! | task | module |
 //! | --- | --- |
-//! | which requests are the same | [`content`] |
-//! | did the upstream end under a lost attempt | [`lost_attempts`] |
-//! | which upstreams ended recently | [`recent_failures`] |
-//! | did the content run well a moment ago | [`recent_completions`] |
-//! | how much does an end say against the request that ran there | [`weight`] |
-//! | all of these together, as a router sees them | [`tracker`] |
-//! | what is known against a content; is it stopped; what do peers get of it | [`registry`] |
+//! | recognize repeats of a request | [`content`] |
+//! | find out whether the upstream of a lost attempt crashed | [`lost_attempts`] |
+//! | keep the upstreams that failed recently | [`recent_failures`] |
+//! | keep the contents that completed recently | [`recent_completions`] |
+//! | weight a crash as evidence against the request | [`weight`] |
+//! | count the attempts that may still crash their upstreams | [`in_flight`] |
+//! | keep the crashes by content, block contents, report to peers | [`registry`] |
+//! | combine all of these for one router | [`tracker`] |
 //!
 //! ```
 //! use cloverpier_crashes::prelude::*;
 //! use std::time::{Duration, Instant};
 //!
-//! let content = ContentKey::of(&Content {
+//! let content = ContentKey::of(&RequestContent {
 //!     account: "lab",
 //!     host: "api.example",
 //!     method: "POST",
@@ -30,13 +32,18 @@
 //!     body: b"log",
 //! });
 //! let now = Instant::now();
-//! let mut book = CrashBook::new(CrashLimit(3), EndsBy::Start);
+//! let mut registry = CrashRegistry::new(CrashLimit(3), CrashTimestamp::ProcessStart);
 //! for upstream in 1..=3 {
-//!     let end = UpstreamEnd { upstream, start: 0 };
-//!     let surroundings = Surroundings::default();
-//!     book.record(content, Crash { end, at: now, ran_for: Duration::ZERO, surroundings, excused: false }, now);
+//!     let crash = Crash {
+//!         id: CrashId { upstream, time_ms: 0 },
+//!         at: now,
+//!         ran_for: Duration::ZERO,
+//!         context: CrashContext::default(),
+//!         is_disregarded: false,
+//!     };
+//!     registry.record(content, crash, now);
 //! }
-//! assert_eq!(book.verdict(content, now), Verdict::Stopped);
+//! assert_eq!(registry.status(content, now), ContentStatus::Blocked);
 //! ```
 
 #![warn(clippy::disallowed_methods)]
@@ -50,21 +57,21 @@
 pub mod tracker;
 pub mod weight;
 
-/// The types that users of the crate need daily; rules and constants are named by module.
+/// The types that callers use most. Constants and helper functions are imported from their modules.
 pub mod prelude {
-    pub use crate::content::{Content, ContentKey};
+    pub use crate::content::{ContentKey, RequestContent};
     pub use crate::in_flight::AttemptNumber;
     pub use crate::lost_attempts::{
-        Dismissal, Dismissed, Loss, LostAttempt, LostAttempts, SignOfLife,
+        DiscardReason, DiscardedAttempt, LossCause, LostAttempt, LostAttempts, UpstreamResponse,
     };
-    pub use crate::recent_completions::RecentContents;
-    pub use crate::recent_failures::{EndedUpstream, EndedUpstreams};
+    pub use crate::recent_completions::RecentCompletions;
+    pub use crate::recent_failures::{RecentFailures, UpstreamEvent};
     pub use crate::registry::{
-        ContentReport, Crash, CrashBook, CrashLimit, EndsBy, Evidence, ReportedCrash, UpstreamEnd,
-        Verdict,
+        ContentReport, ContentStatus, Crash, CrashId, CrashLimit, CrashRegistry, CrashTimestamp,
+        Evidence, ReportedCrash,
     };
-    pub use crate::tracker::{Admission, CrashCases, Hold, Judged, Neighbours};
-    pub use crate::weight::{EndedBeside, OwnEnd, Surroundings, Weight};
+    pub use crate::tracker::{Admission, ConfirmedCrash, CrashTracker, Hold, NeighbourCounts};
+    pub use crate::weight::{ConcurrentFailures, CrashContext, ExecutionOrder, Weight};
 }
 
 pub use prelude::*;
--- a/crates/shared/cloverpier_crashes/src/lost_attempts.rs
+++ b/crates/shared/cloverpier_crashes/src/lost_attempts.rs
@@ -1,400 +1,444 @@
-//! Attempts that were lost at an upstream, until it is known whether the upstream ended.
+//! Lost attempts, until it is known whether their upstreams have crashed.
 //!
-//! - **Question.** A request was sent, and its connection broke, or it was given up for the upstream's
-//!   silence. Did the upstream end, was only the answer lost, or is it merely standing still?
-//! - **Inputs.** The attempt; later, that a probe was refused or another start was seen (the upstream
-//!   ended), or that the same start answered a question (it lives).
-//! - **Answer.** The attempts that are [`LostAttempts::due`]: their upstream ended, and
-//!   [`JUDGE_AFTER`] has passed, so that what else ended is known. The upstreams that have to be probed,
-//!   as nothing was learned of them ([`LostAttempts::unclear`]), and again while it matters
-//!   ([`LostAttempts::unclear_again`]). The attempts that say nothing, and why
-//!   ([`LostAttempts::take_dismissed`]).
-//! - **Why.** A broken connection proves nothing: upstreams lose answers by resets and live,
-//!   and most requests that lose an answer at several upstreams lose it so. Silence is no end either: it
-//!   comes from cut links and pauses, too. And it is no proof of the opposite: a paused upstream ends
-//!   later by what it was sent, and the host of one that has ended may be silent for seconds. So an
-//!   attempt stays open until something is proved, and what is sent meanwhile takes it into account.
-//! - **What an answer proves.** An upstream whose connection broke has survived the request if it answers a
-//!   question that was asked after the break. One that was given up may begin the request after
-//!   it has answered: it has survived once it has answered two questions promptly, the second one asked a
-//!   *survival time* after the first answer, as long as others ran the content before they ended. One at which
-//!   the attempt was abandoned was well by then: it has survived once it answers a question that was asked two
-//!   seconds later.
+//! A router sent a request to an upstream, and the connection broke, or the router gave up on an upstream that did
+//! not respond. The upstream may have crashed, the response may have been lost, or the upstream may be paused. An
+//! attempt remains unresolved until a refused connection or a newer process proves the crash, or a response proves
+//! that the upstream has survived the attempt.
 //!
-//! Owns the open attempts.
+//! - **Results.** [`LostAttempts::take_confirmed`] returns the attempts whose upstreams have crashed, once
+//!   [`CRASH_SETTLE_DELAY`] has passed and all concurrent failures are known. [`LostAttempts::first_probes`] and
+//!   [`LostAttempts::repeated_probes`] return the upstreams to probe, [`LostAttempts::take_discarded`] the attempts
+//!   for which no crash is recorded.
+//! - **A broken connection proves no crash.** Connections are reset while the upstream keeps running, and most
+//!   requests that lose a response at several upstreams lose it in this way.
+//! - **Silence proves neither a crash nor survival.** It comes from cut links and pauses, too. A paused upstream may
+//!   crash later because of the request, and the host of a crashed upstream may not respond for seconds. So the
+//!   decision whether a further attempt may be sent takes unresolved attempts into account.
+//! - **Proof of survival after a broken connection.** The upstream responds to a probe that was sent after the break.
+//! - **Proof of survival after silence.** The upstream may start the request after its first response. So it has to
+//!   respond promptly to two probes, the second one sent at least a *survival time* after the first response: as
+//!   long as other upstreams executed the content before they crashed.
+//! - **Proof of survival after an abandoned attempt.** The upstream was responsive when the attempt was abandoned, so
+//!   one response is enough, to a probe sent at least two seconds after that.
+//!
+//! Owns the unresolved attempts. [`crate::tracker`] supplies the survival times.
 
 use crate::content::ContentKey;
-use crate::recent_failures::EndedUpstream;
-use crate::registry::UpstreamEnd;
-use crate::weight::EndedRun;
+use crate::recent_failures::UpstreamEvent;
+use crate::registry::CrashId;
+use crate::weight::CrashedExecution;
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-/// From the break to the judgement: all ends of a dying data centre are known 0.05 s after the
-/// first. Longer, and a request that crashes upstreams has begun to run at the next one.
-pub const JUDGE_AFTER: Duration = Duration::from_millis(50);
-/// An attempt of which nothing is learned for this long says nothing. Longer than upstreams pause, again and
-/// again, and than the next process takes to start at the address of one that ended; what may be held up
-/// meanwhile is the fourth run of a request that lost three.
-pub const CONFIRM_WITHIN: Duration = Duration::from_secs(10);
-/// From one question to an unclear upstream to the next, while its attempt holds something up.
-pub const ASK_AGAIN_AFTER: Duration = Duration::from_millis(150);
-/// An upstream that lives on for this time, after an attempt there was abandoned, has survived it: engines that
-/// a request ends do so within two seconds of its arrival.
-const ABANDONED_SURVIVAL: Duration = Duration::from_secs(2);
-/// An upstream that was asked has this time to answer, whatever the age of its attempt: this process may
-/// have been paused.
-const ANSWER_WITHIN: Duration = Duration::from_secs(1);
-/// An upstream that takes longer to answer a question was paused.
-const PROMPT_ANSWER: Duration = Duration::from_millis(100);
-/// Attempts that are open at most; the oldest are dropped. A data centre's death breaks some tens at
-/// one router.
-const MAX_OPEN: usize = 1_024;
-
-/// How an attempt was lost.
+/// Time from the loss of an attempt to the recording of its crash. 50 ms after the first crash in an outage of a
+/// data centre, all crashes are known and count as concurrent. With a longer delay, a request that crashes upstreams
+/// would already be running at the next one.
+pub const CRASH_SETTLE_DELAY: Duration = Duration::from_millis(50);
+/// An attempt is discarded if it is not resolved for this long. The timeout is longer than an upstream pauses, even
+/// repeatedly, and longer than the next process takes to start at the address of a crashed one. Meanwhile, the
+/// fourth attempt of a request that lost three attempts may be held back.
+pub const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time between two probes of an upstream, while the lost attempt there may hold back requests.
+pub const PROBE_INTERVAL: Duration = Duration::from_millis(150);
+/// Minimum time after which an upstream that still responds has survived an abandoned attempt: a request that
+/// crashes an engine does so within two seconds of its arrival.
+const ABANDONED_SURVIVAL_TIME: Duration = Duration::from_secs(2);
+/// Time for an upstream to respond to the first probe, even if this exceeds [`CONFIRMATION_TIMEOUT`]: the router may
+/// have been paused, so that it sent the probe late.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// An upstream that takes longer than this to respond to a probe was paused in between.
+const PROMPT_RESPONSE: Duration = Duration::from_millis(100);
+/// Maximum number of unresolved attempts. Beyond it, the oldest abandoned attempt is discarded, or the oldest
+/// attempt if none is abandoned. The outage of a data centre leaves some tens of them at one router.
+const MAX_UNRESOLVED: usize = 1_024;
+
+/// Why a router lost an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Loss {
-    /// Its connection broke: the upstream has ended, or has given the request up.
-    Broke,
-    /// It was given up for the upstream's silence: the upstream may still run it.
-    GivenUp,
-    /// Nobody waits for it any more, as its time is over, its caller has left, or it made no progress: the
-    /// upstream may still run it. Most such upstreams are well, so nothing is held up for it, and
-    /// nothing is asked unless the content was lost elsewhere, too.
+pub enum LossCause {
+    /// The connection broke: the upstream has crashed, or has stopped executing the request.
+    ConnectionBroken,
+    /// The router gave up on an upstream that did not respond. The upstream may still execute the request.
+    UpstreamSilent,
+    /// The router no longer waits for the attempt: the request timed out, the caller disconnected, or the attempt
+    /// made no progress. The upstream may still execute the request. Most such upstreams are healthy, so no request
+    /// is held back for the attempt, and the upstream is probed only if more attempts with the content were lost.
     Abandoned,
 }
 
-/// An attempt that was lost.
+/// An attempt that did not complete at its upstream, which may have crashed because of the attempt.
 #[derive(Clone, Debug)]
 pub struct LostAttempt {
-    /// What it sent.
+    /// Key of the request's content.
     pub content: ContentKey,
-    /// How it was lost.
-    pub loss: Loss,
-    /// Whether the content ran to its end a moment before, or since.
-    pub ran_well: bool,
-    /// The upstream's start that it ran at.
-    pub end: UpstreamEnd,
-    /// The upstream, and when the attempt was lost there.
-    pub upstream: EndedUpstream,
-    /// How long it had been there.
+    /// Why the attempt was lost.
+    pub loss: LossCause,
+    /// Whether a request with the content completed shortly before the loss, or at any time since.
+    /// [`crate::tracker::CrashTracker::on_lost`] sets it.
+    pub has_completed: bool,
+    /// Identity of the crash, if the upstream process to which the attempt was sent has crashed.
+    pub crash_id: CrashId,
+    /// The upstream, and the time of the loss.
+    pub upstream: UpstreamEvent,
+    /// Time from the sending of the attempt to the loss.
     pub ran_for: Duration,
 }
 
 impl LostAttempt {
-    /// The run that was lost, as if its upstream had ended by then.
-    pub fn run(&self) -> EndedRun {
-        EndedRun {
+    /// The execution of the request, if the upstream crashed at the time of the loss.
+    pub fn execution(&self) -> CrashedExecution {
+        CrashedExecution {
             at: self.upstream.at,
             ran_for: self.ran_for,
         }
     }
 
-    /// Whether it had begun by a moment.
-    pub(crate) fn has_begun(&self, at: Instant) -> bool {
+    /// Whether the attempt was sent at or before a time.
+    pub(crate) fn was_sent_by(&self, at: Instant) -> bool {
         self.upstream.at <= at + self.ran_for
     }
 }
 
-/// An answer of an upstream to a question.
+/// A response of an upstream to a probe or a request.
 #[derive(Clone, Copy, Debug)]
-pub struct SignOfLife {
-    /// The upstream, as in [`UpstreamEnd::upstream`].
+pub struct UpstreamResponse {
+    /// The upstream, as in [`CrashId::upstream`].
     pub upstream: u64,
-    /// When it was asked.
-    pub asked: Instant,
-    /// When the answer arrived.
-    pub answered: Instant,
+    /// When the router sent the probe or request.
+    pub sent_at: Instant,
+    /// When the router received the response.
+    pub received_at: Instant,
 }
 
-/// Why an attempt does not count.
+/// Why no crash is recorded for a lost attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Dismissal {
-    /// Its upstream survived it.
-    Answered,
-    /// Nothing was learned of its upstream in time.
-    Unclear,
-    /// More attempts were open than are kept.
-    NoRoom,
+pub enum DiscardReason {
+    /// The upstream has survived the attempt.
+    #[serde(rename = "answered")]
+    Survived,
+    /// Neither a crash nor the survival of the upstream was proven within [`CONFIRMATION_TIMEOUT`].
+    #[serde(rename = "unclear")]
+    Unconfirmed,
+    /// There were too many unresolved attempts.
+    #[serde(rename = "no-room")]
+    TableFull,
 }
 
-/// An attempt that does not count.
+/// A lost attempt for which no crash is recorded.
 #[derive(Clone, Debug)]
-pub struct Dismissed {
-    /// The attempt.
+pub struct DiscardedAttempt {
+    /// The discarded attempt.
     pub attempt: LostAttempt,
-    /// Why.
-    pub reason: Dismissal,
+    /// Why no crash is recorded.
+    pub reason: DiscardReason,
 }
 
-/// An attempt, and what was learned of its upstream since.
+/// A lost attempt, and the observations of its upstream since the loss.
 #[derive(Clone, Debug)]
-struct Open {
+struct UnresolvedAttempt {
     attempt: LostAttempt,
-    /// When it became known that its upstream has ended.
-    ended_at: Option<Instant>,
-    /// When its upstream was named as unclear first.
-    first_asked_at: Option<Instant>,
-    /// When it was last.
-    asked_at: Option<Instant>,
-    /// When its upstream answered promptly first since the attempt was given up.
-    answered_at: Option<Instant>,
+    /// When the crash of the upstream became known; `None` while no crash is proven.
+    crash_known_at: Option<Instant>,
+    /// When the upstream was first returned for a probe; `None` before.
+    first_probed_at: Option<Instant>,
+    /// When the upstream was last returned for a probe; `None` before the first probe.
+    last_probed_at: Option<Instant>,
+    /// When the first prompt response to a probe sent after the loss was received. Only set with
+    /// [`LossCause::UpstreamSilent`].
+    first_response_at: Option<Instant>,
 }
 
-impl Open {
+impl UnresolvedAttempt {
     fn age(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.attempt.upstream.at)
     }
 
-    /// When it can be judged; `None` while nothing proves that its upstream has ended.
-    fn judged_at(&self) -> Option<Instant> {
-        let ended_at = self.ended_at?;
+    /// When the crash can be recorded; `None` while no crash of the upstream is proven.
+    fn recordable_at(&self) -> Option<Instant> {
+        let crash_known_at = self.crash_known_at?;
         let lost_at = self.attempt.upstream.at;
         let from = match self.attempt.loss {
-            Loss::Broke => lost_at,
-            // The end may have come at any time since.
-            Loss::GivenUp | Loss::Abandoned => lost_at.max(ended_at),
+            LossCause::ConnectionBroken => lost_at,
+            // The upstream may have crashed at any time since the loss.
+            LossCause::UpstreamSilent | LossCause::Abandoned => lost_at.max(crash_known_at),
         };
-        Some(from + JUDGE_AFTER)
+        Some(from + CRASH_SETTLE_DELAY)
     }
 
-    /// When something has to be done about it.
+    /// When the attempt can be recorded, has to be probed for the first time, or expires.
     fn next_due(&self) -> Instant {
         let lost_at = self.attempt.upstream.at;
-        match self.judged_at() {
+        match self.recordable_at() {
             Some(at) => at,
-            None if self.is_unclear() => lost_at + JUDGE_AFTER,
-            None => self.dropped_at(),
+            None if self.needs_first_probe() => lost_at + CRASH_SETTLE_DELAY,
+            None => self.expires_at(),
         }
     }
 
-    /// Whether its upstream is to be asked once, as nothing is known.
-    fn is_unclear(&self) -> bool {
-        let is_waited_for = self.attempt.loss != Loss::Abandoned;
-        is_waited_for && self.ended_at.is_none() && self.asked_at.is_none()
+    /// Whether the upstream has to be probed for the first time. The upstream of an abandoned attempt is probed only
+    /// through [`LostAttempts::repeated_probes`].
+    fn needs_first_probe(&self) -> bool {
+        let may_hold_requests = self.attempt.loss != LossCause::Abandoned;
+        may_hold_requests && self.crash_known_at.is_none() && self.last_probed_at.is_none()
     }
 
-    /// When it is dropped, unless something is learned.
-    fn dropped_at(&self) -> Instant {
-        let over_at = self.attempt.upstream.at + CONFIRM_WITHIN;
-        let answered_by = self.first_asked_at.map(|at| at + ANSWER_WITHIN);
-        answered_by.map_or(over_at, |at| over_at.max(at))
+    /// When the attempt is discarded, unless it is resolved before.
+    fn expires_at(&self) -> Instant {
+        let timeout_at = self.attempt.upstream.at + CONFIRMATION_TIMEOUT;
+        let response_due_at = self.first_probed_at.map(|at| at + PROBE_TIMEOUT);
+        response_due_at.map_or(timeout_at, |at| timeout_at.max(at))
     }
 
-    /// Names its upstream as unclear.
-    fn ask(&mut self, now: Instant) -> EndedUpstream {
-        self.first_asked_at.get_or_insert(now);
-        self.asked_at = Some(now);
+    /// Notes that the upstream is probed now, and returns the upstream.
+    fn mark_probed(&mut self, now: Instant) -> UpstreamEvent {
+        self.first_probed_at.get_or_insert(now);
+        self.last_probed_at = Some(now);
         self.attempt.upstream.clone()
     }
 
-    /// When its upstream is to be asked again, or for the first time where the attempt was abandoned; `None`
-    /// while it was not asked or needs not be.
-    fn asked_again_at(&self, survival: Duration) -> Option<Instant> {
-        let next = self.asked_at.map(|at| at + ASK_AGAIN_AFTER);
-        let proves_from = match self.attempt.loss {
-            Loss::Broke | Loss::GivenUp => self.answered_at.map(|at| at + survival),
-            Loss::Abandoned => Some(self.abandoned_until(survival)),
+    /// When the upstream has to be probed again, or for the first time if the attempt was abandoned; `None` if the
+    /// crash is known, or the first probe is still due.
+    ///
+    /// The time is not before [`PROBE_INTERVAL`] has passed since the last probe, nor before a response can prove
+    /// the survival of the upstream.
+    fn next_probe_at(&self, survival_time: Duration) -> Option<Instant> {
+        let next = self.last_probed_at.map(|at| at + PROBE_INTERVAL);
+        let provable_from = match self.attempt.loss {
+            LossCause::ConnectionBroken | LossCause::UpstreamSilent => {
+                self.first_response_at.map(|at| at + survival_time)
+            }
+            LossCause::Abandoned => Some(self.abandoned_until(survival_time)),
         };
-        let is_asked = self.ended_at.is_none() && !self.is_unclear();
-        next.max(proves_from).filter(|_| is_asked)
+        let is_probed = self.crash_known_at.is_none() && !self.needs_first_probe();
+        next.max(provable_from).filter(|_| is_probed)
     }
 
-    /// By when an upstream would have ended by an attempt that was abandoned.
-    fn abandoned_until(&self, survival: Duration) -> Instant {
-        self.attempt.upstream.at + survival.max(ABANDONED_SURVIVAL)
+    /// When the upstream of an abandoned attempt would have crashed, if the attempt crashes the upstream.
+    fn abandoned_until(&self, survival_time: Duration) -> Instant {
+        self.attempt.upstream.at + survival_time.max(ABANDONED_SURVIVAL_TIME)
     }
 
-    /// Takes a sign of life; returns whether it shows that the upstream survived the attempt.
-    fn is_survived(&mut self, sign: SignOfLife, survival: Duration) -> bool {
-        if self.ended_at.is_some() || sign.asked < self.attempt.upstream.at {
+    /// Processes a response of the upstream; returns whether it proves that the upstream survived the attempt.
+    fn check_survival(&mut self, response: UpstreamResponse, survival_time: Duration) -> bool {
+        if self.crash_known_at.is_some() || response.sent_at < self.attempt.upstream.at {
             return false;
         }
         match self.attempt.loss {
-            Loss::Broke => true,
-            Loss::Abandoned => sign.asked >= self.abandoned_until(survival),
-            // One that was paused meanwhile may not have begun the request yet.
-            Loss::GivenUp if sign.answered > sign.asked + PROMPT_ANSWER => false,
-            Loss::GivenUp => {
-                let first = *self.answered_at.get_or_insert(sign.answered);
-                sign.asked >= first + survival
+            LossCause::ConnectionBroken => true,
+            LossCause::Abandoned => response.sent_at >= self.abandoned_until(survival_time),
+            // An upstream that was paused in between may not have started the request yet.
+            LossCause::UpstreamSilent
+                if response.received_at > response.sent_at + PROMPT_RESPONSE =>
+            {
+                false
+            }
+            LossCause::UpstreamSilent => {
+                let first = *self.first_response_at.get_or_insert(response.received_at);
+                response.sent_at >= first + survival_time
             }
         }
     }
 }
 
-/// Attempts that were lost.
+/// The lost attempts of one router that are unresolved: it is not known whether their upstreams have crashed, or the
+/// crash is not recorded yet.
 #[derive(Clone, Debug, Default)]
 pub struct LostAttempts {
-    open: Vec<Open>,
-    /// Those that were dropped since they were taken last.
-    dismissed: Vec<Dismissed>,
+    unresolved: Vec<UnresolvedAttempt>,
+    /// Attempts that were discarded since the last call of [`Self::take_discarded`].
+    discarded: Vec<DiscardedAttempt>,
 }
 
 impl LostAttempts {
-    /// Records an attempt that was lost; `has_ended` where its upstream's end is known already.
-    pub fn on_lost(&mut self, attempt: LostAttempt, has_ended: bool) {
-        if self.open.len() >= MAX_OPEN {
-            let is_abandoned = |open: &Open| open.attempt.loss == Loss::Abandoned;
-            let oldest = self.open.iter().position(is_abandoned).unwrap_or(0);
-            let oldest = self.open.remove(oldest);
-            self.dismiss([oldest], Dismissal::NoRoom);
+    /// Records a lost attempt. `has_crashed` is set if a crash of the upstream during the attempt is already proven.
+    pub fn on_lost(&mut self, attempt: LostAttempt, has_crashed: bool) {
+        if self.unresolved.len() >= MAX_UNRESOLVED {
+            let is_abandoned = |u: &UnresolvedAttempt| u.attempt.loss == LossCause::Abandoned;
+            let oldest = self.unresolved.iter().position(is_abandoned).unwrap_or(0);
+            let oldest = self.unresolved.remove(oldest);
+            self.discard([oldest], DiscardReason::TableFull);
         }
-        self.open.push(Open {
-            ended_at: has_ended.then_some(attempt.upstream.at),
+        self.unresolved.push(UnresolvedAttempt {
+            crash_known_at: has_crashed.then_some(attempt.upstream.at),
             attempt,
-            first_asked_at: None,
-            asked_at: None,
-            answered_at: None,
+            first_probed_at: None,
+            last_probed_at: None,
+            first_response_at: None,
         });
     }
 
-    /// Records that an upstream is known to have ended, since `now`.
-    pub fn on_end(&mut self, upstream: u64, now: Instant) {
-        let there = self.open.iter_mut();
-        for open in there.filter(|o| o.attempt.end.upstream == upstream) {
-            open.ended_at.get_or_insert(now);
+    /// Records that a crash of an upstream is proven, as of `now`, for all unresolved attempts there.
+    pub fn on_crash(&mut self, upstream: u64, now: Instant) {
+        let unresolved = self.unresolved.iter_mut();
+        for lost in unresolved.filter(|u| u.attempt.crash_id.upstream == upstream) {
+            lost.crash_known_at.get_or_insert(now);
         }
     }
 
-    /// Records that a former start of an upstream is known to have ended, since `now`; `was_there` says whether an
-    /// attempt can have been there. Where a connection broke it is not known whether the next start ended, too,
-    /// and it is taken to have.
-    pub fn on_former_start(
+    /// Records that a former process of an upstream is known to have crashed, as of `now`, since a newer process
+    /// responds. `may_have_reached` returns whether an attempt can have reached the former process.
+    ///
+    /// An attempt whose connection broke counts in either case: if it reached the newer process, that process is
+    /// assumed to have crashed, too, as its survival is not known.
+    pub fn on_process_replaced(
         &mut self,
         upstream: u64,
         now: Instant,
-        was_there: impl Fn(&LostAttempt) -> bool,
+        may_have_reached: impl Fn(&LostAttempt) -> bool,
     ) {
-        let there = self.open.iter_mut();
-        let there = there.filter(|open| open.attempt.end.upstream == upstream);
-        for open in there.filter(|o| o.attempt.loss == Loss::Broke || was_there(&o.attempt)) {
-            open.ended_at.get_or_insert(now);
+        let unresolved = self.unresolved.iter_mut();
+        let unresolved = unresolved.filter(|u| u.attempt.crash_id.upstream == upstream);
+        for lost in unresolved.filter(|u| {
+            u.attempt.loss == LossCause::ConnectionBroken || may_have_reached(&u.attempt)
+        }) {
+            lost.crash_known_at.get_or_insert(now);
         }
     }
 
-    /// Records that the start of an upstream lives at which attempts were lost; `survival` says how long
-    /// it has to, by content.
-    pub fn on_alive(&mut self, sign: SignOfLife, survival: impl Fn(ContentKey) -> Duration) {
-        let is_survived = |open: &mut Open| {
-            let is_there = open.attempt.end.upstream == sign.upstream;
-            is_there && open.is_survived(sign, survival(open.attempt.content))
+    /// Records a response of an upstream, and discards the attempts that the upstream has thereby survived.
+    /// `survival_time` returns for how long an upstream must continue to respond to have survived a content.
+    pub fn on_response(
+        &mut self,
+        response: UpstreamResponse,
+        survival_time: impl Fn(ContentKey) -> Duration,
+    ) {
+        let is_survived = |lost: &mut UnresolvedAttempt| {
+            let is_same_upstream = lost.attempt.crash_id.upstream == response.upstream;
+            is_same_upstream && lost.check_survival(response, survival_time(lost.attempt.content))
         };
-        let survived: Vec<Open> = self.open.extract_if(.., is_survived).collect();
-        self.dismiss(survived, Dismissal::Answered);
+        let survived: Vec<UnresolvedAttempt> =
+            self.unresolved.extract_if(.., is_survived).collect();
+        self.discard(survived, DiscardReason::Survived);
     }
 
-    /// Records that a content ran to its end: what it was lost at does not end by it.
+    /// Records that a request with a content completed. Crashes recorded later for the unresolved attempts with this
+    /// content are disregarded.
     pub fn on_completed(&mut self, content: ContentKey) {
-        let open = self.open.iter_mut().map(|open| &mut open.attempt);
-        for attempt in open.filter(|attempt| attempt.content == content) {
-            attempt.ran_well = true;
+        let attempts = self.unresolved.iter_mut().map(|lost| &mut lost.attempt);
+        for attempt in attempts.filter(|attempt| attempt.content == content) {
+            attempt.has_completed = true;
         }
     }
 
-    /// Whether no attempt is open.
+    /// Whether there is no unresolved attempt.
     pub fn is_empty(&self) -> bool {
-        self.open.is_empty()
+        self.unresolved.is_empty()
     }
 
-    fn dismiss(&mut self, dropped: impl IntoIterator<Item = Open>, reason: Dismissal) {
-        // Of one that nobody waited for and that nothing was asked about there is nothing to say.
-        let is_told = |open: &Open| open.attempt.loss != Loss::Abandoned || open.asked_at.is_some();
-        let told = dropped.into_iter().filter(is_told);
-        let dismissed = told.map(|open| Dismissed {
-            attempt: open.attempt,
+    fn discard(
+        &mut self,
+        attempts: impl IntoIterator<Item = UnresolvedAttempt>,
+        reason: DiscardReason,
+    ) {
+        // An abandoned attempt whose upstream was never probed is left out of the log.
+        let is_reported = |lost: &UnresolvedAttempt| {
+            lost.attempt.loss != LossCause::Abandoned || lost.last_probed_at.is_some()
+        };
+        let reported = attempts.into_iter().filter(is_reported);
+        let discarded = reported.map(|lost| DiscardedAttempt {
+            attempt: lost.attempt,
             reason,
         });
-        self.dismissed.extend(dismissed);
+        self.discarded.extend(discarded);
     }
 
-    /// Whether an attempt is open that something may wait for.
-    pub fn has_waited_for(&self) -> bool {
-        self.open().any(|attempt| attempt.loss != Loss::Abandoned)
+    /// Whether an unresolved attempt may hold back other requests; abandoned attempts never do.
+    pub fn may_hold_requests(&self) -> bool {
+        self.unresolved()
+            .any(|attempt| attempt.loss != LossCause::Abandoned)
     }
 
-    /// Whether an attempt at an upstream is open.
-    pub fn has_open_at(&self, upstream: u64) -> bool {
-        self.open().any(|attempt| attempt.end.upstream == upstream)
+    /// Whether an attempt at an upstream is unresolved.
+    pub fn has_unresolved_at(&self, upstream: u64) -> bool {
+        self.unresolved()
+            .any(|attempt| attempt.crash_id.upstream == upstream)
     }
 
-    /// Takes the attempts that were found not to count since this was asked last.
-    pub fn take_dismissed(&mut self) -> Vec<Dismissed> {
-        std::mem::take(&mut self.dismissed)
+    /// Takes the attempts that were discarded since the last call. An abandoned attempt is left out if its upstream
+    /// was never probed.
+    pub fn take_discarded(&mut self) -> Vec<DiscardedAttempt> {
+        std::mem::take(&mut self.discarded)
     }
 
-    /// The attempts that are open.
-    pub fn open(&self) -> impl Iterator<Item = &LostAttempt> {
-        self.open.iter().map(|open| &open.attempt)
+    /// The unresolved attempts, in the order of their losses.
+    pub fn unresolved(&self) -> impl Iterator<Item = &LostAttempt> {
+        self.unresolved.iter().map(|lost| &lost.attempt)
     }
 
-    /// The attempts with a content that are open.
-    pub fn open_with(&self, content: ContentKey) -> impl Iterator<Item = &LostAttempt> {
-        self.open()
+    /// The unresolved attempts with a content.
+    pub fn unresolved_with(&self, content: ContentKey) -> impl Iterator<Item = &LostAttempt> {
+        self.unresolved()
             .filter(move |attempt| attempt.content == content)
     }
 
-    /// When the connection of an open attempt at an upstream broke first: if it has ended, that was the
-    /// moment.
+    /// When the first connection of the unresolved attempts at an upstream broke: the time of the crash, if the
+    /// upstream has crashed. `None` if no connection broke.
     pub fn first_break_at(&self, upstream: u64) -> Option<Instant> {
-        let broke = self
-            .open()
-            .filter(|attempt| attempt.end.upstream == upstream && attempt.loss == Loss::Broke);
-        broke.map(|attempt| attempt.upstream.at).min()
+        let broken = self.unresolved().filter(|attempt| {
+            attempt.crash_id.upstream == upstream && attempt.loss == LossCause::ConnectionBroken
+        });
+        broken.map(|attempt| attempt.upstream.at).min()
     }
 
-    /// Takes the attempts whose upstreams ended and that can be judged; drops those of which nothing
-    /// was learned.
-    pub fn due(&mut self, now: Instant) -> Vec<LostAttempt> {
-        let due = self
-            .open
-            .extract_if(.., |o| o.judged_at().is_some_and(|at| now >= at))
-            .map(|open| open.attempt)
+    /// Takes the attempts whose upstreams are proven to have crashed and whose crashes can be recorded now. Discards
+    /// the attempts that expired unresolved.
+    pub fn take_confirmed(&mut self, now: Instant) -> Vec<LostAttempt> {
+        let confirmed = self
+            .unresolved
+            .extract_if(.., |u| u.recordable_at().is_some_and(|at| now >= at))
+            .map(|lost| lost.attempt)
             .collect();
-        let is_over = |o: &mut Open| o.ended_at.is_none() && now >= o.dropped_at();
-        let over: Vec<Open> = self.open.extract_if(.., is_over).collect();
-        self.dismiss(over, Dismissal::Unclear);
-        due
+        let is_expired =
+            |u: &mut UnresolvedAttempt| u.crash_known_at.is_none() && now >= u.expires_at();
+        let expired: Vec<UnresolvedAttempt> = self.unresolved.extract_if(.., is_expired).collect();
+        self.discard(expired, DiscardReason::Unconfirmed);
+        confirmed
     }
 
-    /// The upstreams of which nothing was learned by the time of the judgement, each attempt's once.
-    pub fn unclear(&mut self, now: Instant) -> Vec<EndedUpstream> {
-        let open = self.open.iter_mut();
-        let unclear = open.filter(|o| o.is_unclear() && o.age(now) >= JUDGE_AFTER);
-        unclear.map(|open| open.ask(now)).collect()
+    /// The upstreams to probe for the first time: [`CRASH_SETTLE_DELAY`] after the loss of an attempt, if no crash
+    /// is proven by then. Returns each attempt's upstream once, and none for abandoned attempts.
+    pub fn first_probes(&mut self, now: Instant) -> Vec<UpstreamEvent> {
+        let unresolved = self.unresolved.iter_mut();
+        let due = unresolved.filter(|u| u.needs_first_probe() && u.age(now) >= CRASH_SETTLE_DELAY);
+        due.map(|lost| lost.mark_probed(now)).collect()
     }
 
-    /// The upstreams that were named as unclear and of which something is still to be learned, by
-    /// what `survival` returns for the content; `None` where its attempts hold nothing up.
-    pub fn unclear_again(
+    /// The upstreams to probe again now, and those of abandoned attempts to probe for the first time.
+    ///
+    /// `survival_time` returns for how long an upstream must continue to respond to have survived a content, and
+    /// `None` if upstreams with lost attempts of this content need no further probes.
+    pub fn repeated_probes(
         &mut self,
         now: Instant,
-        survival: impl Fn(ContentKey) -> Option<Duration>,
-    ) -> Vec<EndedUpstream> {
-        let mut named = Vec::new();
-        for open in &mut self.open {
-            let survival = survival(open.attempt.content);
-            let at = survival.and_then(|survival| open.asked_again_at(survival));
+        survival_time: impl Fn(ContentKey) -> Option<Duration>,
+    ) -> Vec<UpstreamEvent> {
+        let mut due = Vec::new();
+        for lost in &mut self.unresolved {
+            let survival_time = survival_time(lost.attempt.content);
+            let at = survival_time.and_then(|survival_time| lost.next_probe_at(survival_time));
             if at.is_some_and(|at| now >= at) {
-                named.push(open.ask(now));
+                due.push(lost.mark_probed(now));
             }
         }
-        named
+        due
     }
 
-    /// When [`Self::unclear_again`] has something to name next.
-    pub fn next_asked_again(
+    /// When [`Self::repeated_probes`] returns an upstream next, with the same `survival_time`; `None` if never.
+    pub fn next_repeated_probe(
         &self,
-        survival: impl Fn(ContentKey) -> Option<Duration>,
+        survival_time: impl Fn(ContentKey) -> Option<Duration>,
     ) -> Option<Instant> {
-        let open = self.open.iter();
-        let next = open.filter_map(|o| o.asked_again_at(survival(o.attempt.content)?));
+        let unresolved = self.unresolved.iter();
+        let next = unresolved.filter_map(|u| u.next_probe_at(survival_time(u.attempt.content)?));
         next.min()
     }
 
-    /// When [`Self::due`] or [`Self::unclear`] has something to do next; `None` while nothing is open.
+    /// When [`Self::take_confirmed`] or [`Self::first_probes`] has to be called next; `None` without an unresolved
+    /// attempt.
     pub fn next_due(&self) -> Option<Instant> {
-        self.open.iter().map(Open::next_due).min()
+        self.unresolved
+            .iter()
+            .map(UnresolvedAttempt::next_due)
+            .min()
     }
 }
--- a/crates/shared/cloverpier_crashes/src/recent_completions.rs
+++ b/crates/shared/cloverpier_crashes/src/recent_completions.rs
@@ -1,32 +1,31 @@
-//! Contents that ran to their end a moment ago.
+//! Request contents that completed within the last seconds, before an upstream crashed under them.
 //!
-//! - **Question.** Did this content run well just before an upstream ended under it?
-//! - **Inputs.** Each request that an upstream answered to its end.
-//! - **Answer.** Yes or no.
-//! - **Why.** The same lookup may run at several upstreams at any moment. Where all of them end at
-//!   once, as by an operator's mistake, nothing else would explain these ends, and a lookup that
-//!   everybody needs would be stopped.
+//! The same lookup may run at several upstreams at any time. If all of them crash at once, as after an operator's
+//! mistake, no other upstream fails at the same time, and the lookup would be blocked though every caller needs
+//! it. A content that completed just before a crash is therefore taken not to have caused the crash.
 //!
-//! Owns a table of fixed size in which a newer content takes an older one's place: what it forgets is
-//! not excused. Told by a fast hash, as it takes in every request.
+//! Owns a hash table of fixed size, in which a newer content replaces an older one in the same slot: crashes
+//! under a replaced content count as usual. The hash is a fast one, not a cryptographic one, as each completed
+//! request is recorded.
 
-use crate::content::Content;
+use crate::content::RequestContent;
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::Xxh3;
 
-/// A content that ran to its end this long ago counts as innocent of an end now. Longer, and one that
-/// has begun to end upstreams is not stopped for that time.
-const RECENT: Duration = Duration::from_secs(10);
-/// Contents that are kept: 32 kB.
+/// Age up to which the completion of a content shows that the content did not cause a crash now. A content that
+/// starts to crash upstreams after a completion is not blocked for this time.
+const RECENT_COMPLETION_WINDOW: Duration = Duration::from_secs(10);
+/// Number of contents in the table; at 24 bytes each, the table takes 24 kB.
 const SLOTS: usize = 1_024;
 
-/// Contents that ran to their end recently.
+/// Contents of requests that completed recently.
 #[derive(Clone, Debug)]
-pub struct RecentContents {
+pub struct RecentCompletions {
+    /// The hash and the last completion of one content; `None` for an unused slot.
     slots: Vec<Option<(u64, Instant)>>,
 }
 
-impl Default for RecentContents {
+impl Default for RecentCompletions {
     fn default() -> Self {
         Self {
             slots: vec![None; SLOTS],
@@ -34,32 +33,33 @@
     }
 }
 
-impl RecentContents {
-    /// Records that a content ran to its end.
-    pub fn on_completed(&mut self, content: &Content<'_>, now: Instant) {
+impl RecentCompletions {
+    /// Records that a request with a content completed.
+    pub fn on_completed(&mut self, content: &RequestContent<'_>, now: Instant) {
         let hash = hash(content);
         self.slots[slot(hash)] = Some((hash, now));
     }
 
-    /// Whether a content ran to its end a moment ago.
-    pub fn ran_well(&self, content: &Content<'_>, now: Instant) -> bool {
+    /// Whether a request with a content completed within the last 10 seconds.
+    pub fn completed_recently(&self, content: &RequestContent<'_>, now: Instant) -> bool {
         let hash = hash(content);
-        self.slots[slot(hash)]
-            .is_some_and(|(known, at)| known == hash && now.saturating_duration_since(at) <= RECENT)
+        self.slots[slot(hash)].is_some_and(|(recorded, at)| {
+            recorded == hash && now.saturating_duration_since(at) <= RECENT_COMPLETION_WINDOW
+        })
     }
 }
 
-fn hash(content: &Content<'_>) -> u64 {
+fn hash(content: &RequestContent<'_>) -> u64 {
     let mut hasher = Xxh3::new();
-    for part in content.head() {
-        hasher.update(&(part.len() as u64).to_be_bytes());
-        hasher.update(part.as_bytes());
+    for field in content.head() {
+        hasher.update(&(field.len() as u64).to_be_bytes());
+        hasher.update(field.as_bytes());
     }
     hasher.update(content.body);
     hasher.digest()
 }
 
-/// Within the table: the rest of a division by its length.
+/// The slot of a hash; less than [`SLOTS`].
 fn slot(hash: u64) -> usize {
     (hash % SLOTS as u64) as usize
 }
--- a/crates/shared/cloverpier_crashes/src/recent_failures.rs
+++ b/crates/shared/cloverpier_crashes/src/recent_failures.rs
@@ -1,191 +1,217 @@
-//! Upstreams that ended recently, whoever ran what there.
+//! Upstreams that failed recently, to find the failures that are concurrent with a crash.
 //!
-//! - **Question.** What else ended at the moment at which this upstream did?
-//! - **Inputs.** Each end that a router learns of, with service and data centre.
-//! - **Answer.** The upstreams that [`EndedUpstreams::beside`] names; where the moment is not known,
-//!   those that [`EndedUpstreams::during`] does.
-//! - **Why.** The upstreams of a data centre die together, and each request that ran there would
-//!   count an end against it, though hardly any of them lost two upstreams. One that fell silent
-//!   ended at some moment since: what ended or fell silent within that time may have ended with it, unless it
-//!   has answered again.
+//! The upstreams of a data centre fail together in an outage, and without this module each request that ran there
+//! would get a crash recorded with full weight. Each failure that the router observes is recorded here with the
+//! service and data centre, whichever requests the upstream was executing. The result are the
+//! [`ConcurrentFailures`] of a crash: [`RecentFailures::concurrent_with`] if the time of the crash is known, else
+//! [`RecentFailures::concurrent_until`].
 //!
-//! Owns the ends of the last [`ENDS_KEPT_FOR`].
+//! An upstream that stopped responding failed at some time after its last response. So each upstream that failed
+//! or stopped responding within that time may have failed together with it, unless it has responded again.
+//!
+//! Owns the failures of the last 15 seconds.
 
-use crate::weight::EndedBeside;
+use crate::weight::ConcurrentFailures;
 use cloverpier_core::{DataCentre, ServiceName};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Ends that are no further apart are one moment: the first and the last engine of a dying data
-/// centre are known within 0.05 s of each other. A little more, and not much: repeats that are sent
-/// each 0.1 s to other engines must not explain each other's.
-pub const SAME_MOMENT: Duration = Duration::from_millis(60);
-/// How long an end is kept: longer than it takes to judge an attempt that was lost there
-/// ([`crate::lost_attempts::CONFIRM_WITHIN`]).
-const ENDS_KEPT_FOR: Duration = Duration::from_secs(15);
+/// Maximum time between two failures that count as concurrent. The lower bound is the outage of a data centre:
+/// its engines are known to have crashed within 50 ms of each other. The upper bound is a request that is repeated
+/// every 100 ms at other engines: the crashes that it causes must not count as concurrent.
+pub const CONCURRENCY_WINDOW: Duration = Duration::from_millis(60);
+/// How long a failure is kept: longer than a lost attempt at the upstream may remain unresolved
+/// ([`crate::lost_attempts::CONFIRMATION_TIMEOUT`]).
+const RETENTION: Duration = Duration::from_secs(15);
 
-/// An upstream that ended.
+/// An upstream, and the time of something that happened there: its failure, or the loss of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EndedUpstream {
-    /// A hash of its name.
+pub struct UpstreamEvent {
+    /// Hash of the upstream's name.
     pub upstream: u64,
-    /// The service that it belonged to.
+    /// The service that the upstream belongs to.
     pub service: ServiceName,
-    /// Its data centre.
+    /// The data centre of the upstream.
     pub data_centre: DataCentre,
-    /// When that became known.
+    /// When this router observed the event.
     pub at: Instant,
 }
 
-/// By what an upstream is known to have ended.
+/// Evidence that an upstream has failed, from the weakest to the strongest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum KnownBy {
-    /// Its silence: that explains ends beside it, and proves none.
+enum FailureEvidence {
+    /// The upstream does not respond, or a peer reported it dead. It may have crashed, so its failure can be
+    /// concurrent with a crash, but a crash is not proven.
     Silence,
-    /// Another start answers in its place: that proves its end, and says nothing of the moment.
-    OtherStart,
-    /// Its host has no such process, since this moment or a little before.
+    /// A newer process responds at the upstream's address: the former process has crashed at an unknown time.
+    NewerProcess,
+    /// The upstream's host has no process at the address: the process has crashed just before.
     NoProcess,
 }
 
-/// What is known of an upstream's end.
+/// One failure, merged from all observations.
 #[derive(Clone, Debug)]
-struct Known {
-    upstream: EndedUpstream,
-    /// Its last sign of life.
+struct RecordedFailure {
+    event: UpstreamEvent,
+    /// The earliest possible time of the failure: the last response of the upstream, if the failure was noticed by
+    /// silence, else the time of the event.
     since: Instant,
-    by: KnownBy,
-    /// When its host was seen to have no such process; `None` where it was not, or the next start is known.
+    evidence: FailureEvidence,
+    /// When the upstream's host first refused a connection; `None` if no connection was refused, or if the next
+    /// process at the address is known.
     refused_at: Option<Instant>,
 }
 
-/// The upstreams that ended recently.
+/// The upstreams that failed recently, in the order in which the failures were recorded.
 #[derive(Clone, Debug, Default)]
-pub struct EndedUpstreams {
-    ended: VecDeque<Known>,
+pub struct RecentFailures {
+    failures: VecDeque<RecordedFailure>,
 }
 
-impl EndedUpstreams {
-    /// Records an end that is proved: the upstream's host has no such process any more. The same end
-    /// is learned of more than once.
-    pub fn on_end(&mut self, ended: EndedUpstream) {
-        let since = ended.at;
-        self.record(ended, since, KnownBy::NoProcess);
+impl RecentFailures {
+    /// Records a proven crash: the upstream's host has no process at the address. A crash may be recorded more than
+    /// once; it is kept as one failure.
+    pub fn on_crash(&mut self, crashed: UpstreamEvent) {
+        let since = crashed.at;
+        self.record(crashed, since, FailureEvidence::NoProcess);
     }
 
-    /// Records since when it is certain that an upstream's host has no such process: what connects to it
-    /// later reaches the next one.
-    pub fn on_refused(&mut self, upstream: u64, refused_at: Instant) {
-        let newest = self.ended.iter_mut().rev();
-        let mut ends =
-            newest.filter(|k| k.upstream.upstream == upstream && k.by == KnownBy::NoProcess);
-        if let Some(known) = ends.next() {
-            known.refused_at.get_or_insert(refused_at);
+    /// Records when an upstream's host refused a connection. Attempts that connect later reach the next process at
+    /// the address. Has no effect unless a crash of the upstream is recorded with [`Self::on_crash`].
+    pub fn on_connection_refused(&mut self, upstream: u64, refused_at: Instant) {
+        let newest_first = self.failures.iter_mut().rev();
+        let mut crashes = newest_first
+            .filter(|f| f.event.upstream == upstream && f.evidence == FailureEvidence::NoProcess);
+        if let Some(failure) = crashes.next() {
+            failure.refused_at.get_or_insert(refused_at);
         }
     }
 
-    /// Records that the start of an upstream after the one that ended last is known; returns since when the
-    /// host of that one was seen to have no process, if it was.
-    pub fn on_next_start(&mut self, upstream: u64) -> Option<Instant> {
-        let there = self.ended.iter_mut();
-        let refused = there
-            .filter(|known| known.upstream.upstream == upstream)
-            .filter_map(|known| known.refused_at.take());
+    /// Records that the process after the latest crash of an upstream is known. Returns when the host refused a
+    /// connection after that crash; `None` if no connection was refused or the next process was known before.
+    pub fn on_newer_process(&mut self, upstream: u64) -> Option<Instant> {
+        let failures = self.failures.iter_mut();
+        let refused = failures
+            .filter(|failure| failure.event.upstream == upstream)
+            .filter_map(|failure| failure.refused_at.take());
         refused.max()
     }
 
-    /// Records an end at an unknown moment, which another start in its place proves.
-    pub fn on_former_start(&mut self, former: EndedUpstream) {
+    /// Records that a newer process responds at the address of an upstream: the former process has crashed at an
+    /// unknown time before `former.at`.
+    pub fn on_process_replaced(&mut self, former: UpstreamEvent) {
         let since = former.at;
-        self.record(former, since, KnownBy::OtherStart);
+        self.record(former, since, FailureEvidence::NewerProcess);
     }
 
-    /// Records an upstream that is dead as far as is known, by its silence since a moment or a peer's
-    /// word. That explains ends beside it, and proves none.
-    pub fn on_death(&mut self, died: EndedUpstream, silent_since: Instant) {
-        self.record(died, silent_since, KnownBy::Silence);
+    /// Records an upstream that is suspected to have failed, as it has not responded since `silent_since` or a peer
+    /// reported it dead. Such a failure can be concurrent with a crash, but does not prove a crash.
+    pub fn on_suspected_failure(&mut self, suspect: UpstreamEvent, silent_since: Instant) {
+        self.record(suspect, silent_since, FailureEvidence::Silence);
     }
 
-    /// Records that an upstream answers: its silence before explains nothing.
-    pub fn on_alive(&mut self, upstream: u64) {
-        self.ended
-            .retain(|known| known.by != KnownBy::Silence || known.upstream.upstream != upstream);
+    /// Records that an upstream responds: a suspected failure of the upstream is removed.
+    pub fn on_response(&mut self, upstream: u64) {
+        self.failures
+            .retain(|f| f.evidence != FailureEvidence::Silence || f.event.upstream != upstream);
     }
 
-    fn record(&mut self, upstream: EndedUpstream, silent_since: Instant, by: KnownBy) {
-        self.forget_old(upstream.at);
-        let moment = upstream.at.checked_sub(SAME_MOMENT);
-        let mut recent = self.ended.iter_mut().filter(|known| {
-            let is_same = known.upstream.upstream == upstream.upstream;
-            is_same && moment.is_none_or(|moment| known.upstream.at >= moment)
+    /// Adds a failure, or raises the evidence of a recent failure of the same upstream.
+    fn record(&mut self, event: UpstreamEvent, silent_since: Instant, evidence: FailureEvidence) {
+        self.remove_expired(event.at);
+        let window_start = event.at.checked_sub(CONCURRENCY_WINDOW);
+        let mut recent = self.failures.iter_mut().filter(|failure| {
+            let is_same = failure.event.upstream == event.upstream;
+            is_same && window_start.is_none_or(|window_start| failure.event.at >= window_start)
         });
         match recent.next() {
-            Some(known) => known.by = known.by.max(by),
-            None => self.ended.push_back(Known {
-                since: silent_since.min(upstream.at),
-                upstream,
-                by,
+            Some(failure) => failure.evidence = failure.evidence.max(evidence),
+            None => self.failures.push_back(RecordedFailure {
+                since: silent_since.min(event.at),
+                event,
+                evidence,
                 refused_at: None,
             }),
         }
     }
 
-    /// Whether an upstream is proved to have ended since a moment, or at all where that is too long
-    /// ago to be one.
-    pub fn has_ended_since(&self, upstream: u64, since: Option<Instant>) -> bool {
-        self.is_known_since(upstream, since, KnownBy::OtherStart)
+    /// Whether a crash of an upstream is proven that was observed at or after `since`; with `None`, which stands
+    /// for a time before the earliest `Instant`, whether any crash is.
+    pub fn has_crashed_since(&self, upstream: u64, since: Option<Instant>) -> bool {
+        self.has_failed_since(upstream, since, FailureEvidence::NewerProcess)
     }
 
-    /// Whether an upstream's host was seen to have no process since a moment: whichever start was there has ended.
+    /// Whether an upstream's host had no process at the address at or after `since`, so that any process that ran
+    /// there before has crashed. `None` stands for a time before the earliest `Instant`.
     pub fn had_no_process_since(&self, upstream: u64, since: Option<Instant>) -> bool {
-        self.is_known_since(upstream, since, KnownBy::NoProcess)
+        self.has_failed_since(upstream, since, FailureEvidence::NoProcess)
     }
 
-    fn is_known_since(&self, upstream: u64, since: Option<Instant>, at_least: KnownBy) -> bool {
-        let proved = self.ended.iter().filter(|known| known.by >= at_least);
-        let mut ends = proved.filter(|known| known.upstream.upstream == upstream);
-        ends.any(|known| since.is_none_or(|since| known.upstream.at >= since))
+    fn has_failed_since(
+        &self,
+        upstream: u64,
+        since: Option<Instant>,
+        min_evidence: FailureEvidence,
+    ) -> bool {
+        let proven = self
+            .failures
+            .iter()
+            .filter(|failure| failure.evidence >= min_evidence);
+        let mut failures = proven.filter(|failure| failure.event.upstream == upstream);
+        failures.any(|failure| since.is_none_or(|since| failure.event.at >= since))
     }
 
-    /// The upstreams of its service that ended with an upstream, as far as is known by now.
-    pub fn beside(&self, end: &EndedUpstream) -> EndedBeside {
-        self.others(end, |other| {
-            let at = other.upstream.at;
-            at.max(end.at) - at.min(end.at) <= SAME_MOMENT
+    /// The other upstreams of the service that failed within [`CONCURRENCY_WINDOW`] of a crash whose time is known.
+    pub fn concurrent_with(&self, crash: &UpstreamEvent) -> ConcurrentFailures {
+        self.others(crash, |other| {
+            let at = other.event.at;
+            at.max(crash.at) - at.min(crash.at) <= CONCURRENCY_WINDOW
         })
     }
 
-    /// The upstreams of its service that ended or fell silent between an upstream's last sign of life and
-    /// a later moment, as far as is known by now.
-    pub fn during(&self, end: &EndedUpstream, until: Instant) -> EndedBeside {
-        let own = self.ended.iter().filter(|known| {
-            let is_own = known.upstream.upstream == end.upstream;
-            is_own && known.since <= end.at && end.at <= known.upstream.at + SAME_MOMENT
+    /// The other upstreams of the service that may have failed at the time of a crash, where that time is only
+    /// known to be between the last response of the upstream and `until`.
+    pub fn concurrent_until(&self, crash: &UpstreamEvent, until: Instant) -> ConcurrentFailures {
+        let own = self.failures.iter().filter(|failure| {
+            let is_own = failure.event.upstream == crash.upstream;
+            is_own && failure.since <= crash.at && crash.at <= failure.event.at + CONCURRENCY_WINDOW
         });
-        let since = own.map(|known| known.since).min().unwrap_or(end.at);
-        self.others(end, |other| {
-            since <= other.upstream.at + SAME_MOMENT && other.since <= until + SAME_MOMENT
+        let since = own.map(|failure| failure.since).min().unwrap_or(crash.at);
+        self.others(crash, |other| {
+            since <= other.event.at + CONCURRENCY_WINDOW
+                && other.since <= until + CONCURRENCY_WINDOW
         })
     }
 
-    fn others(&self, end: &EndedUpstream, is_beside: impl Fn(&Known) -> bool) -> EndedBeside {
-        let dated = self.ended.iter().filter(|k| k.by != KnownBy::OtherStart);
-        let others = dated.filter(|known| {
-            let other = &known.upstream;
-            other.upstream != end.upstream && other.service == end.service && is_beside(known)
+    /// The failures of other upstreams of the same service that `is_concurrent` selects, except those at an unknown
+    /// time.
+    fn others(
+        &self,
+        crash: &UpstreamEvent,
+        is_concurrent: impl Fn(&RecordedFailure) -> bool,
+    ) -> ConcurrentFailures {
+        let dated = self
+            .failures
+            .iter()
+            .filter(|f| f.evidence != FailureEvidence::NewerProcess);
+        let others = dated.filter(|failure| {
+            let other = &failure.event;
+            other.upstream != crash.upstream
+                && other.service == crash.service
+                && is_concurrent(failure)
         });
-        let named = others.map(|known| {
-            let other = &known.upstream;
-            (other.upstream, other.data_centre == end.data_centre)
+        let listed = others.map(|failure| {
+            let other = &failure.event;
+            (other.upstream, other.data_centre == crash.data_centre)
         });
-        EndedBeside::of(named)
+        ConcurrentFailures::of(listed)
     }
 
-    fn forget_old(&mut self, now: Instant) {
-        let age = |known: &Known| now.saturating_duration_since(known.upstream.at);
-        let is_old = |known: &Known| age(known) > ENDS_KEPT_FOR;
-        while self.ended.front().is_some_and(is_old) {
-            self.ended.pop_front();
+    fn remove_expired(&mut self, now: Instant) {
+        let age = |failure: &RecordedFailure| now.saturating_duration_since(failure.event.at);
+        let is_expired = |failure: &RecordedFailure| age(failure) > RETENTION;
+        while self.failures.front().is_some_and(is_expired) {
+            self.failures.pop_front();
         }
     }
 }
--- a/crates/shared/cloverpier_crashes/src/registry.rs
+++ b/crates/shared/cloverpier_crashes/src/registry.rs
@@ -1,298 +1,318 @@
-//! What is known against contents, and what follows.
+//! Registry of upstream crashes by request content, and the decision whether a content is blocked.
 //!
-//! - **Question.** May a request be sent to an upstream, by what its content did before?
-//! - **Inputs.** The ends of upstreams that ran the content, each with its [`Surroundings`]: this
-//!   router's own and its peers'. That the content ran to its end somewhere.
-//! - **Answer.** A [`Verdict`]; the reports that peers get.
-//! - **Why.** Ends are counted by (upstream, its start), so that what two routers saw of one end is one,
-//!   and sets of them merge in any order, repeated or late, to the same. What ended beside an end and that
-//!   it is excused is only added, for the same reason. All routers that know the same ends judge alike.
+//! Each [`Crash`] is recorded for every content that the upstream was executing, with the [`CrashContext`] from
+//! which its weight is computed. The crashes come from this router's own observations and from the reports of
+//! its peers. A request that completes at any upstream shows that its content did not cause the crashes
+//! recorded so far. The results are the [`ContentStatus`] of a content and the reports to peers.
 //!
-//! Three ends that nothing else explains stop a content: with one or two, requests that meet dying
-//! engines would be stopped, and each one more costs an engine with all streams on it. An end counts
-//! against each content that ran there: counted only against the one that had ended the most, several
-//! contents that crash engines at the same time would each end more of them.
+//! - **Merging.** A crash is identified by a [`CrashId`], so that two routers' observations of a crash are
+//!   counted once, and sets of crashes merge to the same result in any order, repeated or late. For the same
+//!   reason, concurrent failures and the mark that a crash is disregarded are only added, never removed. Routers
+//!   that have the same crashes derive the same status.
+//! - **Threshold.** By default, three crashes of full weight block a content. With one or two, requests that
+//!   happen to run at failing engines would be blocked; each further crash costs an engine with all its streams.
+//! - **Attribution.** A crash counts against each content that the upstream was executing. If a crash counted
+//!   only against the content with the most crashes, several contents that crash engines at the same time would
+//!   each crash more engines before they are blocked.
 //!
-//! Owns the ends and what was decided of each content.
+//! Owns the recorded crashes, and which contents were blocked when this was last reported. Relies on
+//! [`crate::weight`] for the weights.
 
 mod record;
 
 use crate::content::ContentKey;
-use crate::weight::{Surroundings, Weight};
-use record::Record;
+use crate::weight::{CrashContext, Weight};
+use record::ContentRecord;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-/// How long an end counts. While it does, a content that was stopped stays so; then it may end one
-/// more upstream, which stops it again. So a request that is repeated for ever ends three upstreams
-/// an hour at most; a content that was stopped wrongly waits an hour, or for the operator.
+/// How long a crash counts as evidence. Once the first of three crashes expires, a blocked content is sent
+/// again and may crash one more upstream, which blocks the content again. So a request that is repeated without
+/// end crashes at most three upstreams per hour; a content that is blocked by mistake stays blocked for at most
+/// an hour, unless the operator clears it.
 pub const CRASH_TTL: Duration = Duration::from_secs(3_600);
-/// Contents that are kept; beyond it, those with the least against them are dropped. An end leaves one
-/// for each request that ran there.
+/// Maximum number of contents in the registry; beyond it, the content with the fewest counted crashes is
+/// evicted. One crash adds a content for each request that the upstream was executing.
 pub const MAX_CONTENTS: usize = 4_096;
-/// Ends that are kept of one content: more than stop it.
-pub const MAX_CRASHES: usize = 16;
-/// What may be missing, in thousandths of an end, of the evidence that stops a content or makes it
-/// suspect: the chance end of one more engine at the same moment must not cost another engine.
-const ROUNDING: u32 = 500;
-/// Ends from which on a content is kept apart from other requests, and reported to peers again.
-pub const SUSPECT_FROM: u32 = 2;
-
-/// Ends of upstreams that stop a content; 0 where none is to be stopped.
+/// Maximum number of crashes that are kept for one content. The settings accept no higher [`CrashLimit`].
+pub const MAX_CRASHES_PER_CONTENT: usize = 16;
+/// By how much, in thousandths of a full crash, the evidence may fall short of a threshold and still reach it.
+/// Without it, the unrelated failure of one more engine at the same time would lower the evidence below the
+/// threshold, and the content would crash another engine before it is blocked.
+const THRESHOLD_TOLERANCE: u32 = 500;
+/// Number of fully weighted crashes from which on a content is suspect: its requests are isolated from other
+/// requests, and its crashes are sent to peers repeatedly.
+pub const SUSPECT_THRESHOLD: u32 = 2;
+
+/// Number of fully weighted crashes that block a content, set by the operator; 0 disables blocking.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashLimit(pub u32);
 
-/// The start of an upstream that does not say when it was.
-pub const UNKNOWN_START: u64 = 0;
-/// Times of day of one upstream's end that differ by less, in milliseconds, are those of one end: observers
-/// differ in what it took them to notice, and in their clocks.
-pub const SAME_END_MS: u64 = 1_000;
+/// [`CrashId::time_ms`] of an upstream that does not report when its process started.
+pub const UNKNOWN_START_TIME: u64 = 0;
+/// With [`CrashTimestamp::ObservedCrash`], two times of an upstream's crash that differ by less than this many
+/// milliseconds belong to the same crash: routers differ in how fast they notice a crash, and in their clocks.
+pub const CRASH_TIME_TOLERANCE_MS: u64 = 1_000;
 
-/// What [`UpstreamEnd::start`] is.
+/// Which time [`CrashId::time_ms`] holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndsBy {
-    /// The start that the upstream names, the same for all observers. An upstream may start again at once, so
-    /// that any other number is another end.
-    Start,
-    /// An observer's time of day.
-    TimeOfDay,
+pub enum CrashTimestamp {
+    /// The start time of the process, as the upstream reports it, so all routers have the same number. Any other
+    /// number is another crash, as an upstream may restart within milliseconds.
+    ProcessStart,
+    /// The wall clock time at which a router observed the crash.
+    ObservedCrash,
 }
 
-impl EndsBy {
-    /// By how much the numbers of one end differ at most.
+impl CrashTimestamp {
+    /// Maximum difference between the times that two routers have for the same crash.
     fn tolerance_ms(self) -> u64 {
         match self {
-            Self::Start => 0,
-            Self::TimeOfDay => SAME_END_MS - 1,
+            Self::ProcessStart => 0,
+            Self::ObservedCrash => CRASH_TIME_TOLERANCE_MS - 1,
         }
     }
 }
 
-/// The end of one start of an upstream.
+/// Identity of an upstream's crash, by which observations of one crash by several routers are merged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct UpstreamEnd {
-    /// A hash of its name.
+pub struct CrashId {
+    /// Hash of the upstream's name.
     pub upstream: u64,
-    /// What distinguishes its ends, as a Unix time in milliseconds: when it had started; where it does
-    /// not say, [`UNKNOWN_START`] if each start has a name of its own, else when it ended.
-    pub start: u64,
+    /// Unix time in milliseconds that distinguishes crashes of the same upstream: with
+    /// [`CrashTimestamp::ProcessStart`] the start of the process that crashed, or [`UNKNOWN_START_TIME`] if the
+    /// upstream does not report the start (then each process has an upstream name of its own); with
+    /// [`CrashTimestamp::ObservedCrash`] the time of the crash.
+    #[serde(rename = "start")]
+    pub time_ms: u64,
 }
 
-/// An upstream ended while it ran a content.
+/// The crash of an upstream during the execution of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// Which.
-    pub end: UpstreamEnd,
-    /// When.
+    /// Identity of the crash.
+    pub id: CrashId,
+    /// Time of the crash.
     pub at: Instant,
-    /// How long the content had been there.
+    /// Time from the sending of the request to the crash.
     pub ran_for: Duration,
-    /// What was around it.
-    pub surroundings: Surroundings,
-    /// Whether the content ran to its end a moment before, or anywhere since.
-    pub excused: bool,
+    /// The other upstreams of the service at the time of the crash.
+    pub context: CrashContext,
+    /// Whether the crash is no evidence against the content, as a request with the content completed shortly
+    /// before the crash, or at any upstream afterwards.
+    pub is_disregarded: bool,
 }
 
-/// What is known against a content.
+/// The crashes that count against a content, taken together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Evidence {
-    /// Ends that count, whatever they weigh.
-    pub ends: usize,
-    /// What they weigh together, in thousandths of an end that nothing else explains.
+    /// Number of crashes that count, whatever their weight.
+    pub crash_count: usize,
+    /// Sum of the weights of these crashes, in thousandths of [`Weight::FULL`].
     pub thousandths: u32,
 }
 
 impl Evidence {
-    /// Whether it amounts to this number of ends that nothing else explains, or more.
-    pub fn is_ends(self, ends: u32) -> bool {
-        self.thousandths + ROUNDING >= ends * Weight::FULL.thousandths()
+    /// Whether the sum of the weights amounts to this number of crashes of full weight, or falls short of it by
+    /// at most half a crash.
+    pub fn reaches(self, full_crashes: u32) -> bool {
+        self.thousandths + THRESHOLD_TOLERANCE >= full_crashes * Weight::FULL.thousandths()
     }
 }
 
-/// What may be done with a content.
+/// Whether requests with a content may be sent, by the crashes recorded for the content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// Little or nothing is known against it.
-    Harmless,
-    /// It may be what ended [`SUSPECT_FROM`] upstreams or more: it is sent where it harms least.
+pub enum ContentStatus {
+    /// The evidence is below [`SUSPECT_THRESHOLD`]: requests are sent like any other.
+    Normal,
+    /// The evidence reaches [`SUSPECT_THRESHOLD`]: requests are sent where a crash interrupts the fewest others.
     Suspect,
-    /// It ended too many: it is sent to no upstream.
-    Stopped,
+    /// The evidence reaches the [`CrashLimit`]: requests are sent to no upstream.
+    Blocked,
 }
 
-/// What a router reports to its peers of a content.
+/// The crashes of one content, as a router reports them to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContentReport {
-    /// The content.
+    /// Key of the content.
     pub content: ContentKey,
-    /// The ends that are known.
+    /// The crashes that the router has recorded for the content, including disregarded ones.
     pub crashes: Vec<ReportedCrash>,
 }
 
-/// What a router reports to its peers of an end.
+/// A [`Crash`] as a router reports it to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedCrash {
-    /// Which.
-    pub end: UpstreamEnd,
-    /// How long ago, in milliseconds.
+    /// Identity of the crash.
+    #[serde(rename = "end")]
+    pub id: CrashId,
+    /// Time since the crash when the report was sent, in milliseconds.
     pub age_ms: u32,
-    /// How long the content had been there, in milliseconds.
+    /// Time from the sending of the request to the crash, in milliseconds.
     pub ran_ms: u32,
-    /// What was around it.
-    pub surroundings: Surroundings,
-    /// Whether the content ran to its end a moment before, or anywhere since.
-    pub excused: bool,
+    /// The other upstreams of the service at the time of the crash.
+    #[serde(rename = "surroundings")]
+    pub context: CrashContext,
+    /// Whether the crash is no evidence against the content; see [`Crash::is_disregarded`].
+    #[serde(rename = "excused")]
+    pub is_disregarded: bool,
 }
 
 impl ReportedCrash {
-    /// The end as it is received now, `way` later than it was reported.
-    fn received(&self, way: Duration, now: Instant) -> Crash {
-        let age = Duration::from_millis(self.age_ms.into()) + way;
+    /// Converts a report that is received at `now`, `transit_time` after its peer sent it.
+    fn received(&self, transit_time: Duration, now: Instant) -> Crash {
+        let age = Duration::from_millis(self.age_ms.into()) + transit_time;
         Crash {
-            end: self.end,
-            // A moment before this machine's clock began is as good as its beginning.
+            id: self.id,
+            // A time before the earliest `Instant` of this machine is replaced by the present time.
             at: now.checked_sub(age).unwrap_or(now),
             ran_for: Duration::from_millis(self.ran_ms.into()),
-            surroundings: self.surroundings.clone(),
-            excused: self.excused,
+            context: self.context.clone(),
+            is_disregarded: self.is_disregarded,
         }
     }
 }
 
-/// Contents and the ends that are known of each.
+/// The recorded crashes of each content, and the decisions that follow from them.
 #[derive(Clone, Debug)]
-pub struct CrashBook {
+pub struct CrashRegistry {
     limit: CrashLimit,
-    ends_by: EndsBy,
-    records: HashMap<ContentKey, Record>,
-    /// Contents that the operator has cleared: they are never stopped.
+    timestamp: CrashTimestamp,
+    records: HashMap<ContentKey, ContentRecord>,
+    /// Contents that the operator has cleared: they are never blocked.
     cleared: HashSet<ContentKey>,
 }
 
-impl CrashBook {
-    /// A book that knows nothing.
-    pub fn new(limit: CrashLimit, ends_by: EndsBy) -> Self {
+impl CrashRegistry {
+    /// Creates a registry without any crashes.
+    pub fn new(limit: CrashLimit, timestamp: CrashTimestamp) -> Self {
         Self {
             limit,
-            ends_by,
+            timestamp,
             records: HashMap::new(),
             cleared: HashSet::new(),
         }
     }
 
-    /// Sets what the operator wants.
-    pub fn set_bounds(&mut self, limit: CrashLimit, cleared: HashSet<ContentKey>) {
+    /// Applies the operator's settings; `cleared` replaces the former set of contents that are never blocked.
+    pub fn configure(&mut self, limit: CrashLimit, cleared: HashSet<ContentKey>) {
         self.limit = limit;
         self.cleared = cleared;
     }
 
-    /// Ends that stop a content.
+    /// Number of crashes of full weight that block a content; 0 if blocking is disabled.
     pub fn limit(&self) -> CrashLimit {
         self.limit
     }
 
-    /// Whether the operator has cleared a content.
+    /// Whether the operator has cleared a content, so that the content is never blocked.
     pub fn is_cleared(&self, content: ContentKey) -> bool {
         self.cleared.contains(&content)
     }
 
-    /// Whether nothing is known against any content.
+    /// Whether no crash is recorded for any content, disregarded crashes included.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Whether something is known against a content.
-    pub fn knows(&self, content: ContentKey) -> bool {
+    /// Whether a crash is recorded for a content, disregarded crashes included.
+    pub fn contains(&self, content: ContentKey) -> bool {
         self.records.contains_key(&content)
     }
 
-    /// Records an end; returns whether it is new.
+    /// Records a crash that this router observed. Returns whether the crash is new, or adds information to an
+    /// earlier observation of the same crash.
     pub fn record(&mut self, content: ContentKey, crash: Crash, now: Instant) -> bool {
-        self.forget_old(now);
+        self.remove_expired(now);
         let is_new = self.add(content, crash);
-        self.make_room(content, now);
+        self.evict_excess(content, now);
         is_new
     }
 
-    /// Adds what a peer reported; returns the contents of which something was new.
+    /// Merges the reports of a peer. Returns the contents for which a report added crashes or information.
     pub fn merge(&mut self, reports: &[ContentReport], now: Instant) -> Vec<ContentKey> {
-        self.forget_old(now);
+        self.remove_expired(now);
         let mut changed = Vec::new();
         for report in reports {
             let mut is_new = false;
-            let way = self.time_on_the_way(report, now);
-            for reported in report.crashes.iter().take(MAX_CRASHES) {
-                let crash = reported.received(way, now);
-                let is_over = now.saturating_duration_since(crash.at) >= CRASH_TTL;
-                is_new |= !is_over && self.add(report.content, crash);
+            let transit_time = self.extra_transit_time(report, now);
+            for reported in report.crashes.iter().take(MAX_CRASHES_PER_CONTENT) {
+                let crash = reported.received(transit_time, now);
+                let is_expired = now.saturating_duration_since(crash.at) >= CRASH_TTL;
+                is_new |= !is_expired && self.add(report.content, crash);
             }
             if is_new {
                 changed.push(report.content);
             }
-            self.make_room(report.content, now);
+            self.evict_excess(report.content, now);
         }
         changed
     }
 
-    /// How much longer a report was on its way than those from which its ends are known; zero where none
-    /// is. Its ends would else seem later than they are beside the known ones, and runs in turn would seem to
-    /// have been under way at once.
-    fn time_on_the_way(&self, report: &ContentReport, now: Instant) -> Duration {
+    /// How much longer a report was in transit than the reports by which its crashes are already known; zero if
+    /// none of them is known.
+    ///
+    /// Without this correction, the new crashes of a delayed report would appear later relative to the known ones,
+    /// and sequential executions would appear to overlap.
+    fn extra_transit_time(&self, report: &ContentReport, now: Instant) -> Duration {
         let Some(record) = self.records.get(&report.content) else {
             return Duration::ZERO;
         };
-        let ways = report.crashes.iter().filter_map(|reported| {
-            let known = record.ended_at(reported.end)?;
+        let delays = report.crashes.iter().filter_map(|reported| {
+            let recorded_at = record.crash_time(reported.id)?;
             let received = reported.received(Duration::ZERO, now);
-            Some(received.at.saturating_duration_since(known))
+            Some(received.at.saturating_duration_since(recorded_at))
         });
-        ways.min().unwrap_or_default()
+        delays.min().unwrap_or_default()
     }
 
-    /// When an end was that is known of any content, as its first observer saw it. Times of day do not tell an
-    /// upstream's end from its next one that closely.
-    pub fn ended_at(&self, end: UpstreamEnd) -> Option<Instant> {
-        if self.ends_by == EndsBy::TimeOfDay {
+    /// The earliest time at which a router observed a crash, as recorded for any content; `None` if no content
+    /// has the crash.
+    ///
+    /// Also `None` with [`CrashTimestamp::ObservedCrash`]: wall clock times are not exact enough to distinguish a
+    /// crash of an upstream from the next one shortly after.
+    pub fn crash_time(&self, crash: CrashId) -> Option<Instant> {
+        if self.timestamp == CrashTimestamp::ObservedCrash {
             return None;
         }
         let records = self.records.values();
-        records.filter_map(|record| record.ended_at(end)).min()
+        records.filter_map(|record| record.crash_time(crash)).min()
     }
 
     fn add(&mut self, content: ContentKey, crash: Crash) -> bool {
         let record = self.records.entry(content);
         record
-            .or_insert_with(|| Record::new(self.ends_by))
+            .or_insert_with(|| ContentRecord::new(self.timestamp))
             .add(crash)
     }
 
-    /// Records that a content ran to its end: what ended while it ran did not end by it. Returns
-    /// whether that changes what is known.
+    /// Records that a request with a content completed: the crashes recorded for the content so far are
+    /// disregarded, as the content did not cause them. Returns whether this changed any crash.
     pub fn on_completed(&mut self, content: ContentKey) -> bool {
         let record = self.records.get_mut(&content);
-        record.is_some_and(Record::excuse)
+        record.is_some_and(ContentRecord::disregard_all)
     }
 
-    /// What may be done with a content.
-    pub fn verdict(&self, content: ContentKey, now: Instant) -> Verdict {
+    /// Whether requests with a content may be sent, by the recorded crashes and the operator's settings.
+    pub fn status(&self, content: ContentKey, now: Instant) -> ContentStatus {
         let evidence = self.evidence_with(content, [], now);
         let CrashLimit(limit) = self.limit;
-        if limit > 0 && evidence.is_ends(limit) && !self.is_cleared(content) {
-            Verdict::Stopped
-        } else if evidence.is_ends(SUSPECT_FROM) {
-            Verdict::Suspect
+        if limit > 0 && evidence.reaches(limit) && !self.is_cleared(content) {
+            ContentStatus::Blocked
+        } else if evidence.reaches(SUSPECT_THRESHOLD) {
+            ContentStatus::Suspect
         } else {
-            Verdict::Harmless
+            ContentStatus::Normal
         }
     }
 
-    /// What is known against a content, in thousandths of an end that nothing else explains.
-    pub fn evidence(&self, content: ContentKey, now: Instant) -> u32 {
+    /// Sum of the weights of the crashes that count against a content, in thousandths of [`Weight::FULL`].
+    pub fn evidence_thousandths(&self, content: ContentKey, now: Instant) -> u32 {
         self.evidence_with(content, [], now).thousandths
     }
 
-    /// What would be known against a content if these were ends under it, too.
+    /// The evidence against a content, with `crashes` added to the recorded crashes. Records nothing.
     pub fn evidence_with(
         &self,
         content: ContentKey,
@@ -300,90 +320,100 @@
         now: Instant,
     ) -> Evidence {
         let mut crashes = crashes.into_iter().peekable();
-        let known = self.records.get(&content);
+        let recorded = self.records.get(&content);
         if crashes.peek().is_none() {
-            return known.map_or(Evidence::default(), |record| record.evidence(now));
+            return recorded.map_or(Evidence::default(), |record| record.evidence(now));
         }
-        let mut record = known.cloned().unwrap_or_else(|| Record::new(self.ends_by));
+        let mut record = recorded
+            .cloned()
+            .unwrap_or_else(|| ContentRecord::new(self.timestamp));
         for crash in crashes {
             record.add(crash);
         }
         record.evidence(now)
     }
 
-    /// The longest time for which an upstream had run a content when it ended; zero where none did.
-    pub fn longest_run(&self, content: ContentKey, now: Instant) -> Duration {
+    /// The longest time for which an upstream had a request with the content before the upstream crashed, among
+    /// the crashes that count; zero without such a crash.
+    pub fn longest_execution(&self, content: ContentKey, now: Instant) -> Duration {
         let record = self.records.get(&content);
-        record.map_or(Duration::ZERO, |record| record.longest_run(now))
+        record.map_or(Duration::ZERO, |record| record.longest_execution(now))
     }
 
-    /// Number of ends that are known of a content and count, whatever they weigh.
-    pub fn crashes(&self, content: ContentKey, now: Instant) -> usize {
-        self.evidence_with(content, [], now).ends
+    /// Number of crashes that count against a content, whatever their weight.
+    pub fn crash_count(&self, content: ContentKey, now: Instant) -> usize {
+        self.evidence_with(content, [], now).crash_count
     }
 
-    /// The contents of which the verdict has become [`Verdict::Stopped`], or is no longer, since this
-    /// was asked last.
-    pub fn changed_stops(&mut self, now: Instant) -> ChangedStops {
-        let stopped: HashSet<ContentKey> = self.stopped(now).into_iter().collect();
-        let mut changed = ChangedStops::default();
+    /// Returns the contents that were blocked or unblocked since the last call.
+    pub fn take_block_changes(&mut self, now: Instant) -> BlockChanges {
+        let blocked: HashSet<ContentKey> = self.blocked(now).into_iter().collect();
+        let mut changed = BlockChanges::default();
         for (content, record) in &mut self.records {
-            let is_stopped = stopped.contains(content);
-            match (record.was_stopped, is_stopped) {
-                (false, true) => changed.stopped.push(*content),
-                (true, false) => changed.lifted.push(*content),
+            let is_blocked = blocked.contains(content);
+            match (record.was_blocked, is_blocked) {
+                (false, true) => changed.blocked.push(*content),
+                (true, false) => changed.unblocked.push(*content),
                 _ => {}
             }
-            record.was_stopped = is_stopped;
+            record.was_blocked = is_blocked;
         }
         changed
     }
 
-    /// The contents that are stopped.
-    pub fn stopped(&self, now: Instant) -> Vec<ContentKey> {
-        self.with_verdict(now, |verdict| verdict == Verdict::Stopped)
+    /// The contents whose status is [`ContentStatus::Blocked`].
+    pub fn blocked(&self, now: Instant) -> Vec<ContentKey> {
+        self.with_status(now, |status| status == ContentStatus::Blocked)
     }
 
-    /// The contents against which at least so much is known, in thousandths of an end that nothing else
-    /// explains.
-    pub fn with_evidence(&self, least: u32, now: Instant) -> Vec<ContentKey> {
+    /// The contents against which the evidence is at least `min_thousandths`, in thousandths of [`Weight::FULL`].
+    pub fn contents_with_evidence(&self, min_thousandths: u32, now: Instant) -> Vec<ContentKey> {
         let contents = self.records.keys().copied();
         contents
-            .filter(|content| self.evidence(*content, now) >= least)
+            .filter(|content| self.evidence_thousandths(*content, now) >= min_thousandths)
             .collect()
     }
 
-    /// The contents that are suspect or stopped: few, and what peers should know.
-    pub fn suspects(&self, now: Instant) -> Vec<ContentKey> {
-        self.with_verdict(now, |verdict| verdict != Verdict::Harmless)
+    /// The contents whose status is [`ContentStatus::Suspect`] or [`ContentStatus::Blocked`]. Routers send only
+    /// these to peers repeatedly.
+    pub fn suspect_or_blocked(&self, now: Instant) -> Vec<ContentKey> {
+        self.with_status(now, |status| status != ContentStatus::Normal)
     }
 
-    fn with_verdict(&self, now: Instant, is_wanted: impl Fn(Verdict) -> bool) -> Vec<ContentKey> {
+    fn with_status(
+        &self,
+        now: Instant,
+        is_wanted: impl Fn(ContentStatus) -> bool,
+    ) -> Vec<ContentKey> {
         let contents = self.records.iter();
-        let struck = contents.filter(|(_, r)| r.count(now) >= SUSPECT_FROM as usize);
-        let keys = struck.map(|(content, _)| *content);
-        keys.filter(|content| is_wanted(self.verdict(*content, now)))
+        // A content with fewer crashes is not suspect, as no crash weighs more than a full one.
+        let candidates = contents.filter(|(_, r)| r.count(now) >= SUSPECT_THRESHOLD as usize);
+        let keys = candidates.map(|(content, _)| *content);
+        keys.filter(|content| is_wanted(self.status(*content, now)))
             .collect()
     }
 
-    /// What is reported to peers of contents.
+    /// Builds the reports on some contents for peers; a content without a recorded crash is left out.
     pub fn reports(&self, contents: &[ContentKey], now: Instant) -> Vec<ContentReport> {
-        let known = contents.iter().filter_map(|content| {
+        let reports = contents.iter().filter_map(|content| {
             let record = self.records.get(content)?;
             Some(ContentReport {
                 content: *content,
-                crashes: record.reported(now),
+                crashes: record.to_reports(now),
             })
         });
-        known.filter(|report| !report.crashes.is_empty()).collect()
+        reports
+            .filter(|report| !report.crashes.is_empty())
+            .collect()
     }
 
-    fn forget_old(&mut self, now: Instant) {
-        self.records.retain(|_, record| record.forget_old(now));
+    fn remove_expired(&mut self, now: Instant) {
+        self.records.retain(|_, record| record.remove_expired(now));
     }
 
-    /// Keeps to [`MAX_CONTENTS`]; the newest content stays.
-    fn make_room(&mut self, newest: ContentKey, now: Instant) {
+    /// Evicts the content with the fewest counted crashes, and of these the one whose latest crash is the oldest,
+    /// if there are more than [`MAX_CONTENTS`]. `newest`, the content added last, is not evicted.
+    fn evict_excess(&mut self, newest: ContentKey, now: Instant) {
         if self.records.len() <= MAX_CONTENTS {
             return;
         }
@@ -391,18 +421,18 @@
             .records
             .iter()
             .filter(|(content, _)| **content != newest);
-        let least = others.min_by_key(|(_, record)| (record.count(now), record.latest()));
+        let least = others.min_by_key(|(_, record)| (record.count(now), record.latest_crash()));
         if let Some(content) = least.map(|(content, _)| *content) {
             self.records.remove(&content);
         }
     }
 }
 
-/// Contents whose verdict has changed.
+/// Contents that were blocked or unblocked since [`CrashRegistry::take_block_changes`] was called before.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ChangedStops {
-    /// Those that are stopped now.
-    pub stopped: Vec<ContentKey>,
-    /// Those that no longer are.
-    pub lifted: Vec<ContentKey>,
+pub struct BlockChanges {
+    /// Contents that are now blocked.
+    pub blocked: Vec<ContentKey>,
+    /// Contents that are no longer blocked.
+    pub unblocked: Vec<ContentKey>,
 }
--- a/crates/shared/cloverpier_crashes/src/registry/record.rs
+++ b/crates/shared/cloverpier_crashes/src/registry/record.rs
@@ -1,197 +1,216 @@
-//! The ends that are known of one content.
+//! The crashes recorded for one request content: merging of observations, and the evidence they amount to.
 //!
-//! Relies on [`super::CrashBook`] for whom it is reported to and what follows.
+//! Owns these crashes. Relies on [`super::CrashRegistry`], which adds crashes and compares the evidence with the
+//! thresholds, and on [`crate::weight`] for the weight of a crash.
 
 use super::{
-    CRASH_TTL, Crash, EndsBy, Evidence, MAX_CRASHES, ReportedCrash, UNKNOWN_START, UpstreamEnd,
+    CRASH_TTL, Crash, CrashId, CrashTimestamp, Evidence, MAX_CRASHES_PER_CONTENT, ReportedCrash,
+    UNKNOWN_START_TIME,
 };
-use crate::weight::{EndedRun, OwnEnd, Surroundings, Weight};
+use crate::weight::{CrashContext, CrashedExecution, ExecutionOrder, Weight};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// One end.
+/// One crash under the content, merged from all observations.
 #[derive(Clone, Debug)]
-struct Known {
+struct RecordedCrash {
+    /// The earliest time that an observer has for the crash.
     at: Instant,
+    /// The longest time that an observer has from the sending of the request to the crash.
     ran_for: Duration,
-    surroundings: Surroundings,
-    /// Whether the content ran to its end since.
-    excused: bool,
+    context: CrashContext,
+    /// See [`Crash::is_disregarded`].
+    is_disregarded: bool,
 }
 
-impl Known {
-    fn counts(&self, now: Instant) -> bool {
-        !self.excused && !self.is_over(now)
+impl RecordedCrash {
+    fn is_counted(&self, now: Instant) -> bool {
+        !self.is_disregarded && !self.is_expired(now)
     }
 
-    fn run(&self) -> EndedRun {
-        EndedRun {
+    fn execution(&self) -> CrashedExecution {
+        CrashedExecution {
             at: self.at,
             ran_for: self.ran_for,
         }
     }
 
-    fn is_over(&self, now: Instant) -> bool {
+    fn is_expired(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.at) >= CRASH_TTL
     }
 }
 
-/// The ends of one content.
+/// The crashes recorded for one content.
 #[derive(Clone, Debug)]
-pub(super) struct Record {
-    ends_by: EndsBy,
-    ends: BTreeMap<UpstreamEnd, Known>,
-    /// Whether it was stopped when that was asked last.
-    pub(super) was_stopped: bool,
+pub(super) struct ContentRecord {
+    timestamp: CrashTimestamp,
+    crashes: BTreeMap<CrashId, RecordedCrash>,
+    /// Whether the content was blocked at the last call of [`super::CrashRegistry::take_block_changes`].
+    pub(super) was_blocked: bool,
 }
 
-impl Record {
-    /// A content of which nothing is known.
-    pub(super) fn new(ends_by: EndsBy) -> Self {
+impl ContentRecord {
+    /// Creates the record of a content without any crashes.
+    pub(super) fn new(timestamp: CrashTimestamp) -> Self {
         Self {
-            ends_by,
-            ends: BTreeMap::new(),
-            was_stopped: false,
+            timestamp,
+            crashes: BTreeMap::new(),
+            was_blocked: false,
         }
     }
 
-    /// Adds what is known of an end: the earliest time, all that was around it, any excuse. Returns
-    /// whether that is more than was known.
+    /// Adds an observation of a crash. With an earlier observation of the same crash, keeps the earlier time, the
+    /// longer execution and the union of concurrent failures; the crash is disregarded if either observation is.
+    /// Returns whether the crash is new, its context has changed, or it is now disregarded.
     pub(super) fn add(&mut self, crash: Crash) -> bool {
-        let excused = crash.excused;
-        let end = self.known_as(crash.end);
-        if let Some(known) = self.ends.get_mut(&end) {
-            let has_more = known.surroundings.merge(&crash.surroundings);
-            let is_new_excuse = excused && !known.excused;
-            known.at = known.at.min(crash.at);
-            known.ran_for = known.ran_for.max(crash.ran_for);
-            known.excused |= excused;
-            return has_more || is_new_excuse;
+        let is_disregarded = crash.is_disregarded;
+        let id = self.matching_id(crash.id);
+        if let Some(recorded) = self.crashes.get_mut(&id) {
+            let has_changed_context = recorded.context.merge(&crash.context);
+            let is_newly_disregarded = is_disregarded && !recorded.is_disregarded;
+            recorded.at = recorded.at.min(crash.at);
+            recorded.ran_for = recorded.ran_for.max(crash.ran_for);
+            recorded.is_disregarded |= is_disregarded;
+            return has_changed_context || is_newly_disregarded;
         }
-        let known = Known {
+        let recorded = RecordedCrash {
             at: crash.at,
             ran_for: crash.ran_for,
-            surroundings: crash.surroundings,
-            excused,
+            context: crash.context,
+            is_disregarded,
         };
-        self.ends.insert(end, known);
-        self.make_room();
-        self.ends.contains_key(&end)
-    }
-
-    /// An end as it is known already, if it is.
-    fn known_as(&self, end: UpstreamEnd) -> UpstreamEnd {
-        let tolerance = self.ends_by.tolerance_ms();
-        let least = end.start.saturating_sub(tolerance);
-        let most = end.start.saturating_add(tolerance);
-        let same_upstream = |start| UpstreamEnd { start, ..end };
-        let near = same_upstream(least)..=same_upstream(most);
-        let known = self.ends.range(near).map(|(known, _)| *known);
-        // No time is near an unknown one.
-        known
-            .filter(|known| (known.start == UNKNOWN_START) == (end.start == UNKNOWN_START))
-            .min_by_key(|known| known.start.abs_diff(end.start))
-            .unwrap_or(end)
-    }
-
-    /// When a known end was.
-    pub(super) fn ended_at(&self, end: UpstreamEnd) -> Option<Instant> {
-        let known = self.ends.get(&self.known_as(end))?;
-        Some(known.at)
-    }
-
-    /// Keeps to [`MAX_CRASHES`]: what is excused goes first, then what is old.
-    fn make_room(&mut self) {
-        if self.ends.len() <= MAX_CRASHES {
+        self.crashes.insert(id, recorded);
+        self.evict_excess();
+        self.crashes.contains_key(&id)
+    }
+
+    /// The id under which the same crash is recorded: the nearest one of the same upstream within the tolerance of
+    /// the timestamp. Returns `id` itself if the crash is not recorded.
+    fn matching_id(&self, id: CrashId) -> CrashId {
+        let tolerance = self.timestamp.tolerance_ms();
+        let min = id.time_ms.saturating_sub(tolerance);
+        let max = id.time_ms.saturating_add(tolerance);
+        let same_upstream = |time_ms| CrashId { time_ms, ..id };
+        let near = same_upstream(min)..=same_upstream(max);
+        let recorded = self.crashes.range(near).map(|(recorded, _)| *recorded);
+        // The value for an unknown start is no time: it matches only itself.
+        recorded
+            .filter(|r| (r.time_ms == UNKNOWN_START_TIME) == (id.time_ms == UNKNOWN_START_TIME))
+            .min_by_key(|r| r.time_ms.abs_diff(id.time_ms))
+            .unwrap_or(id)
+    }
+
+    /// The earliest time that an observer has for a crash; `None` if the crash is not recorded.
+    pub(super) fn crash_time(&self, id: CrashId) -> Option<Instant> {
+        let recorded = self.crashes.get(&self.matching_id(id))?;
+        Some(recorded.at)
+    }
+
+    /// Evicts one crash if there are more than [`MAX_CRASHES_PER_CONTENT`]: the oldest disregarded crash, or the
+    /// oldest one if none is disregarded.
+    fn evict_excess(&mut self) {
+        if self.crashes.len() <= MAX_CRASHES_PER_CONTENT {
             return;
         }
-        let least = self.ends.iter().min_by_key(|(_, k)| (!k.excused, k.at));
-        if let Some(end) = least.map(|(end, _)| *end) {
-            self.ends.remove(&end);
+        let least = self
+            .crashes
+            .iter()
+            .min_by_key(|(_, crash)| (!crash.is_disregarded, crash.at));
+        if let Some(id) = least.map(|(id, _)| *id) {
+            self.crashes.remove(&id);
         }
     }
 
-    /// Excuses all ends that are known; returns whether one was not excused.
-    pub(super) fn excuse(&mut self) -> bool {
-        let mut is_new = false;
-        for known in self.ends.values_mut() {
-            is_new |= !std::mem::replace(&mut known.excused, true);
+    /// Disregards all recorded crashes. Returns whether one of them was not disregarded before.
+    pub(super) fn disregard_all(&mut self) -> bool {
+        let mut has_changed = false;
+        for crash in self.crashes.values_mut() {
+            has_changed |= !std::mem::replace(&mut crash.is_disregarded, true);
         }
-        is_new
+        has_changed
     }
 
-    /// The ends that count, and what each does. One of a start that its observer did not know is the
-    /// same as one of a known start of that upstream.
-    pub(super) fn counting(&self, now: Instant) -> impl Iterator<Item = (&UpstreamEnd, Weight)> {
-        let counting = self.ends.iter().filter(move |(end, known)| {
-            known.counts(now) && !(end.start == UNKNOWN_START && self.knows_start_of(end.upstream))
+    /// The crashes that count, with their weights. A crash with an unknown start time is left out if another crash
+    /// of the same upstream has a start time: both are taken for the same crash.
+    pub(super) fn counted(&self, now: Instant) -> impl Iterator<Item = (&CrashId, Weight)> {
+        let counted = self.crashes.iter().filter(move |(id, crash)| {
+            crash.is_counted(now)
+                && !(id.time_ms == UNKNOWN_START_TIME && self.has_known_start(id.upstream))
         });
-        counting.map(move |(end, known)| {
-            let own = |upstream| self.own_end(upstream, known);
-            (end, known.surroundings.weight(own))
+        counted.map(move |(id, crash)| {
+            let same_request = |upstream| self.execution_order(upstream, crash);
+            (id, crash.context.weight(same_request))
         })
     }
 
-    /// How an upstream's end came about beside a known one, if the content ran there, too.
-    fn own_end(&self, upstream: u64, beside: &Known) -> Option<OwnEnd> {
-        let ends = self.ends.iter().filter(|(end, _)| end.upstream == upstream);
-        // Of several starts the one that ended nearest in time.
-        let apart = |known: &Known| known.at.max(beside.at) - known.at.min(beside.at);
-        let (_, nearest) = ends.min_by_key(|(_, known)| apart(known))?;
-        Some(OwnEnd::of_runs(nearest.run(), beside.run()))
+    /// Whether the executions of the content at `upstream` and in `crash` overlapped; `None` if no crash of
+    /// `upstream` is recorded for the content.
+    fn execution_order(&self, upstream: u64, crash: &RecordedCrash) -> Option<ExecutionOrder> {
+        let others = self
+            .crashes
+            .iter()
+            .filter(|(id, _)| id.upstream == upstream);
+        // Of several crashes of the upstream, the nearest in time is compared.
+        let distance = |other: &RecordedCrash| other.at.max(crash.at) - other.at.min(crash.at);
+        let (_, nearest) = others.min_by_key(|(_, other)| distance(other))?;
+        Some(ExecutionOrder::of(nearest.execution(), crash.execution()))
     }
 
-    fn knows_start_of(&self, upstream: u64) -> bool {
-        let mut ends = self.ends.keys().filter(|end| end.upstream == upstream);
-        ends.any(|end| end.start != UNKNOWN_START)
+    fn has_known_start(&self, upstream: u64) -> bool {
+        let mut ids = self.crashes.keys().filter(|id| id.upstream == upstream);
+        ids.any(|id| id.time_ms != UNKNOWN_START_TIME)
     }
 
-    /// What the ends that count do together.
+    /// The number and the total weight of the crashes that count.
     pub(super) fn evidence(&self, now: Instant) -> Evidence {
-        let weights = self.counting(now).map(|(_, weight)| weight.thousandths());
+        let weights = self.counted(now).map(|(_, weight)| weight.thousandths());
         weights.fold(Evidence::default(), |sum, weight| Evidence {
-            ends: sum.ends + 1,
+            crash_count: sum.crash_count + 1,
             thousandths: sum.thousandths + weight,
         })
     }
 
-    /// The longest time for which the content had been at an upstream that ended under it.
-    pub(super) fn longest_run(&self, now: Instant) -> Duration {
-        let counting = self.ends.values().filter(|known| known.counts(now));
-        let longest = counting.map(|known| known.ran_for).max();
+    /// The longest execution of the content that ended with a crash, among the crashes that count; zero without
+    /// such a crash.
+    pub(super) fn longest_execution(&self, now: Instant) -> Duration {
+        let counted = self.crashes.values().filter(|crash| crash.is_counted(now));
+        let longest = counted.map(|crash| crash.ran_for).max();
         longest.unwrap_or_default()
     }
 
-    /// Number of ends that count.
+    /// Number of crashes that count, whatever their weight.
     pub(super) fn count(&self, now: Instant) -> usize {
-        self.counting(now).count()
+        self.counted(now).count()
     }
 
-    /// When the newest end was; `None` without one.
-    pub(super) fn latest(&self) -> Option<Instant> {
-        self.ends.values().map(|known| known.at).max()
+    /// Time of the latest crash, disregarded crashes included; `None` without a crash.
+    pub(super) fn latest_crash(&self) -> Option<Instant> {
+        self.crashes.values().map(|crash| crash.at).max()
     }
 
-    /// What is reported to peers.
-    pub(super) fn reported(&self, now: Instant) -> Vec<ReportedCrash> {
-        let ends = self.ends.iter().filter(|(_, known)| !known.is_over(now));
-        let reported = ends.map(|(end, known)| {
-            let age = now.saturating_duration_since(known.at);
+    /// Reports to peers all crashes that have not expired.
+    pub(super) fn to_reports(&self, now: Instant) -> Vec<ReportedCrash> {
+        let current = self
+            .crashes
+            .iter()
+            .filter(|(_, crash)| !crash.is_expired(now));
+        let reported = current.map(|(id, crash)| {
+            let age = now.saturating_duration_since(crash.at);
             ReportedCrash {
-                end: *end,
-                // Within an hour, as older ends are left out.
+                id: *id,
+                // Fits: crashes expire after an hour.
                 age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
-                ran_ms: u32::try_from(known.ran_for.as_millis()).unwrap_or(u32::MAX),
-                surroundings: known.surroundings.clone(),
-                excused: known.excused,
+                ran_ms: u32::try_from(crash.ran_for.as_millis()).unwrap_or(u32::MAX),
+                context: crash.context.clone(),
+                is_disregarded: crash.is_disregarded,
             }
         });
         reported.collect()
     }
 
-    /// Drops ends that no longer count; returns whether any is left.
-    pub(super) fn forget_old(&mut self, now: Instant) -> bool {
-        self.ends.retain(|_, known| !known.is_over(now));
-        !self.ends.is_empty()
+    /// Removes crashes that are older than [`CRASH_TTL`]; returns whether any crash is left.
+    pub(super) fn remove_expired(&mut self, now: Instant) -> bool {
+        self.crashes.retain(|_, crash| !crash.is_expired(now));
+        !self.crashes.is_empty()
     }
 }
--- a/crates/shared/cloverpier_crashes/src/tracker/admission.rs
+++ b/crates/shared/cloverpier_crashes/src/tracker/admission.rs
@@ -1,170 +1,189 @@
-//! Whether a request may be sent now.
+//! Decision whether a request may be sent to an upstream now, by the crashes under its content.
 //!
-//! - **Question.** Does a request wait, and for what? If it is sent: like any other, or apart?
-//! - **Inputs.** What is known of its content, the attempts with it that are open or under way.
-//! - **Answer.** A [`Hold`], and an [`Admission`].
-//! - **Why.** One attempt more may end one upstream more. Who waits in vain loses its time instead.
+//! A further attempt may crash a further upstream, while a request that is held back needlessly only loses time. So
+//! a request is held back ([`Hold`]) where its attempt could be one too many, until lost attempts with its content
+//! are resolved or another attempt has run long enough. Then the request is sent normally, isolated, or not at all
+//! ([`Admission`]).
 //!
-//! Owns nothing; the cases are [`super`]'s.
+//! Owns no state: relies on the recorded crashes, the unresolved attempts and the in-flight attempts of the
+//! [`CrashTracker`].
 
-use super::{CrashCases, Neighbours, crash_of, survival_of};
+use super::{CrashTracker, NeighbourCounts, crash_of, survival_time_after};
 use crate::content::ContentKey;
-use crate::in_flight::{AtRisk, AttemptNumber};
-use crate::lost_attempts::{Loss, LostAttempt};
-use crate::recent_failures::EndedUpstream;
-use crate::registry::{CrashLimit, Evidence, SUSPECT_FROM, Verdict};
+use crate::in_flight::{AttemptNumber, AttemptsAtRisk};
+use crate::lost_attempts::{LossCause, LostAttempt};
+use crate::recent_failures::UpstreamEvent;
+use crate::registry::{ContentStatus, CrashLimit, Evidence, SUSPECT_THRESHOLD};
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-/// A request that may have ended two upstreams waits for the judgement of its last attempt for so
-/// long at most: the time to the judgement, and the probe before it.
+/// Maximum time of [`Hold::Briefly`]: enough for a probe of the upstream and the settle delay of a crash.
 pub const MAX_HOLD: Duration = Duration::from_millis(250);
 
-/// Whether a request waits before it is sent.
+/// Whether a request is held back before it is sent, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Hold {
-    /// It does not.
+    /// The request is not held.
     No,
-    /// For [`MAX_HOLD`] at most, until its last attempt is judged: it may be what ended
-    /// [`SUSPECT_FROM`] upstreams, of which repeats that crash one within milliseconds would end
-    /// several before the first end is known.
+    /// Until the last lost attempt is resolved, but at most for [`MAX_HOLD`]. The content may have crashed
+    /// [`SUSPECT_THRESHOLD`] upstreams. If it crashes an upstream within milliseconds, repeats that are not held
+    /// would crash several upstreams before the first crash is known.
     Briefly,
-    /// Until it is known of each attempt whether its upstream ended: if all did, they are as many as stop
-    /// the content, and one more would end.
-    UntilSettled,
-    /// Until another attempt with the content is over, or has run for longer than those that were lost: if it
-    /// ends its upstream, too, one more would be too many. `None` while that one is not sent.
+    /// Until it is known for each lost attempt whether its upstream crashed. If all of them did, these crashes block
+    /// the content, and a further attempt would crash one upstream more.
+    UntilResolved,
+    /// Until another attempt with the content finishes or has run for the survival time: if that attempt crashes its
+    /// upstream, the content is blocked, and a further attempt would crash one upstream more. The time is when the
+    /// first such attempt has run long enough; `None` if none of them is sent yet.
     WhileAnotherRuns(Option<Instant>),
 }
 
 impl Hold {
-    /// Until when a request waits at most that has waited since a moment and whose time is over at
-    /// `deadline`; `None` where it does not wait any more.
+    /// The latest time until which a request is held that has been held since `since` and times out at `deadline`;
+    /// `None` if the request is not held any more.
     pub fn until(self, since: Instant, deadline: Instant, now: Instant) -> Option<Instant> {
         let until = match self {
             Self::No => return None,
             Self::Briefly => deadline.min(since + MAX_HOLD),
-            Self::UntilSettled => deadline,
+            Self::UntilResolved => deadline,
             Self::WhileAnotherRuns(until) => until.map_or(deadline, |until| until.min(deadline)),
         };
         (now < until).then_some(until)
     }
 }
 
-/// How a request may be sent to an upstream.
+/// Whether and how a request may be sent to an upstream, by the crashes under its content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Admission {
-    /// Like any other.
-    Beside,
-    /// Where it meets the fewest others: it may be what ended two upstreams.
-    Apart,
-    /// Not at all.
-    Stopped,
+    /// The request is sent like any other.
+    #[serde(rename = "beside")]
+    Normal,
+    /// The request is sent to the upstream that executes the fewest others, as its content may have crashed
+    /// [`SUSPECT_THRESHOLD`] upstreams.
+    #[serde(rename = "apart")]
+    Isolated,
+    /// The request is sent to no upstream, as its content has crashed too many.
+    #[serde(rename = "stopped")]
+    Blocked,
 }
 
 impl Admission {
-    /// The number that keeps a content apart from others, where it is to be.
-    pub fn apart(self, content: ContentKey) -> Option<u64> {
-        (self == Self::Apart).then(|| content.spread())
+    /// For [`Admission::Isolated`], a hash by which two suspect contents prefer different upstreams, so that they do
+    /// not meet at the same one; else `None`.
+    pub fn isolation_key(self, content: ContentKey) -> Option<u64> {
+        (self == Self::Isolated).then(|| content.placement_hash())
     }
 }
 
-impl CrashCases {
-    /// Whether a request has to wait for the judgement of its last attempts, or for another's. A first
-    /// retry never does.
+impl CrashTracker {
+    /// Whether a request is held back: until lost attempts with its content are resolved, or while another attempt
+    /// with its content runs. With a [`CrashLimit`] of 2 or more, the first retry of a request is not held.
     pub fn hold(
         &self,
         content: ContentKey,
         now: Instant,
-        neighbours: impl Fn(&EndedUpstream) -> Neighbours,
+        neighbours: impl Fn(&UpstreamEvent) -> NeighbourCounts,
     ) -> Hold {
-        self.hold_beside(content, None, now, neighbours)
+        self.hold_excluding(content, None, now, neighbours)
     }
 
-    /// The same for an attempt that was admitted and has waited since then to be sent.
+    /// The same as [`Self::hold`], for an attempt that was admitted but not sent yet; `own` is its number.
     pub fn hold_admitted(
         &self,
         content: ContentKey,
         own: AttemptNumber,
         now: Instant,
-        neighbours: impl Fn(&EndedUpstream) -> Neighbours,
+        neighbours: impl Fn(&UpstreamEvent) -> NeighbourCounts,
     ) -> Hold {
-        self.hold_beside(content, Some(own), now, neighbours)
+        self.hold_excluding(content, Some(own), now, neighbours)
     }
 
-    fn hold_beside(
+    /// Whether a request is held, where the in-flight attempt `own` is not counted.
+    fn hold_excluding(
         &self,
         content: ContentKey,
         own: Option<AttemptNumber>,
         now: Instant,
-        neighbours: impl Fn(&EndedUpstream) -> Neighbours,
+        neighbours: impl Fn(&UpstreamEvent) -> NeighbourCounts,
     ) -> Hold {
-        let CrashLimit(limit) = self.book.limit();
-        let has_open = self.waited_for(content).next().is_some();
+        let CrashLimit(limit) = self.registry.limit();
+        let has_unresolved = self.holding_attempts(content).next().is_some();
         let at_risk = self.at_risk(content, own, now);
-        let is_clear = !has_open && at_risk.count == 0;
-        if limit == 0 || is_clear || self.book.is_cleared(content) {
+        let is_unaffected = !has_unresolved && at_risk.count == 0;
+        if limit == 0 || is_unaffected || self.registry.is_cleared(content) {
             return Hold::No;
         }
-        let at_worst = self.at_worst(content, now, neighbours);
-        let one_too_many = limit.saturating_sub(at_risk.count).max(SUSPECT_FROM);
-        if has_open && at_worst.is_ends(limit) {
-            Hold::UntilSettled
-        } else if at_risk.count > 0 && at_worst.is_ends(one_too_many) {
+        let worst_case_evidence = self.worst_case_evidence(content, now, neighbours);
+        // With this many crashes, the content is blocked if all attempts at risk crash their upstreams, too. The
+        // suspect threshold is the minimum, so that copies of a request may run side by side after one crash.
+        let limit_before_in_flight = limit.saturating_sub(at_risk.count).max(SUSPECT_THRESHOLD);
+        if has_unresolved && worst_case_evidence.reaches(limit) {
+            Hold::UntilResolved
+        } else if at_risk.count > 0 && worst_case_evidence.reaches(limit_before_in_flight) {
             Hold::WhileAnotherRuns(at_risk.until)
-        } else if has_open && at_worst.ends >= SUSPECT_FROM as usize {
+        } else if has_unresolved && worst_case_evidence.crash_count >= SUSPECT_THRESHOLD as usize {
             Hold::Briefly
         } else {
             Hold::No
         }
     }
 
-    /// The attempts under way with a content that may still end their upstreams, but for one.
-    fn at_risk(&self, content: ContentKey, own: Option<AttemptNumber>, now: Instant) -> AtRisk {
-        let lost = self.waited_for(content).map(|attempt| attempt.ran_for);
-        let longest = lost.fold(self.book.longest_run(content, now), Duration::max);
-        self.under_way
-            .at_risk(content, own, survival_of(longest), now)
+    /// The in-flight attempts with a content that may still crash their upstreams, without the attempt `own`. The
+    /// survival time takes unresolved attempts into account, besides recorded crashes.
+    fn at_risk(
+        &self,
+        content: ContentKey,
+        own: Option<AttemptNumber>,
+        now: Instant,
+    ) -> AttemptsAtRisk {
+        let lost = self
+            .holding_attempts(content)
+            .map(|attempt| attempt.ran_for);
+        let longest = lost.fold(self.registry.longest_execution(content, now), Duration::max);
+        self.in_flight
+            .at_risk(content, own, survival_time_after(longest), now)
     }
 
-    /// How a request may be sent now; attempts that are not judged yet count as ends.
+    /// Whether and how a request may be sent now. Unresolved attempts count as crashes for
+    /// [`Admission::Isolated`], but not for [`Admission::Blocked`].
     pub fn admission(
         &self,
         content: ContentKey,
         now: Instant,
-        neighbours: impl Fn(&EndedUpstream) -> Neighbours,
+        neighbours: impl Fn(&UpstreamEvent) -> NeighbourCounts,
     ) -> Admission {
-        match self.book.verdict(content, now) {
-            Verdict::Stopped => Admission::Stopped,
+        match self.registry.status(content, now) {
+            ContentStatus::Blocked => Admission::Blocked,
             _ if self
-                .at_worst(content, now, neighbours)
-                .is_ends(SUSPECT_FROM) =>
+                .worst_case_evidence(content, now, neighbours)
+                .reaches(SUSPECT_THRESHOLD) =>
             {
-                Admission::Apart
+                Admission::Isolated
             }
-            _ => Admission::Beside,
+            _ => Admission::Normal,
         }
     }
 
-    /// What would be known against a content if the upstreams of all its open attempts had ended.
-    fn at_worst(
+    /// The evidence against a content if the upstreams of all its unresolved attempts have crashed. Abandoned
+    /// attempts are left out.
+    fn worst_case_evidence(
         &self,
         content: ContentKey,
         now: Instant,
-        neighbours: impl Fn(&EndedUpstream) -> Neighbours,
+        neighbours: impl Fn(&UpstreamEvent) -> NeighbourCounts,
     ) -> Evidence {
-        let open = self.waited_for(content);
-        let crashes = open.map(|attempt| {
-            let surroundings = self.surroundings(attempt, neighbours(&attempt.upstream), now);
-            crash_of(attempt, surroundings)
+        let unresolved = self.holding_attempts(content);
+        let crashes = unresolved.map(|attempt| {
+            let context = self.crash_context(attempt, neighbours(&attempt.upstream), now);
+            crash_of(attempt, context)
         });
-        self.book.evidence_with(content, crashes, now)
+        self.registry.evidence_with(content, crashes, now)
     }
 
-    /// The open attempts with a content that something may wait for.
-    fn waited_for(&self, content: ContentKey) -> impl Iterator<Item = &LostAttempt> {
-        let open = self.lost.open_with(content);
-        open.filter(|attempt| attempt.loss != Loss::Abandoned)
+    /// The unresolved attempts with a content that may hold back requests: all but abandoned ones.
+    fn holding_attempts(&self, content: ContentKey) -> impl Iterator<Item = &LostAttempt> {
+        let unresolved = self.lost.unresolved_with(content);
+        unresolved.filter(|attempt| attempt.loss != LossCause::Abandoned)
     }
 }
--- a/crates/shared/cloverpier_crashes/src/weight.rs
+++ b/crates/shared/cloverpier_crashes/src/weight.rs
@@ -1,188 +1,206 @@
-//! How much the end of an upstream says against a request that ran there.
+//! Weight of an upstream's crash as evidence that a certain request caused the crash.
 //!
-//! - **Question.** An upstream ended while it ran a request. How likely is it that it would have
-//!   ended anyway?
-//! - **Inputs.** Its [`Surroundings`]: how many others its service and its data centre have, and which
-//!   of them ended at the same moment. Which of these ended under the same request.
-//! - **Answer.** A [`Weight`] between none and [`Weight::FULL`].
-//! - **Why.** A sequential test adds up the logarithms of likelihood ratios (Wald, "Sequential tests
-//!   of statistical hypotheses", 1945). If the request ended the upstream, the chance that it ended is
-//!   1; if not, it is about the part of its neighbours that ended with it, `(k + 1) / (n + 1)` of `n`
-//!   others. The ratio's logarithm, as a part of what it is where nothing else ended, is
-//!   `1 - ln(k + 1) / ln(n + 1)`. So an end alone counts in full whatever the size of the domain, and
-//!   one among the ends of all neighbours counts nothing: a dying data centre acquits what ran there.
-//! - **Why only the same moment.** Where several requests crash upstreams, their ends follow each
-//!   other by tenths of a second and would explain each other; then a content ends many more upstreams
-//!   before it is stopped.
-//! - **Why not a plain count.** Equal copies of one request run at several upstreams of a data centre;
-//!   a count would stop them when it dies.
-//! - **Ends of the same request.** A retry is sent after the end of the run before, which explains
-//!   nothing. But many equal requests may run at the upstreams of a data centre that dies, so their
-//!   ends count like any other where both runs were under way.
-//! - **Why facts travel, and not weights.** What ended under the same request is known once all routers
-//!   have informed each other; each counts anew then.
+//! An upstream crashes while it executes a request. The request may have caused the crash, or the upstream
+//! would have crashed anyway, as in the outage of a data centre. The [`Weight`], between [`Weight::NONE`] and
+//! [`Weight::FULL`], is computed from the [`CrashContext`]: how many other upstreams the service and the data
+//! centre have, which of them failed at the same time, and which of these also executed the same request.
 //!
-//! Owns nothing.
+//! - **Formula.** A sequential test adds up the logarithms of likelihood ratios (Wald, "Sequential tests
+//!   of statistical hypotheses", 1945). If the request caused the crash, the probability of the crash is 1;
+//!   if not, the probability is about the fraction of upstreams that failed together: `(k + 1) / (n + 1)`,
+//!   where `k` of `n` others failed. The weight is the logarithm of the ratio, divided by its value for
+//!   `k = 0`: `1 - ln(k + 1) / ln(n + 1)`. So a crash without concurrent failures has full weight whatever
+//!   the number of upstreams, and a crash in a complete outage has none.
+//! - **Only concurrent failures count.** Several requests may crash upstreams within tenths of a second of
+//!   each other. With a longer window these crashes would explain each other, and each request would crash
+//!   many more upstreams before it is blocked.
+//! - **A plain count of crashes is not enough.** Copies of one request may run at several upstreams of a data
+//!   centre, and an outage of the data centre would block the request.
+//! - **Crashes under the same request.** A retry starts after the crash of the attempt before, so crashes of
+//!   sequential executions of a request do not explain each other. Crashes of executions that overlap in time
+//!   do: copies of a request may run at many upstreams of a data centre that fails.
+//! - **Routers exchange contexts instead of weights.** A weight depends on which upstreams crashed under the
+//!   same request, and that set is complete only after the reports of all routers are merged. So each router
+//!   computes the weights from the merged contexts.
+//!
+//! This module owns no state.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Ends at the same moment that are kept by name; of more, it is a mass death, which explains each
-/// of its ends.
-pub const MAX_NAMED: usize = 12;
+/// Maximum number of concurrent failures that [`ConcurrentFailures::Few`] lists. More failures at the same
+/// time are treated as a large outage, and crashes in a large outage have no weight.
+pub const MAX_LISTED: usize = 12;
 
-/// How another end of the same request came about.
+/// Whether two executions of the same request, both of which ended with the crash of their upstreams,
+/// overlapped in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OwnEnd {
-    /// Both runs were under way until one of them ended.
-    OfRunsAtOnce,
-    /// One run began after the other had ended, as a retry does.
-    OfRunsInTurn,
+pub enum ExecutionOrder {
+    /// Both executions were in progress when the first of the two upstreams crashed.
+    Overlapping,
+    /// One execution started after the other one ended, as a retry does.
+    Sequential,
 }
 
-/// Times of two ends that different routers saw, or that were rounded, agree to this.
-const SAME_TIME: Duration = Duration::from_millis(20);
+/// Accepted error when the times of two crashes are compared: different routers observe them, and reports
+/// between routers round them to milliseconds.
+const TIME_TOLERANCE: Duration = Duration::from_millis(20);
 
-/// A run of a request that ended with its upstream.
+/// The execution of a request at an upstream that crashed during the execution.
 #[derive(Clone, Copy, Debug)]
-pub struct EndedRun {
-    /// When it ended.
+pub struct CrashedExecution {
+    /// Time of the crash.
     pub at: Instant,
-    /// How long it had run.
+    /// Time from the sending of the request to the crash.
     pub ran_for: Duration,
 }
 
-impl OwnEnd {
-    /// How the ends of two runs came about.
-    pub fn of_runs(one: EndedRun, other: EndedRun) -> Self {
+impl ExecutionOrder {
+    /// Two executions overlap if the one that ended last started before the other one ended, by more than the
+    /// accepted error of 20 ms.
+    pub fn of(one: CrashedExecution, other: CrashedExecution) -> Self {
         let (first, second) = if one.at < other.at {
             (one, other)
         } else {
             (other, one)
         };
-        let second_had_run = second.at - first.at;
-        if second.ran_for > second_had_run + SAME_TIME {
-            Self::OfRunsAtOnce
+        let time_between_crashes = second.at - first.at;
+        if second.ran_for > time_between_crashes + TIME_TOLERANCE {
+            Self::Overlapping
         } else {
-            Self::OfRunsInTurn
+            Self::Sequential
         }
     }
 }
 
-/// What one end counts against a request, in thousandths of an end that nothing else explains.
+/// Weight of one crash as evidence against a request, in thousandths of a crash without concurrent failures.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Weight(u32);
 
 impl Weight {
-    /// An end that nothing else explains.
+    /// Weight of a crash without concurrent failures.
     pub const FULL: Self = Self(1_000);
-    /// An end that something else explains.
+    /// Weight of a crash in a complete outage: no evidence against the request.
     pub const NONE: Self = Self(0);
 
-    /// In thousandths.
+    /// The weight in thousandths of [`Weight::FULL`], from 0 to 1,000.
     pub fn thousandths(self) -> u32 {
         self.0
     }
 
-    /// What an end counts in a domain of `others` upstreams beside it, of which `ended` did.
-    pub fn in_domain(others: u32, ended: u32) -> Self {
-        if ended == 0 || others == 0 {
+    /// Weight of a crash in a failure domain (a service or a data centre) that has `others` further
+    /// upstreams, `failed` of which failed at the same time.
+    pub fn in_failure_domain(others: u32, failed: u32) -> Self {
+        if failed == 0 || others == 0 {
             return Self::FULL;
         }
         let log = |count: u32| (f64::from(count) + 1.0).ln();
-        let part = (1.0 - log(ended) / log(others)).max(0.0);
-        // Between 0 and 1,000.
-        Self((part * f64::from(Self::FULL.0)).round() as u32)
+        let fraction = (1.0 - log(failed) / log(others)).max(0.0);
+        // The product is between 0 and 1,000, so the cast loses nothing.
+        Self((fraction * f64::from(Self::FULL.0)).round() as u32)
     }
 }
 
-/// Upstreams that ended at the same moment, by a hash of the name, and whether each is in the same data
-/// centre.
+/// The upstreams of a service that failed at the time of a crash there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum EndedBeside {
-    /// These.
+pub enum ConcurrentFailures {
+    /// At most [`MAX_LISTED`] failures. The key is the hash of the upstream's name; the value is whether the
+    /// upstream is in the data centre of the crash.
     Few(BTreeMap<u64, bool>),
-    /// More than [`MAX_NAMED`].
+    /// More than [`MAX_LISTED`] failures.
     Many,
 }
 
-impl EndedBeside {
-    /// Those of an iterator.
-    pub fn of(ended: impl IntoIterator<Item = (u64, bool)>) -> Self {
-        let mut beside = Self::default();
-        beside.extend(ended);
-        beside
+impl ConcurrentFailures {
+    /// Collects pairs of an upstream's hash and whether the upstream is in the data centre of the crash.
+    pub fn of(failed: impl IntoIterator<Item = (u64, bool)>) -> Self {
+        let mut failures = Self::default();
+        failures.extend(failed);
+        failures
     }
 
-    /// Leaves one out that explains nothing.
+    /// Removes an upstream whose failure does not make another cause of the crash more likely. Has no effect
+    /// on [`ConcurrentFailures::Many`].
     pub fn remove(&mut self, upstream: u64) {
-        if let Self::Few(known) = self {
-            known.remove(&upstream);
+        if let Self::Few(listed) = self {
+            listed.remove(&upstream);
         }
     }
 
-    /// Adds some.
-    pub fn extend(&mut self, ended: impl IntoIterator<Item = (u64, bool)>) {
-        let Self::Few(known) = self else {
+    /// Adds pairs as in [`Self::of`]; with more than [`MAX_LISTED`] upstreams, the value becomes
+    /// [`ConcurrentFailures::Many`].
+    pub fn extend(&mut self, failed: impl IntoIterator<Item = (u64, bool)>) {
+        let Self::Few(listed) = self else {
             return;
         };
-        known.extend(ended);
-        if known.len() > MAX_NAMED {
+        listed.extend(failed);
+        if listed.len() > MAX_LISTED {
             *self = Self::Many;
         }
     }
 }
 
-impl Default for EndedBeside {
+impl Default for ConcurrentFailures {
     fn default() -> Self {
         Self::Few(BTreeMap::new())
     }
 }
 
-/// What was around an upstream when it ended.
+/// The other upstreams of the service at the time of an upstream's crash: how many there were, and which of
+/// them failed at the same time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Surroundings {
-    /// Others of its service that are listed.
-    pub in_service: u32,
-    /// Those of them in its data centre.
-    pub in_data_centre: u32,
-    /// Those of its service that ended at the same moment.
-    pub ended: EndedBeside,
+pub struct CrashContext {
+    /// Number of other listed upstreams of the service.
+    #[serde(rename = "in_service")]
+    pub others_in_service: u32,
+    /// Number of other listed upstreams of the service in the data centre of the crash.
+    #[serde(rename = "in_data_centre")]
+    pub others_in_data_centre: u32,
+    /// Upstreams of the service that failed at the same time.
+    #[serde(rename = "ended")]
+    pub concurrent_failures: ConcurrentFailures,
 }
 
-impl Surroundings {
-    /// Adds what another observer saw around the same end; returns whether that is more.
+impl CrashContext {
+    /// Merges another router's observation of the same crash: the smaller numbers of upstreams, and the
+    /// union of the failures. Returns whether this changed the context.
     pub fn merge(&mut self, other: &Self) -> bool {
-        let former = self.clone();
-        self.in_service = self.in_service.min(other.in_service);
-        self.in_data_centre = self.in_data_centre.min(other.in_data_centre);
-        match &other.ended {
-            EndedBeside::Many => self.ended = EndedBeside::Many,
-            EndedBeside::Few(ended) => {
-                let ended = ended
+        let before = self.clone();
+        self.others_in_service = self.others_in_service.min(other.others_in_service);
+        self.others_in_data_centre = self.others_in_data_centre.min(other.others_in_data_centre);
+        match &other.concurrent_failures {
+            ConcurrentFailures::Many => self.concurrent_failures = ConcurrentFailures::Many,
+            ConcurrentFailures::Few(failed) => {
+                let failed = failed
                     .iter()
-                    .map(|(upstream, is_near)| (*upstream, *is_near));
-                self.ended.extend(ended);
+                    .map(|(upstream, is_in_data_centre)| (*upstream, *is_in_data_centre));
+                self.concurrent_failures.extend(failed);
             }
         }
-        *self != former
+        *self != before
     }
 
-    /// The end's weight; `own` says which of the others ended under the same request.
-    pub fn weight(&self, own: impl Fn(u64) -> Option<OwnEnd>) -> Weight {
-        let EndedBeside::Few(ended) = &self.ended else {
+    /// The weight of the crash: the lower one of its weights in the service and in the data centre.
+    ///
+    /// `same_request` returns, for an upstream that also crashed under the request, whether the two executions
+    /// overlapped, and `None` for any other upstream. Crashes of sequential executions are left out.
+    pub fn weight(&self, same_request: impl Fn(u64) -> Option<ExecutionOrder>) -> Weight {
+        let ConcurrentFailures::Few(failed) = &self.concurrent_failures else {
             return Weight::NONE;
         };
         let (mut in_service, mut in_data_centre) = (0, 0);
-        let others = ended
+        let others = failed
             .iter()
-            .filter(|(upstream, _)| own(**upstream) != Some(OwnEnd::OfRunsInTurn));
+            .filter(|(upstream, _)| same_request(**upstream) != Some(ExecutionOrder::Sequential));
         for (_, is_in_data_centre) in others {
             in_service += 1;
             in_data_centre += u32::from(*is_in_data_centre);
         }
-        let by_service = Weight::in_domain(self.in_service, in_service);
-        by_service.min(Weight::in_domain(self.in_data_centre, in_data_centre))
+        let by_service = Weight::in_failure_domain(self.others_in_service, in_service);
+        by_service.min(Weight::in_failure_domain(
+            self.others_in_data_centre,
+            in_data_centre,
+        ))
     }
 }
--- a/crates/shared/cloverpier_crashes/tests/content.rs
+++ b/crates/shared/cloverpier_crashes/tests/content.rs
@@ -1,8 +1,8 @@
-//! Which requests count as the same.
+//! Content keys: which requests are repeats of each other.
 
-use cloverpier_crashes::{Content, ContentKey};
+use cloverpier_crashes::{ContentKey, RequestContent};
 
-const CONTENT: Content<'_> = Content {
+const CONTENT: RequestContent<'_> = RequestContent {
     account: "lab",
     host: "api.example",
     method: "POST",
@@ -11,30 +11,30 @@
 };
 
 #[test]
-fn each_part_of_the_content_tells_requests_apart() {
+fn each_field_of_the_content_changes_the_key() {
     let others = [
-        Content {
+        RequestContent {
             account: "archive",
             ..CONTENT
         },
-        Content {
+        RequestContent {
             host: "other.example",
             ..CONTENT
         },
-        Content {
+        RequestContent {
             method: "PUT",
             ..CONTENT
         },
-        Content {
+        RequestContent {
             target: "/digests/17?full=2",
             ..CONTENT
         },
-        Content {
+        RequestContent {
             body: b"calibration log.",
             ..CONTENT
         },
-        // The same text, cut elsewhere.
-        Content {
+        // The same bytes, split differently between account and host.
+        RequestContent {
             account: "labapi",
             host: ".example",
             ..CONTENT
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_key_is_read_back_from_its_text_and_other_text_is_none() {
+fn key_is_parsed_from_its_text_and_other_text_is_rejected() {
     let key = ContentKey::of(&CONTENT);
     assert_eq!(ContentKey::parse(&key.to_string()), Some(key));
     for text in [
