--- a/crates/shared/cloverpier_crashes/tests/holds.rs
+++ b/crates/shared/cloverpier_crashes/tests/holds.rs
@@ -1,8 +1,8 @@
-//! Whether a request waits before it is sent, and for what.
+//! Holds: whether a request is held back before it is sent, and until when.
 
 mod support;
 
-use cloverpier_crashes::lost_attempts::{CONFIRM_WITHIN, JUDGE_AFTER};
+use cloverpier_crashes::lost_attempts::{CONFIRMATION_TIMEOUT, CRASH_SETTLE_DELAY};
 use cloverpier_crashes::prelude::*;
 use cloverpier_crashes::tracker::MAX_HOLD;
 use std::collections::HashSet;
@@ -10,18 +10,22 @@
 use support::*;
 
 #[test]
-fn a_first_retry_waits_for_nothing_a_second_for_a_judgement_a_third_until_all_is_settled() {
+fn first_retry_is_not_held_second_is_held_briefly_third_until_resolved() {
     let now = Instant::now();
-    let losses = [Loss::Broke, Loss::GivenUp, Loss::Broke];
+    let losses = [
+        LossCause::ConnectionBroken,
+        LossCause::UpstreamSilent,
+        LossCause::ConnectionBroken,
+    ];
     let holds: Vec<Hold> = (0..=3)
-        .map(|lost| hold(&cases_with(&losses[..lost], now), now + ms(100)))
+        .map(|lost| hold(&tracker_with(&losses[..lost], now), now + ms(100)))
         .collect();
-    let [no, briefly, settled] = [Hold::No, Hold::Briefly, Hold::UntilSettled];
-    assert_eq!(holds, [no, no, briefly, settled]);
+    let [no, briefly, resolved] = [Hold::No, Hold::Briefly, Hold::UntilResolved];
+    assert_eq!(holds, [no, no, briefly, resolved]);
 }
 
 #[test]
-fn a_hold_ends_with_its_time_or_with_that_of_the_request() {
+fn hold_ends_after_its_maximum_time_or_at_the_deadline() {
     let now = Instant::now();
     let deadline = now + ms(20_000);
     assert_eq!(Hold::No.until(now, deadline, now), None);
@@ -30,127 +34,133 @@
     assert_eq!(Hold::Briefly.until(now, deadline, now + MAX_HOLD), None);
     let later = now + MAX_HOLD * 2;
     assert_eq!(
-        Hold::UntilSettled.until(now, deadline, later),
+        Hold::UntilResolved.until(now, deadline, later),
         Some(deadline)
     );
-    assert_eq!(Hold::UntilSettled.until(now, deadline, deadline), None);
+    assert_eq!(Hold::UntilResolved.until(now, deadline, deadline), None);
     let soon = now + ms(10);
     assert_eq!(Hold::Briefly.until(now, soon, now), Some(soon));
 }
 
 #[test]
-fn a_held_request_goes_on_once_its_upstreams_have_answered_or_nothing_was_learned_in_time() {
+fn hold_ends_once_an_upstream_responds_or_the_attempts_expire() {
     let now = Instant::now();
-    let mut cases = cases_with(&[Loss::Broke; 3], now);
-    cases.on_alive(answer_of(2, now + ms(150)));
-    assert_eq!(hold(&cases, now + ms(150)), Hold::Briefly);
-    let mut cases = cases_with(&[Loss::Broke; 3], now);
-    let over = now + CONFIRM_WITHIN + ms(100);
-    assert!(cases.judge(over, neighbours).is_empty());
-    assert_eq!(hold(&cases, over), Hold::No);
-    assert_eq!(cases.take_dismissed().len(), 3);
+    let mut tracker = tracker_with(&[LossCause::ConnectionBroken; 3], now);
+    tracker.on_response(response_of(2, now + ms(150)));
+    assert_eq!(hold(&tracker, now + ms(150)), Hold::Briefly);
+    let mut tracker = tracker_with(&[LossCause::ConnectionBroken; 3], now);
+    let expired = now + CONFIRMATION_TIMEOUT + ms(100);
+    assert!(tracker.record_confirmed(expired, neighbours).is_empty());
+    assert_eq!(hold(&tracker, expired), Hold::No);
+    assert_eq!(tracker.take_discarded().len(), 3);
 }
 
 #[test]
-fn an_upstream_is_asked_until_it_has_lived_on_as_long_as_others_ran_the_content() {
+fn hold_lasts_until_the_upstream_has_responded_for_the_survival_time() {
     let now = Instant::now();
-    let mut cases = cases_with(&[Loss::Broke], now);
-    cases.on_end(upstream(1, now + ms(31)));
-    let judged = now + ms(30) + JUDGE_AFTER;
-    assert_eq!(cases.judge(judged, neighbours).len(), 1);
-    // The first one ran it for a second and a half.
+    let mut tracker = tracker_with(&[LossCause::ConnectionBroken], now);
+    tracker.on_process_gone(upstream(1, now + ms(31)));
+    let confirmed_at = now + ms(30) + CRASH_SETTLE_DELAY;
+    assert_eq!(tracker.record_confirmed(confirmed_at, neighbours).len(), 1);
+    // The next upstream executed the content for 1.5 s before it crashed, so the survival time is longer than that.
     let long = LostAttempt {
         ran_for: ms(1_500),
-        ..attempt(2, Loss::Broke, judged)
+        ..attempt(2, LossCause::ConnectionBroken, confirmed_at)
     };
-    cases.on_lost(&content(), long);
-    cases.on_end(upstream(2, judged));
-    cases.judge(judged + JUDGE_AFTER, neighbours);
-    let given_up = judged + ms(1_000);
-    cases.on_lost(&content(), attempt(3, Loss::GivenUp, given_up));
-    assert_eq!(hold(&cases, given_up), Hold::UntilSettled);
-    let answered = given_up + ms(400);
-    cases.on_alive(answer_of(3, answered));
-    cases.on_alive(answer_of(3, answered + ms(1_500)));
-    assert_eq!(hold(&cases, answered + ms(1_500)), Hold::UntilSettled);
-    let next = cases.next_due(answered + ms(1_500));
+    tracker.on_lost(&content(), long);
+    tracker.on_process_gone(upstream(2, confirmed_at));
+    tracker.record_confirmed(confirmed_at + CRASH_SETTLE_DELAY, neighbours);
+    let lost_at = confirmed_at + ms(1_000);
+    tracker.on_lost(&content(), attempt(3, LossCause::UpstreamSilent, lost_at));
+    assert_eq!(hold(&tracker, lost_at), Hold::UntilResolved);
+    let received_at = lost_at + ms(400);
+    tracker.on_response(response_of(3, received_at));
+    tracker.on_response(response_of(3, received_at + ms(1_500)));
+    assert_eq!(hold(&tracker, received_at + ms(1_500)), Hold::UntilResolved);
+    let next = tracker.next_due(received_at + ms(1_500));
     assert!(next.is_some());
-    cases.on_alive(answer_of(3, answered + ms(1_500) + JUDGE_AFTER));
-    assert_eq!(hold(&cases, answered + ms(1_600)), Hold::No);
+    tracker.on_response(response_of(3, received_at + ms(1_500) + CRASH_SETTLE_DELAY));
+    assert_eq!(hold(&tracker, received_at + ms(1_600)), Hold::No);
 }
 
-/// Guards against lookups that everybody needs and that wait as upstreams pause.
+/// Guards against lookups that every caller needs and that are held because upstreams pause.
 #[test]
-fn a_content_that_ran_well_a_moment_before_never_waits() {
+fn content_that_completed_recently_is_never_held() {
     let now = Instant::now();
-    let mut cases = CrashCases::new(CrashLimit(3), EndsBy::Start);
-    cases.on_completed(&content(), now);
+    let mut tracker = CrashTracker::new(CrashLimit(3), CrashTimestamp::ProcessStart);
+    tracker.on_completed(&content(), now);
     for number in 1..=5 {
-        cases.on_lost(&content(), attempt(number, Loss::GivenUp, now + ms(10)));
+        tracker.on_lost(
+            &content(),
+            attempt(number, LossCause::UpstreamSilent, now + ms(10)),
+        );
     }
-    assert_eq!(hold(&cases, now + ms(100)), Hold::No);
+    assert_eq!(hold(&tracker, now + ms(100)), Hold::No);
     assert_eq!(
-        cases.admission(key(), now + ms(100), neighbours),
-        Admission::Beside
+        tracker.admission(key(), now + ms(100), neighbours),
+        Admission::Normal
     );
 }
 
 #[test]
-fn many_requests_that_one_upstream_lost_are_one_end() {
+fn several_attempts_lost_at_one_upstream_are_one_possible_crash() {
     let now = Instant::now();
-    let mut cases = CrashCases::new(CrashLimit(3), EndsBy::Start);
+    let mut tracker = CrashTracker::new(CrashLimit(3), CrashTimestamp::ProcessStart);
     for _ in 0..5 {
-        cases.on_lost(&content(), attempt(1, Loss::Broke, now));
+        tracker.on_lost(&content(), attempt(1, LossCause::ConnectionBroken, now));
     }
-    assert_eq!(hold(&cases, now + ms(10)), Hold::No);
+    assert_eq!(hold(&tracker, now + ms(10)), Hold::No);
 }
 
 #[test]
-fn a_content_that_the_operator_cleared_never_waits() {
+fn cleared_content_is_never_held() {
     let now = Instant::now();
-    let mut cases = cases_with(&[Loss::Broke; 4], now);
-    let limit = cases.book.limit();
-    cases.book.set_bounds(limit, HashSet::from([key()]));
-    assert_eq!(hold(&cases, now + ms(200)), Hold::No);
+    let mut tracker = tracker_with(&[LossCause::ConnectionBroken; 4], now);
+    let limit = tracker.registry.limit();
+    tracker.registry.configure(limit, HashSet::from([key()]));
+    assert_eq!(hold(&tracker, now + ms(200)), Hold::No);
 }
 
-/// Guards against requests that waited for a judgement and are then sent all at once, to an engine each.
+/// Guards against requests that are held until a crash is recorded, and then sent all at once to one engine each.
 #[test]
-fn copies_of_what_ended_two_engines_go_on_one_at_a_time() {
+fn copies_are_sent_one_at_a_time_after_two_crashes() {
     let now = Instant::now();
-    let mut cases = cases_with(&[Loss::Broke; 2], now);
-    let proved = now + ms(150);
+    let mut tracker = tracker_with(&[LossCause::ConnectionBroken; 2], now);
+    let proven_at = now + ms(150);
     for number in 1..=2 {
-        cases.on_end(upstream(number, proved));
+        tracker.on_process_gone(upstream(number, proven_at));
     }
-    assert_eq!(cases.judge(proved, neighbours).len(), 2);
-    assert_eq!(hold(&cases, proved), Hold::No);
-    let first = cases.on_admitted(key());
-    assert_eq!(hold(&cases, proved), Hold::WhileAnotherRuns(None));
+    assert_eq!(tracker.record_confirmed(proven_at, neighbours).len(), 2);
+    assert_eq!(hold(&tracker, proven_at), Hold::No);
+    let first = tracker.on_admitted(key());
+    assert_eq!(hold(&tracker, proven_at), Hold::WhileAnotherRuns(None));
     assert_eq!(
-        cases.hold_admitted(key(), first, proved, neighbours),
+        tracker.hold_admitted(key(), first, proven_at, neighbours),
         Hold::No
     );
-    let sent = proved + ms(20);
-    cases.on_sent(key(), first, sent);
-    let ran = cases.book.longest_run(key(), sent);
-    let lived = sent + (ran + JUDGE_AFTER).max(ms(100));
-    let waits = Hold::WhileAnotherRuns(Some(lived));
-    assert_eq!(hold(&cases, lived - ms(1)), waits);
-    assert_eq!(waits.until(proved, lived + ms(1), sent), Some(lived));
-    assert_eq!(hold(&cases, lived), Hold::No);
-    cases.on_over(key(), first);
-    assert_eq!(hold(&cases, sent), Hold::No);
+    let sent_at = proven_at + ms(20);
+    tracker.on_sent(key(), first, sent_at);
+    let longest_execution = tracker.registry.longest_execution(key(), sent_at);
+    let survived_at = sent_at + (longest_execution + CRASH_SETTLE_DELAY).max(ms(100));
+    let other_runs = Hold::WhileAnotherRuns(Some(survived_at));
+    assert_eq!(hold(&tracker, survived_at - ms(1)), other_runs);
+    assert_eq!(
+        other_runs.until(proven_at, survived_at + ms(1), sent_at),
+        Some(survived_at)
+    );
+    assert_eq!(hold(&tracker, survived_at), Hold::No);
+    tracker.on_finished(key(), first);
+    assert_eq!(hold(&tracker, sent_at), Hold::No);
 }
 
 #[test]
-fn copies_of_what_ended_one_engine_or_none_go_on_side_by_side() {
+fn copies_are_sent_concurrently_after_one_loss_or_none() {
     let now = Instant::now();
     for lost in [0, 1] {
-        let mut cases = cases_with(&[Loss::Broke; 2][..lost], now);
+        let mut tracker = tracker_with(&[LossCause::ConnectionBroken; 2][..lost], now);
         for _ in 0..9 {
-            cases.on_admitted(key());
+            tracker.on_admitted(key());
         }
-        assert_eq!(hold(&cases, now + ms(50)), Hold::No);
+        assert_eq!(hold(&tracker, now + ms(50)), Hold::No);
     }
 }
--- a/crates/shared/cloverpier_crashes/tests/lost_attempts.rs
+++ b/crates/shared/cloverpier_crashes/tests/lost_attempts.rs
@@ -1,12 +1,12 @@
-//! Breaks that are no ends, and ends that can be judged.
+//! Lost attempts: proofs of crash and survival, probes, and timeouts.
 
 use cloverpier_core::{DataCentre, ServiceName};
-use cloverpier_crashes::lost_attempts::{ASK_AGAIN_AFTER, CONFIRM_WITHIN, JUDGE_AFTER};
+use cloverpier_crashes::lost_attempts::{CONFIRMATION_TIMEOUT, CRASH_SETTLE_DELAY, PROBE_INTERVAL};
 use cloverpier_crashes::prelude::*;
 use std::time::{Duration, Instant};
 
 fn content(name: &str) -> ContentKey {
-    ContentKey::of(&Content {
+    ContentKey::of(&RequestContent {
         account: "lab",
         host: "api.example",
         method: "POST",
@@ -15,14 +15,18 @@
     })
 }
 
+/// An attempt whose connection broke two seconds after the attempt was sent.
 fn attempt(name: &str, upstream: u64, at: Instant) -> LostAttempt {
     LostAttempt {
         content: content(name),
-        loss: Loss::Broke,
-        ran_well: false,
+        loss: LossCause::ConnectionBroken,
+        has_completed: false,
         ran_for: Duration::from_secs(2),
-        end: UpstreamEnd { upstream, start: 7 },
-        upstream: EndedUpstream {
+        crash_id: CrashId {
+            upstream,
+            time_ms: 7,
+        },
+        upstream: UpstreamEvent {
             upstream,
             service: ServiceName::new("drafts"),
             data_centre: DataCentre::new("hall-a"),
@@ -32,225 +36,253 @@
 }
 
 #[test]
-fn an_end_is_judged_a_little_later_and_a_break_at_a_living_upstream_never() {
+fn crash_is_confirmed_after_the_settle_delay_and_a_survived_break_never() {
     let now = Instant::now();
     let mut lost = LostAttempts::default();
     lost.on_lost(attempt("a", 1, now), false);
     lost.on_lost(attempt("b", 2, now), false);
-    lost.on_end(1, now);
-    lost.on_alive(answer_of(2, now), no_survival);
+    lost.on_crash(1, now);
+    lost.on_response(response_of(2, now), no_survival);
     assert_eq!(
         (
-            lost.open_with(content("a")).count(),
-            lost.open_with(content("b")).count()
+            lost.unresolved_with(content("a")).count(),
+            lost.unresolved_with(content("b")).count()
         ),
         (1, 0)
     );
-    assert_eq!(lost.next_due(), Some(now + JUDGE_AFTER));
-    assert!(lost.due(now + JUDGE_AFTER / 2).is_empty());
-    let due = lost.due(now + JUDGE_AFTER);
-    assert_eq!(due.iter().map(|a| a.end.upstream).collect::<Vec<_>>(), [1]);
+    assert_eq!(lost.next_due(), Some(now + CRASH_SETTLE_DELAY));
+    assert!(lost.take_confirmed(now + CRASH_SETTLE_DELAY / 2).is_empty());
+    let confirmed = lost.take_confirmed(now + CRASH_SETTLE_DELAY);
+    assert_eq!(
+        confirmed
+            .iter()
+            .map(|a| a.crash_id.upstream)
+            .collect::<Vec<_>>(),
+        [1]
+    );
     assert_eq!(lost.next_due(), None);
 }
 
 #[test]
-fn a_break_of_which_nothing_is_learned_is_dropped() {
+fn unresolved_break_expires_after_one_probe() {
     let now = Instant::now();
     let mut lost = LostAttempts::default();
     lost.on_lost(attempt("a", 1, now), false);
-    assert_eq!(lost.next_due(), Some(now + JUDGE_AFTER));
-    assert!(lost.due(now + JUDGE_AFTER).is_empty());
-    // Its upstream is asked once.
-    let unclear = lost.unclear(now + JUDGE_AFTER);
-    assert_eq!(unclear.iter().map(|u| u.upstream).collect::<Vec<_>>(), [1]);
-    assert!(lost.unclear(now + JUDGE_AFTER).is_empty());
-    assert_eq!(lost.next_due(), Some(now + CONFIRM_WITHIN));
-    assert!(lost.due(now + CONFIRM_WITHIN).is_empty());
-    lost.on_end(1, now);
-    assert!(lost.due(now + CONFIRM_WITHIN * 2).is_empty());
+    assert_eq!(lost.next_due(), Some(now + CRASH_SETTLE_DELAY));
+    assert!(lost.take_confirmed(now + CRASH_SETTLE_DELAY).is_empty());
+    // The upstream is returned for a first probe once.
+    let probed = lost.first_probes(now + CRASH_SETTLE_DELAY);
+    assert_eq!(probed.iter().map(|u| u.upstream).collect::<Vec<_>>(), [1]);
+    assert!(lost.first_probes(now + CRASH_SETTLE_DELAY).is_empty());
+    assert_eq!(lost.next_due(), Some(now + CONFIRMATION_TIMEOUT));
+    assert!(lost.take_confirmed(now + CONFIRMATION_TIMEOUT).is_empty());
+    lost.on_crash(1, now);
+    assert!(
+        lost.take_confirmed(now + CONFIRMATION_TIMEOUT * 2)
+            .is_empty()
+    );
 }
 
 #[test]
-fn an_upstream_that_ended_and_whose_next_start_answers_has_ended() {
+fn response_of_the_next_process_does_not_revoke_a_crash() {
     let now = Instant::now();
     let mut lost = LostAttempts::default();
     lost.on_lost(attempt("a", 1, now), false);
-    lost.on_end(1, now);
-    lost.on_alive(answer_of(1, now), no_survival);
-    assert_eq!(lost.due(now + Duration::from_millis(200)).len(), 1);
+    lost.on_crash(1, now);
+    lost.on_response(response_of(1, now), no_survival);
+    assert_eq!(
+        lost.take_confirmed(now + Duration::from_millis(200)).len(),
+        1
+    );
 }
 
 #[test]
-fn an_end_that_was_known_before_the_break_counts() {
+fn crash_that_was_known_before_the_loss_counts() {
     let now = Instant::now();
     let mut lost = LostAttempts::default();
     lost.on_lost(attempt("a", 1, now), true);
-    assert_eq!(lost.due(now + JUDGE_AFTER).len(), 1);
+    assert_eq!(lost.take_confirmed(now + CRASH_SETTLE_DELAY).len(), 1);
 }
 
 #[test]
-fn each_attempt_for_which_no_end_is_counted_is_named_once_with_the_reason() {
+fn discarded_attempts_are_returned_once_with_the_reason() {
     let now = Instant::now();
     let mut lost = LostAttempts::default();
     lost.on_lost(attempt("a", 1, now), false);
     lost.on_lost(attempt("b", 2, now), false);
     lost.on_lost(attempt("c", 3, now), false);
-    lost.on_end(3, now);
-    lost.on_alive(answer_of(2, now), no_survival);
-    assert_eq!(lost.due(now + CONFIRM_WITHIN).len(), 1);
-    let dismissed = lost.take_dismissed();
-    let dismissed: Vec<_> = dismissed
+    lost.on_crash(3, now);
+    lost.on_response(response_of(2, now), no_survival);
+    assert_eq!(lost.take_confirmed(now + CONFIRMATION_TIMEOUT).len(), 1);
+    let discarded = lost.take_discarded();
+    let discarded: Vec<_> = discarded
         .iter()
-        .map(|d| (d.attempt.end.upstream, d.reason))
+        .map(|d| (d.attempt.crash_id.upstream, d.reason))
         .collect();
     assert_eq!(
-        dismissed,
-        [(2, Dismissal::Answered), (1, Dismissal::Unclear)]
+        discarded,
+        [
+            (2, DiscardReason::Survived),
+            (1, DiscardReason::Unconfirmed)
+        ]
     );
-    assert!(lost.take_dismissed().is_empty());
+    assert!(lost.take_discarded().is_empty());
 }
 
-fn answer_of(upstream: u64, asked: Instant) -> SignOfLife {
-    SignOfLife {
+/// A response to a probe that is received at the time at which the probe is sent.
+fn response_of(upstream: u64, sent_at: Instant) -> UpstreamResponse {
+    UpstreamResponse {
         upstream,
-        asked,
-        answered: asked,
+        sent_at,
+        received_at: sent_at,
     }
 }
 
+/// The survival time of a content whose survival is proven by the second prompt response.
 fn no_survival(_: ContentKey) -> Duration {
     Duration::ZERO
 }
 
-fn reasons(lost: &mut LostAttempts) -> Vec<Dismissal> {
-    let dismissed = lost.take_dismissed();
-    dismissed.iter().map(|d| d.reason).collect()
+fn reasons(lost: &mut LostAttempts) -> Vec<DiscardReason> {
+    let discarded = lost.take_discarded();
+    discarded.iter().map(|d| d.reason).collect()
 }
 
-/// Guards against an answer that was on its way when the connection broke.
+/// Guards against a false proof of survival by a response that was in transit when the connection broke.
 #[test]
-fn an_answer_to_a_question_from_before_the_break_proves_nothing() {
-    let asked = Instant::now();
-    let broke = asked + Duration::from_millis(30);
+fn response_to_a_probe_sent_before_the_break_proves_nothing() {
+    let sent_at = Instant::now();
+    let broken_at = sent_at + Duration::from_millis(30);
     let mut lost = LostAttempts::default();
-    lost.on_lost(attempt("a", 1, broke), false);
-    let late = SignOfLife {
+    lost.on_lost(attempt("a", 1, broken_at), false);
+    let late = UpstreamResponse {
         upstream: 1,
-        asked,
-        answered: broke + Duration::from_millis(5),
+        sent_at,
+        received_at: broken_at + Duration::from_millis(5),
     };
-    lost.on_alive(late, no_survival);
-    assert_eq!(lost.open().count(), 1);
-    lost.on_alive(answer_of(1, broke + Duration::from_millis(6)), no_survival);
-    assert_eq!(reasons(&mut lost), [Dismissal::Answered]);
+    lost.on_response(late, no_survival);
+    assert_eq!(lost.unresolved().count(), 1);
+    lost.on_response(
+        response_of(1, broken_at + Duration::from_millis(6)),
+        no_survival,
+    );
+    assert_eq!(reasons(&mut lost), [DiscardReason::Survived]);
 }
 
-/// Guards against an upstream that answers before it runs what was given up, and ends by it.
+/// Guards against a false proof of survival: an upstream responds, and only then starts the request that crashes it.
 #[test]
-fn an_upstream_that_was_given_up_has_survived_once_it_has_lived_on_for_long_enough() {
+fn silent_upstream_has_survived_once_it_responds_for_the_survival_time() {
     let now = Instant::now();
     let ms = Duration::from_millis;
     let mut lost = LostAttempts::default();
-    let given_up = LostAttempt {
-        loss: Loss::GivenUp,
+    let silent = LostAttempt {
+        loss: LossCause::UpstreamSilent,
         ..attempt("a", 1, now)
     };
-    lost.on_lost(given_up.clone(), false);
-    let survival = |_: ContentKey| ms(200);
-    lost.on_alive(answer_of(1, now + ms(700)), survival);
-    lost.on_alive(answer_of(1, now + ms(899)), survival);
-    assert_eq!(lost.open().count(), 1);
-    lost.on_alive(answer_of(1, now + ms(900)), survival);
-    assert_eq!(reasons(&mut lost), [Dismissal::Answered]);
-    // One that ends meanwhile has ended under the request.
-    lost.on_lost(given_up, false);
-    lost.on_alive(answer_of(1, now + ms(700)), survival);
-    lost.on_end(1, now + ms(800));
-    assert!(lost.due(now + ms(800)).is_empty());
-    assert_eq!(lost.due(now + ms(800) + JUDGE_AFTER).len(), 1);
+    lost.on_lost(silent.clone(), false);
+    let survival_time = |_: ContentKey| ms(200);
+    lost.on_response(response_of(1, now + ms(700)), survival_time);
+    lost.on_response(response_of(1, now + ms(899)), survival_time);
+    assert_eq!(lost.unresolved().count(), 1);
+    lost.on_response(response_of(1, now + ms(900)), survival_time);
+    assert_eq!(reasons(&mut lost), [DiscardReason::Survived]);
+    // An upstream that crashes within the survival time has crashed under the request.
+    lost.on_lost(silent, false);
+    lost.on_response(response_of(1, now + ms(700)), survival_time);
+    lost.on_crash(1, now + ms(800));
+    assert!(lost.take_confirmed(now + ms(800)).is_empty());
+    assert_eq!(
+        lost.take_confirmed(now + ms(800) + CRASH_SETTLE_DELAY)
+            .len(),
+        1
+    );
 }
 
-/// Guards against an upstream that pauses again and again, and runs for moments between.
+/// Guards against a false proof of survival by an upstream that pauses repeatedly and runs only for moments in between.
 #[test]
-fn an_upstream_that_answers_late_has_not_shown_that_it_survived_what_was_given_up() {
+fn late_responses_of_a_silent_upstream_do_not_prove_survival() {
     let now = Instant::now();
     let ms = Duration::from_millis;
     let mut lost = LostAttempts::default();
-    let given_up = LostAttempt {
-        loss: Loss::GivenUp,
+    let silent = LostAttempt {
+        loss: LossCause::UpstreamSilent,
         ..attempt("a", 1, now)
     };
-    lost.on_lost(given_up, false);
+    lost.on_lost(silent, false);
     for second in 0..4 {
-        let asked = now + ms(100) + ms(1_000) * second;
-        let answered = asked + ms(700);
-        let sign = SignOfLife {
+        let sent_at = now + ms(100) + ms(1_000) * second;
+        let received_at = sent_at + ms(700);
+        let response = UpstreamResponse {
             upstream: 1,
-            asked,
-            answered,
+            sent_at,
+            received_at,
         };
-        lost.on_alive(sign, |_| ms(100));
+        lost.on_response(response, |_| ms(100));
     }
-    assert_eq!(lost.open().count(), 1);
+    assert_eq!(lost.unresolved().count(), 1);
 }
 
 #[test]
-fn an_upstream_is_asked_again_while_its_attempt_holds_something_up() {
+fn upstream_is_probed_again_while_its_attempt_may_hold_requests() {
     let now = Instant::now();
     let ms = Duration::from_millis;
     let mut lost = LostAttempts::default();
     lost.on_lost(attempt("a", 1, now), false);
-    let in_question = |_: ContentKey| Some(ms(100));
-    assert!(lost.unclear_again(now + ms(60), in_question).is_empty());
-    let asked = now + JUDGE_AFTER;
-    assert_eq!(lost.unclear(asked).len(), 1);
-    assert_eq!(lost.next_asked_again(|_| None), None);
+    let may_hold_requests = |_: ContentKey| Some(ms(100));
+    assert!(
+        lost.repeated_probes(now + ms(60), may_hold_requests)
+            .is_empty()
+    );
+    let probed_at = now + CRASH_SETTLE_DELAY;
+    assert_eq!(lost.first_probes(probed_at).len(), 1);
+    assert_eq!(lost.next_repeated_probe(|_| None), None);
     assert_eq!(
-        lost.next_asked_again(in_question),
-        Some(asked + ASK_AGAIN_AFTER)
+        lost.next_repeated_probe(may_hold_requests),
+        Some(probed_at + PROBE_INTERVAL)
     );
     assert!(
-        lost.unclear_again(asked + ASK_AGAIN_AFTER, |_| None)
+        lost.repeated_probes(probed_at + PROBE_INTERVAL, |_| None)
             .is_empty()
     );
     assert_eq!(
-        lost.unclear_again(asked + ASK_AGAIN_AFTER, in_question)
+        lost.repeated_probes(probed_at + PROBE_INTERVAL, may_hold_requests)
             .len(),
         1
     );
     assert!(
-        lost.unclear_again(asked + ASK_AGAIN_AFTER, in_question)
+        lost.repeated_probes(probed_at + PROBE_INTERVAL, may_hold_requests)
             .is_empty()
     );
 }
 
-/// Guards against requests that are held up for as long as an upstream stands still.
+/// Guards against requests that are held for as long as an upstream is paused.
 #[test]
-fn an_attempt_is_dropped_in_time_however_often_its_upstream_is_asked() {
+fn attempt_expires_in_time_however_often_its_upstream_is_probed() {
     let now = Instant::now();
     let mut lost = LostAttempts::default();
     lost.on_lost(attempt("a", 1, now), false);
-    lost.unclear(now + JUDGE_AFTER);
-    let mut at = now + JUDGE_AFTER;
-    while at < now + CONFIRM_WITHIN {
-        at += ASK_AGAIN_AFTER;
-        lost.unclear_again(at, |_| Some(Duration::ZERO));
+    lost.first_probes(now + CRASH_SETTLE_DELAY);
+    let mut at = now + CRASH_SETTLE_DELAY;
+    while at < now + CONFIRMATION_TIMEOUT {
+        at += PROBE_INTERVAL;
+        lost.repeated_probes(at, |_| Some(Duration::ZERO));
     }
-    assert!(lost.due(at).is_empty());
-    assert_eq!(reasons(&mut lost), [Dismissal::Unclear]);
+    assert!(lost.take_confirmed(at).is_empty());
+    assert_eq!(reasons(&mut lost), [DiscardReason::Unconfirmed]);
 }
 
-/// A router that was paused has had no time to ask.
+/// Guards against an attempt that is discarded without a probe, because the router itself was paused for longer than the
+/// confirmation timeout.
 #[test]
-fn an_attempt_is_not_dropped_before_its_upstream_could_answer() {
+fn attempt_does_not_expire_before_its_upstream_could_respond() {
     let now = Instant::now();
-    let late = now + CONFIRM_WITHIN * 2;
+    let late = now + CONFIRMATION_TIMEOUT * 2;
     let mut lost = LostAttempts::default();
     lost.on_lost(attempt("a", 1, now), false);
-    assert_eq!(lost.unclear(late).len(), 1);
-    assert!(lost.due(late).is_empty());
+    assert_eq!(lost.first_probes(late).len(), 1);
+    assert!(lost.take_confirmed(late).is_empty());
     let next = lost.next_due().unwrap();
     assert!(next > late);
-    assert!(lost.due(next).is_empty());
-    assert_eq!(reasons(&mut lost), [Dismissal::Unclear]);
+    assert!(lost.take_confirmed(next).is_empty());
+    assert_eq!(reasons(&mut lost), [DiscardReason::Unconfirmed]);
 }
--- a/crates/shared/cloverpier_crashes/tests/registry.rs
+++ b/crates/shared/cloverpier_crashes/tests/registry.rs
@@ -1,13 +1,15 @@
-//! What the ends of upstreams mean for the contents that ran there.
+//! Recorded crashes: merging of observations, evidence, and the contents that are blocked.
 
 use cloverpier_crashes::prelude::*;
-use cloverpier_crashes::registry::{CRASH_TTL, MAX_CONTENTS, MAX_CRASHES, UNKNOWN_START};
+use cloverpier_crashes::registry::{
+    CRASH_TTL, MAX_CONTENTS, MAX_CRASHES_PER_CONTENT, UNKNOWN_START_TIME,
+};
 use quickcheck::{QuickCheck, TestResult};
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
 fn content(name: &str) -> ContentKey {
-    ContentKey::of(&Content {
+    ContentKey::of(&RequestContent {
         account: "lab",
         host: "api.example",
         method: "POST",
@@ -16,347 +18,390 @@
     })
 }
 
-fn end(upstream: u64, start: u64) -> UpstreamEnd {
-    UpstreamEnd { upstream, start }
+fn crash_id(upstream: u64, time_ms: u64) -> CrashId {
+    CrashId { upstream, time_ms }
 }
 
-fn crash(end: UpstreamEnd, at: Instant) -> Crash {
+/// A crash without concurrent failures.
+fn crash(id: CrashId, at: Instant) -> Crash {
     Crash {
-        end,
+        id,
         at,
         ran_for: Duration::from_secs(2),
-        surroundings: Surroundings::default(),
-        excused: false,
+        context: CrashContext::default(),
+        is_disregarded: false,
     }
 }
 
-/// An end in a data centre of six upstreams of 24, with these that ended beside it there.
-fn beside(ended: &[u64]) -> Surroundings {
-    Surroundings {
-        in_service: 23,
-        in_data_centre: 5,
-        ended: EndedBeside::of(ended.iter().map(|upstream| (*upstream, true))),
+/// The context of a crash in a data centre that has 6 of the service's 24 upstreams, where the upstreams `failed` of
+/// this data centre failed at the same time.
+fn context_with(failed: &[u64]) -> CrashContext {
+    CrashContext {
+        others_in_service: 23,
+        others_in_data_centre: 5,
+        concurrent_failures: ConcurrentFailures::of(
+            failed.iter().map(|upstream| (*upstream, true)),
+        ),
     }
 }
 
-fn book() -> CrashBook {
-    CrashBook::new(CrashLimit(3), EndsBy::Start)
+fn registry() -> CrashRegistry {
+    CrashRegistry::new(CrashLimit(3), CrashTimestamp::ProcessStart)
 }
 
-/// A book that knows ends of a content, one each of upstreams 1, 2 and so on.
-fn book_with(name: &str, ends: u64, now: Instant) -> CrashBook {
-    let mut book = book();
-    for upstream in 1..=ends {
-        book.record(content(name), crash(end(upstream, 5_000), now), now);
+/// A registry with crashes under one content: one crash each of the upstreams from 1 to `crashes`.
+fn registry_with(name: &str, crashes: u64, now: Instant) -> CrashRegistry {
+    let mut registry = registry();
+    for upstream in 1..=crashes {
+        registry.record(content(name), crash(crash_id(upstream, 5_000), now), now);
     }
-    book
+    registry
 }
 
 #[test]
-fn the_third_end_stops_a_content_and_no_other() {
+fn third_crash_blocks_a_content_and_no_other() {
     let now = Instant::now();
-    let verdicts: Vec<Verdict> = (0..5)
-        .map(|ends| book_with("a", ends, now).verdict(content("a"), now))
+    let statuses: Vec<ContentStatus> = (0..5)
+        .map(|crashes| registry_with("a", crashes, now).status(content("a"), now))
         .collect();
-    let [harmless, suspect, stopped] = [Verdict::Harmless, Verdict::Suspect, Verdict::Stopped];
-    assert_eq!(verdicts, [harmless, harmless, suspect, stopped, stopped]);
-    assert_eq!(book_with("a", 3, now).verdict(content("b"), now), harmless);
+    let [normal, suspect, blocked] = [
+        ContentStatus::Normal,
+        ContentStatus::Suspect,
+        ContentStatus::Blocked,
+    ];
+    assert_eq!(statuses, [normal, normal, suspect, blocked, blocked]);
+    assert_eq!(registry_with("a", 3, now).status(content("b"), now), normal);
 }
 
 #[test]
-fn the_same_end_counts_once_and_another_start_of_the_same_upstream_again() {
+fn same_crash_counts_once_and_crash_of_another_process_counts_again() {
     let now = Instant::now();
-    let mut book = book();
-    let first = crash(end(1, 5_000), now);
-    assert!(book.record(content("a"), first.clone(), now));
-    assert!(!book.record(content("a"), first, now));
-    // Its observer did not know when that upstream had started.
-    book.record(content("a"), crash(end(1, UNKNOWN_START), now), now);
-    assert_eq!(book.crashes(content("a"), now), 1);
-    book.record(content("a"), crash(end(1, 6_000), now), now);
-    assert_eq!(book.crashes(content("a"), now), 2);
+    let mut registry = registry();
+    let first = crash(crash_id(1, 5_000), now);
+    assert!(registry.record(content("a"), first.clone(), now));
+    assert!(!registry.record(content("a"), first, now));
+    // The start time is unknown to the observer of this crash, so it may be the same crash.
+    registry.record(
+        content("a"),
+        crash(crash_id(1, UNKNOWN_START_TIME), now),
+        now,
+    );
+    assert_eq!(registry.crash_count(content("a"), now), 1);
+    registry.record(content("a"), crash(crash_id(1, 6_000), now), now);
+    assert_eq!(registry.crash_count(content("a"), now), 2);
 }
 
 #[test]
-fn an_end_to_which_its_observers_gave_slightly_different_times_counts_once() {
+fn crash_with_slightly_different_observed_times_counts_once() {
     let now = Instant::now();
-    let mut book = CrashBook::new(CrashLimit(3), EndsBy::TimeOfDay);
-    for time in [80_000, 80_120, 79_700, 85_000, 85_400] {
-        book.record(content("a"), crash(end(1, time), now), now);
+    let mut registry = CrashRegistry::new(CrashLimit(3), CrashTimestamp::ObservedCrash);
+    for time_ms in [80_000, 80_120, 79_700, 85_000, 85_400] {
+        registry.record(content("a"), crash(crash_id(1, time_ms), now), now);
     }
-    assert_eq!(book.crashes(content("a"), now), 2);
+    assert_eq!(registry.crash_count(content("a"), now), 2);
 }
 
-/// Guards against a content that ends an upstream again and again which is back within a second.
+/// Guards against crashes that are not counted: a content crashes the same upstream repeatedly, and the upstream
+/// restarts within a second each time.
 #[test]
-fn each_end_of_an_upstream_that_starts_again_at_once_counts() {
+fn each_crash_of_an_upstream_that_restarts_at_once_counts() {
     let now = Instant::now();
-    let mut book = book();
+    let mut registry = registry();
     for start in [80_000, 80_400, 80_900] {
-        book.record(content("a"), crash(end(1, start), now), now);
+        registry.record(content("a"), crash(crash_id(1, start), now), now);
     }
-    assert_eq!(book.verdict(content("a"), now), Verdict::Stopped);
+    assert_eq!(registry.status(content("a"), now), ContentStatus::Blocked);
 }
 
 #[test]
-fn ends_that_neighbours_explain_do_not_stop_a_content() {
+fn crashes_in_outages_do_not_block_a_content() {
     let now = Instant::now();
-    let mut book = book();
+    let mut registry = registry();
     for upstream in 1..=10 {
-        let explained = Crash {
-            surroundings: beside(&[101, 102, 103, 104]),
-            ..crash(end(upstream, 5_000), now)
+        let crash = Crash {
+            context: context_with(&[101, 102, 103, 104]),
+            ..crash(crash_id(upstream, 5_000), now)
         };
-        book.record(content("a"), explained, now);
+        registry.record(content("a"), crash, now);
     }
-    assert_eq!(book.verdict(content("a"), now), Verdict::Harmless);
+    assert_eq!(registry.status(content("a"), now), ContentStatus::Normal);
 }
 
 #[test]
-fn ends_of_one_content_one_after_the_other_do_not_explain_each_other() {
+fn sequential_crashes_of_one_content_keep_their_weight_once_reports_are_merged() {
     let now = Instant::now();
-    // Each of three routers saw one end, and that two more upstreams ended beside it.
-    let seen = [(1, [2, 3]), (2, [1, 3]), (3, [1, 2])];
-    let mut books: Vec<CrashBook> = seen.iter().map(|_| book()).collect();
-    for (book, (upstream, others)) in books.iter_mut().zip(seen) {
+    // Each of three routers observed one crash under the content, and two concurrent failures.
+    let observed = [(1, [2, 3]), (2, [1, 3]), (3, [1, 2])];
+    let mut registries: Vec<CrashRegistry> = observed.iter().map(|_| registry()).collect();
+    for (registry, (upstream, others)) in registries.iter_mut().zip(observed) {
         let crash = Crash {
-            surroundings: beside(&others),
+            context: context_with(&others),
             ran_for: Duration::from_millis(15),
-            ..crash(end_of(upstream), now + Duration::from_millis(30 * upstream))
+            ..crash(
+                first_crash_of(upstream),
+                now + Duration::from_millis(30 * upstream),
+            )
         };
-        book.record(content("a"), crash, now);
-        assert!(book.evidence(content("a"), now) < Weight::FULL.thousandths() / 2);
+        registry.record(content("a"), crash, now);
+        assert!(registry.evidence_thousandths(content("a"), now) < Weight::FULL.thousandths() / 2);
     }
-    let told: Vec<_> = books
+    let reports: Vec<_> = registries
         .iter()
-        .map(|b| b.reports(&[content("a")], now + Duration::from_millis(100)))
+        .map(|registry| registry.reports(&[content("a")], now + Duration::from_millis(100)))
         .collect();
-    for reports in &told {
-        books[0].merge(reports, now + Duration::from_millis(100));
+    for reports in &reports {
+        registries[0].merge(reports, now + Duration::from_millis(100));
     }
-    assert_eq!(books[0].verdict(content("a"), now), Verdict::Stopped);
+    assert_eq!(
+        registries[0].status(content("a"), now),
+        ContentStatus::Blocked
+    );
 }
 
-/// Guards against peers that go on sending a request which its own router has stopped, as one of the reports
-/// took longer than the others.
+/// Guards against a content that is blocked at the router that observed its crashes but not at a peer: one of the
+/// reports took longer than the others, so that sequential executions appeared to overlap.
 #[test]
-fn runs_in_turn_stay_so_at_a_peer_whatever_time_each_report_took() {
-    let began = Instant::now();
+fn sequential_executions_stay_sequential_at_a_peer_whatever_the_transit_time() {
+    let first_crash_at = Instant::now();
     let ms = Duration::from_millis;
-    // Each run began two milliseconds after the end of the one before.
-    let lost = [
+    // Upstream, time of the crash, length of the execution. Each execution starts two milliseconds after the crash
+    // before.
+    let crashes = [
         (1, ms(0), ms(1_150)),
         (2, ms(60), ms(58)),
         (3, ms(118), ms(56)),
     ];
     for delay in [0, 3, 30, 700] {
-        let (mut own, mut peer) = (book(), book());
-        let mut now = began;
-        for (turn, (upstream, at, ran_for)) in [lost[1], lost[2], lost[0]].into_iter().enumerate() {
+        let (mut own, mut peer) = (registry(), registry());
+        let mut now = first_crash_at;
+        for (turn, (upstream, at, ran_for)) in
+            [crashes[1], crashes[2], crashes[0]].into_iter().enumerate()
+        {
             let others: Vec<u64> = (1..=3).filter(|other| *other != upstream).collect();
             let crash = Crash {
-                surroundings: beside(&others),
+                context: context_with(&others),
                 ran_for,
-                ..crash(end_of(upstream), began + at)
+                ..crash(first_crash_of(upstream), first_crash_at + at)
             };
-            now = began + ms(200) + ms(50) * turn as u32;
+            now = first_crash_at + ms(200) + ms(50) * turn as u32;
             own.record(content("a"), crash, now);
-            // The last report is the slow one.
-            let took = if turn == 2 { ms(delay) } else { ms(1) };
-            peer.merge(&own.reports(&[content("a")], now), now + took);
+            // Only the last report is delayed.
+            let transit_time = if turn == 2 { ms(delay) } else { ms(1) };
+            peer.merge(&own.reports(&[content("a")], now), now + transit_time);
         }
         let later = now + ms(1_000);
-        assert_eq!(own.verdict(content("a"), later), Verdict::Stopped);
+        assert_eq!(own.status(content("a"), later), ContentStatus::Blocked);
         assert_eq!(
-            peer.verdict(content("a"), later),
-            Verdict::Stopped,
+            peer.status(content("a"), later),
+            ContentStatus::Blocked,
             "{delay} ms"
         );
     }
 }
 
 #[test]
-fn equal_requests_that_ran_in_a_data_centre_until_it_died_are_not_stopped() {
+fn copies_of_a_request_in_a_data_centre_outage_are_not_blocked() {
     let now = Instant::now();
-    let together = |others: &[u64]| Surroundings {
-        in_service: 11,
-        in_data_centre: 3,
-        ended: EndedBeside::of(others.iter().map(|upstream| (*upstream, true))),
+    let outage = |others: &[u64]| CrashContext {
+        others_in_service: 11,
+        others_in_data_centre: 3,
+        concurrent_failures: ConcurrentFailures::of(
+            others.iter().map(|upstream| (*upstream, true)),
+        ),
     };
-    let mut book = book();
+    let mut registry = registry();
     for upstream in 1..=4 {
         let others: Vec<u64> = (1..=4).filter(|other| *other != upstream).collect();
         let crash = Crash {
-            surroundings: together(&others),
-            ..crash(end(upstream, 5_000), now)
+            context: outage(&others),
+            ..crash(crash_id(upstream, 5_000), now)
         };
-        book.record(content("a"), crash, now);
+        registry.record(content("a"), crash, now);
     }
-    assert_eq!(book.evidence(content("a"), now), 0);
-    // A request that runs at one engine after the other within as short a time is.
+    assert_eq!(registry.evidence_thousandths(content("a"), now), 0);
+    // A content that is executed at one engine after the other within a similarly short time is blocked.
     for upstream in 1..=4 {
         let others: Vec<u64> = (1..=4).filter(|other| *other != upstream).collect();
         let at = now + Duration::from_millis(20 * upstream);
         let crash = Crash {
-            surroundings: together(&others),
+            context: outage(&others),
             ran_for: Duration::from_millis(15),
-            ..crash(end(upstream, 5_000), at)
+            ..crash(crash_id(upstream, 5_000), at)
         };
-        book.record(content("b"), crash, at);
+        registry.record(content("b"), crash, at);
     }
-    assert_eq!(book.verdict(content("b"), now), Verdict::Stopped);
+    assert_eq!(registry.status(content("b"), now), ContentStatus::Blocked);
 }
 
 #[test]
-fn a_content_that_runs_to_its_end_is_acquitted_of_what_is_known_and_no_more() {
+fn completion_disregards_earlier_crashes_but_no_later_ones() {
     let now = Instant::now();
-    let mut book = book_with("a", 3, now);
-    assert!(book.on_completed(content("a")));
-    assert!(!book.on_completed(content("a")));
-    assert_eq!(book.verdict(content("a"), now), Verdict::Harmless);
-    // The same end, told late by a peer that does not know.
-    let told = book_with("a", 3, now).reports(&[content("a")], now);
-    assert!(book.merge(&told, now).is_empty());
-    assert_eq!(book.verdict(content("a"), now), Verdict::Harmless);
+    let mut registry = registry_with("a", 3, now);
+    assert!(registry.on_completed(content("a")));
+    assert!(!registry.on_completed(content("a")));
+    assert_eq!(registry.status(content("a"), now), ContentStatus::Normal);
+    // A late report on the same crashes, from a peer without the completion.
+    let reports = registry_with("a", 3, now).reports(&[content("a")], now);
+    assert!(registry.merge(&reports, now).is_empty());
+    assert_eq!(registry.status(content("a"), now), ContentStatus::Normal);
     for upstream in 11..=13 {
-        book.record(content("a"), crash(end(upstream, 5_000), now), now);
+        registry.record(content("a"), crash(crash_id(upstream, 5_000), now), now);
     }
-    assert_eq!(book.verdict(content("a"), now), Verdict::Stopped);
+    assert_eq!(registry.status(content("a"), now), ContentStatus::Blocked);
 }
 
-/// Of six contents that crash 24 engines each came to 4.4 ends where an end counted only against the
-/// content of those there that had ended the most, and to 2.9 where it counts against each (`cargo
-/// measure --scenario crashes`, simulated time, 30 seeds); no more others were stopped.
+/// Guards against contents that hide behind each other. If a crash counts only against the content with the most
+/// crashes there, six contents that crash 24 engines crash 4.4 of them each before they are blocked; if a crash counts
+/// against each content, 2.9, and no more other contents are blocked.
 #[test]
-fn an_end_counts_against_each_content_that_ran_there() {
+fn crash_counts_against_each_content_that_the_upstream_executed() {
     let now = Instant::now();
-    let mut book = book_with("crashing", 4, now);
+    let mut registry = registry_with("crashing", 4, now);
     for upstream in 1..=2 {
-        book.record(content("beside"), crash(end_of(upstream), now), now);
+        registry.record(content("beside"), crash(first_crash_of(upstream), now), now);
     }
-    assert_eq!(book.verdict(content("beside"), now), Verdict::Suspect);
-    book.record(content("beside"), crash(end_of(9), now), now);
-    assert_eq!(book.verdict(content("beside"), now), Verdict::Stopped);
-    assert_eq!(book.verdict(content("crashing"), now), Verdict::Stopped);
+    assert_eq!(
+        registry.status(content("beside"), now),
+        ContentStatus::Suspect
+    );
+    registry.record(content("beside"), crash(first_crash_of(9), now), now);
+    assert_eq!(
+        registry.status(content("beside"), now),
+        ContentStatus::Blocked
+    );
+    assert_eq!(
+        registry.status(content("crashing"), now),
+        ContentStatus::Blocked
+    );
 }
 
-/// One chance end beside the ends of a content must not cost one more engine.
+/// Guards against one more crash before a content is blocked, because an unrelated engine failed at the same time as
+/// one of its crashes.
 #[test]
-fn evidence_is_rounded_to_whole_ends() {
+fn evidence_slightly_below_a_threshold_reaches_it() {
     let now = Instant::now();
-    let mut book = book_with("a", 2, now);
-    let beside_one = Crash {
-        surroundings: beside(&[101]),
-        ..crash(end_of(3), now)
+    let mut registry = registry_with("a", 2, now);
+    let with_other_failure = Crash {
+        context: context_with(&[101]),
+        ..crash(first_crash_of(3), now)
     };
-    book.record(content("a"), beside_one, now);
-    let evidence = book.evidence(content("a"), now);
+    registry.record(content("a"), with_other_failure, now);
+    let evidence = registry.evidence_thousandths(content("a"), now);
     assert!((2_500..3_000).contains(&evidence), "{evidence}");
-    assert_eq!(book.verdict(content("a"), now), Verdict::Stopped);
+    assert_eq!(registry.status(content("a"), now), ContentStatus::Blocked);
 }
 
 #[test]
-fn what_is_known_lapses_and_one_more_end_stops_the_content_again() {
+fn crashes_expire_and_one_more_crash_blocks_the_content_again() {
     let now = Instant::now();
-    let mut book = book_with("a", 2, now);
+    let mut registry = registry_with("a", 2, now);
     let half = now + CRASH_TTL / 2;
-    book.record(content("a"), crash(end(9, 5_000), half), half);
-    assert_eq!(book.verdict(content("a"), half), Verdict::Stopped);
+    registry.record(content("a"), crash(crash_id(9, 5_000), half), half);
+    assert_eq!(registry.status(content("a"), half), ContentStatus::Blocked);
     let later = now + CRASH_TTL;
-    assert_eq!(book.verdict(content("a"), later), Verdict::Harmless);
+    assert_eq!(registry.status(content("a"), later), ContentStatus::Normal);
     for upstream in 11..=12 {
-        book.record(content("a"), crash(end(upstream, 5_000), later), later);
+        registry.record(content("a"), crash(crash_id(upstream, 5_000), later), later);
     }
-    assert_eq!(book.verdict(content("a"), later), Verdict::Stopped);
-    let end = later + CRASH_TTL * 2;
-    assert!(book.record(content("b"), crash(end_of(1), end), end));
-    assert!(!book.knows(content("a")));
+    assert_eq!(registry.status(content("a"), later), ContentStatus::Blocked);
+    let much_later = later + CRASH_TTL * 2;
+    assert!(registry.record(
+        content("b"),
+        crash(first_crash_of(1), much_later),
+        much_later
+    ));
+    assert!(!registry.contains(content("a")));
 }
 
-fn end_of(upstream: u64) -> UpstreamEnd {
-    end(upstream, 5_000)
+/// The crash of the first process of an upstream.
+fn first_crash_of(upstream: u64) -> CrashId {
+    crash_id(upstream, 5_000)
 }
 
 #[test]
-fn an_end_under_a_content_that_ran_well_just_before_counts_nothing() {
+fn crash_shortly_after_a_completion_of_the_content_does_not_count() {
     let now = Instant::now();
-    let mut book = book();
+    let mut registry = registry();
     for upstream in 1..=4 {
-        let excused = Crash {
-            excused: true,
-            ..crash(end(upstream, 5_000), now)
+        let disregarded = Crash {
+            is_disregarded: true,
+            ..crash(crash_id(upstream, 5_000), now)
         };
-        book.record(content("a"), excused, now);
+        registry.record(content("a"), disregarded, now);
     }
-    assert_eq!(book.verdict(content("a"), now), Verdict::Harmless);
-    // A router that did not see it run hears of that, too.
-    let mut other = book_with("a", 4, now);
-    other.merge(&book.reports(&[content("a")], now), now);
-    assert_eq!(other.verdict(content("a"), now), Verdict::Harmless);
+    assert_eq!(registry.status(content("a"), now), ContentStatus::Normal);
+    // A router that has not observed the completion receives the mark in a report.
+    let mut other = registry_with("a", 4, now);
+    other.merge(&registry.reports(&[content("a")], now), now);
+    assert_eq!(other.status(content("a"), now), ContentStatus::Normal);
 }
 
 #[test]
-fn operators_clear_a_content_or_all_of_them() {
+fn operator_clears_one_content_or_disables_blocking() {
     let now = Instant::now();
-    let mut book = book_with("a", 4, now);
-    assert_eq!(book.changed_stops(now).stopped, [content("a")]);
-    book.set_bounds(CrashLimit(3), HashSet::from([content("a")]));
-    assert_eq!(book.verdict(content("a"), now), Verdict::Suspect);
-    assert_eq!(book.changed_stops(now).lifted, [content("a")]);
-    book.set_bounds(CrashLimit(5), HashSet::new());
-    assert_eq!(book.verdict(content("a"), now), Verdict::Suspect);
-    book.set_bounds(CrashLimit(0), HashSet::new());
-    assert_eq!(book.verdict(content("a"), now), Verdict::Suspect);
+    let mut registry = registry_with("a", 4, now);
+    assert_eq!(registry.take_block_changes(now).blocked, [content("a")]);
+    registry.configure(CrashLimit(3), HashSet::from([content("a")]));
+    assert_eq!(registry.status(content("a"), now), ContentStatus::Suspect);
+    assert_eq!(registry.take_block_changes(now).unblocked, [content("a")]);
+    registry.configure(CrashLimit(5), HashSet::new());
+    assert_eq!(registry.status(content("a"), now), ContentStatus::Suspect);
+    registry.configure(CrashLimit(0), HashSet::new());
+    assert_eq!(registry.status(content("a"), now), ContentStatus::Suspect);
 }
 
 #[test]
-fn a_stop_is_reported_as_a_change_once() {
+fn blocked_content_is_returned_as_a_change_once() {
     let now = Instant::now();
-    let mut book = book_with("a", 2, now);
-    assert_eq!(book.changed_stops(now), Default::default());
-    book.record(content("a"), crash(end(3, 5_000), now), now);
-    assert_eq!(book.changed_stops(now).stopped, [content("a")]);
-    assert_eq!(book.changed_stops(now), Default::default());
+    let mut registry = registry_with("a", 2, now);
+    assert_eq!(registry.take_block_changes(now), Default::default());
+    registry.record(content("a"), crash(crash_id(3, 5_000), now), now);
+    assert_eq!(registry.take_block_changes(now).blocked, [content("a")]);
+    assert_eq!(registry.take_block_changes(now), Default::default());
 }
 
 #[test]
-fn what_is_kept_is_bounded_and_those_with_the_most_against_them_stay() {
+fn registry_is_bounded_and_contents_with_the_most_crashes_stay() {
     let now = Instant::now();
-    let mut book = book_with("a", 3, now);
+    let mut registry = registry_with("a", 3, now);
     for n in 0..MAX_CONTENTS + 50 {
         let at = now + Duration::from_millis(n as u64);
-        book.record(
+        registry.record(
             content(&format!("new-{n}")),
-            crash(end(100 + n as u64, 5_000), at),
+            crash(crash_id(100 + n as u64, 5_000), at),
             at,
         );
     }
     let newest = content(&format!("new-{}", MAX_CONTENTS + 49));
-    assert!(book.knows(content("a")) && book.knows(newest));
-    assert!(!book.knows(content("new-0")));
-    let mut book = self::book();
-    for upstream in 0..MAX_CRASHES as u64 * 2 {
-        book.record(content("a"), crash(end(upstream, 5_000), now), now);
+    assert!(registry.contains(content("a")) && registry.contains(newest));
+    assert!(!registry.contains(content("new-0")));
+    let mut registry = self::registry();
+    for upstream in 0..MAX_CRASHES_PER_CONTENT as u64 * 2 {
+        registry.record(content("a"), crash(crash_id(upstream, 5_000), now), now);
     }
-    assert_eq!(book.crashes(content("a"), now), MAX_CRASHES);
+    assert_eq!(
+        registry.crash_count(content("a"), now),
+        MAX_CRASHES_PER_CONTENT
+    );
 }
 
 #[test]
-fn excuses_of_before_make_room_for_later_ends() {
+fn disregarded_crashes_are_evicted_before_counted_ones() {
     let now = Instant::now();
-    let mut book = book_with("a", MAX_CRASHES as u64, now);
-    book.on_completed(content("a"));
+    let mut registry = registry_with("a", MAX_CRASHES_PER_CONTENT as u64, now);
+    registry.on_completed(content("a"));
     for upstream in 101..=103 {
-        book.record(content("a"), crash(end(upstream, 5_000), now), now);
+        registry.record(content("a"), crash(crash_id(upstream, 5_000), now), now);
     }
-    assert_eq!(book.verdict(content("a"), now), Verdict::Stopped);
+    assert_eq!(registry.status(content("a"), now), ContentStatus::Blocked);
 }
 
-/// One thing that a router learns, drawn from few contents and ends so that they meet.
+/// A random crash of a content, and whether the content then completes. The contents and crashes are few, so that
+/// several routers observe the same ones.
 fn draw_event(rng: &mut fastrand::Rng, now: Instant) -> (ContentKey, Crash, bool) {
     let crash = Crash {
-        surroundings: beside([&[][..], &[1, 9], &[8]][rng.usize(..3)]),
-        ..crash(end(rng.u64(1..6), rng.u64(0..3) * 5_000), now)
+        context: context_with([&[][..], &[1, 9], &[8]][rng.usize(..3)]),
+        ..crash(crash_id(rng.u64(1..6), rng.u64(0..3) * 5_000), now)
     };
     (
         content(["a", "b", "c"][rng.usize(..3)]),
@@ -365,42 +410,49 @@
     )
 }
 
-fn verdicts(book: &CrashBook, now: Instant) -> Vec<(Verdict, usize)> {
+fn statuses(registry: &CrashRegistry, now: Instant) -> Vec<(ContentStatus, usize)> {
     let of = |name| {
         (
-            book.verdict(content(name), now),
-            book.crashes(content(name), now),
+            registry.status(content(name), now),
+            registry.crash_count(content(name), now),
         )
     };
     ["a", "b", "c"].map(of).to_vec()
 }
 
-/// Routers that each saw a part, and told each other all in any order, some of it twice, judge alike.
+/// Each router observes some of the events and receives all reports in random order, some of them twice.
 #[test]
-fn routers_that_know_the_same_ends_judge_alike_whatever_the_order() {
+fn routers_with_the_same_crashes_derive_the_same_status_in_any_order() {
     fn check(seed: u64) -> TestResult {
         let now = Instant::now();
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut books = vec![book(), book(), book()];
+        let mut registries = vec![registry(), registry(), registry()];
         for _ in 0..rng.usize(1..30) {
             let (content, crash, completes) = draw_event(&mut rng, now);
-            let seen_by = rng.usize(..books.len());
-            books[seen_by].record(content, crash, now);
+            let observer = rng.usize(..registries.len());
+            registries[observer].record(content, crash, now);
             if completes {
-                books[seen_by].on_completed(content);
+                registries[observer].on_completed(content);
             }
         }
         let all = ["a", "b", "c"].map(content);
-        let reports: Vec<_> = books.iter().map(|book| book.reports(&all, now)).collect();
-        for book in &mut books {
+        let reports: Vec<_> = registries
+            .iter()
+            .map(|registry| registry.reports(&all, now))
+            .collect();
+        for registry in &mut registries {
             let mut order: Vec<usize> = (0..reports.len()).chain(0..2).collect();
             rng.shuffle(&mut order);
             for index in order {
-                book.merge(&reports[index], now);
+                registry.merge(&reports[index], now);
             }
         }
-        let first = verdicts(&books[0], now);
-        TestResult::from_bool(books.iter().all(|book| verdicts(book, now) == first))
+        let first = statuses(&registries[0], now);
+        TestResult::from_bool(
+            registries
+                .iter()
+                .all(|registry| statuses(registry, now) == first),
+        )
     }
     QuickCheck::new()
         .tests(300)
--- a/crates/shared/cloverpier_crashes/tests/support/mod.rs
+++ b/crates/shared/cloverpier_crashes/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A content, upstreams that run it, and attempts that are lost there.
+//! Helpers of the tests of [`CrashTracker`]: one request content, and attempts with this content that are lost.
 
-#![allow(dead_code, reason = "each test file needs a part of it")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use cloverpier_core::{DataCentre, ServiceName};
 use cloverpier_crashes::prelude::*;
@@ -8,8 +8,8 @@
 
 const TARGET: &str = "/digests/17";
 
-pub fn content() -> Content<'static> {
-    Content {
+pub fn content() -> RequestContent<'static> {
+    RequestContent {
         account: "lab",
         host: "api.example",
         method: "POST",
@@ -22,8 +22,9 @@
     ContentKey::of(&content())
 }
 
-pub fn upstream(upstream: u64, at: Instant) -> EndedUpstream {
-    EndedUpstream {
+/// An event at an upstream of the service `drafts`: a loss, a crash or a suspected failure.
+pub fn upstream(upstream: u64, at: Instant) -> UpstreamEvent {
+    UpstreamEvent {
         upstream,
         service: ServiceName::new("drafts"),
         data_centre: DataCentre::new("hall-a"),
@@ -31,23 +32,24 @@
     }
 }
 
-pub fn attempt(number: u64, loss: Loss, at: Instant) -> LostAttempt {
+/// An attempt that was sent to an upstream 20 ms before the loss.
+pub fn attempt(number: u64, loss: LossCause, at: Instant) -> LostAttempt {
     LostAttempt {
         content: key(),
         loss,
-        ran_well: false,
+        has_completed: false,
         ran_for: Duration::from_millis(20),
-        end: UpstreamEnd {
+        crash_id: CrashId {
             upstream: number,
-            start: 5_000,
+            time_ms: 5_000,
         },
         upstream: upstream(number, at),
     }
 }
 
-/// Eight upstreams, all in one data centre.
-pub fn neighbours(_: &EndedUpstream) -> Neighbours {
-    Neighbours {
+/// The neighbours of an upstream in a service of eight upstreams, all in one data centre.
+pub fn neighbours(_: &UpstreamEvent) -> NeighbourCounts {
+    NeighbourCounts {
         in_service: 7,
         in_data_centre: 7,
     }
@@ -57,25 +59,26 @@
     Duration::from_millis(count)
 }
 
-pub fn answer_of(upstream: u64, asked: Instant) -> SignOfLife {
-    SignOfLife {
+/// A response to a probe that is received at the time at which the probe is sent.
+pub fn response_of(upstream: u64, sent_at: Instant) -> UpstreamResponse {
+    UpstreamResponse {
         upstream,
-        asked,
-        answered: asked,
+        sent_at,
+        received_at: sent_at,
     }
 }
 
-/// Cases in which a content was lost at upstreams 1, 2 and so on, each 30 ms after the one before.
-pub fn cases_with(losses: &[Loss], now: Instant) -> CrashCases {
-    let mut cases = CrashCases::new(CrashLimit(3), EndsBy::Start);
+/// A tracker with lost attempts at upstreams 1, 2 and so on, each lost 30 ms after the one before.
+pub fn tracker_with(losses: &[LossCause], now: Instant) -> CrashTracker {
+    let mut tracker = CrashTracker::new(CrashLimit(3), CrashTimestamp::ProcessStart);
     for (number, loss) in (1..).zip(losses) {
         let at = now + ms(30) * number as u32;
-        cases.on_lost(&content(), attempt(number, *loss, at));
+        tracker.on_lost(&content(), attempt(number, *loss, at));
     }
-    cases
+    tracker
 }
 
-/// What was decided of the content, once the time to judge has passed.
-pub fn hold(cases: &CrashCases, now: Instant) -> Hold {
-    cases.hold(key(), now, neighbours)
+/// The hold of a new request with the content.
+pub fn hold(tracker: &CrashTracker, now: Instant) -> Hold {
+    tracker.hold(key(), now, neighbours)
 }
--- a/crates/shared/cloverpier_crashes/tests/unrelated_crashes.rs
+++ b/crates/shared/cloverpier_crashes/tests/unrelated_crashes.rs
@@ -1,165 +1,183 @@
-//! Requests that crash nothing, at upstreams that end.
+//! Requests that crash no upstream, but run at upstreams that crash for other reasons.
 
 mod support;
 
-use cloverpier_crashes::lost_attempts::JUDGE_AFTER;
+use cloverpier_crashes::lost_attempts::CRASH_SETTLE_DELAY;
 use cloverpier_crashes::prelude::*;
 use std::time::Instant;
 use support::*;
 
-/// Equal copies of a request that run at the engines of a data centre when it freezes, and whose engines
-/// never come back, or come back as others.
-fn copies_in_a_frozen_data_centre(now: Instant) -> CrashCases {
-    let mut cases = CrashCases::new(CrashLimit(3), EndsBy::Start);
-    // Each engine is given up at a moment of its own, a while after the last sign of life.
+/// Lost attempts of copies of a request that run at the engines of a data centre when the data centre freezes. The
+/// engines do not respond again; at most, newer processes do.
+fn tracker_with_copies_in_frozen_data_centre(now: Instant) -> CrashTracker {
+    let mut tracker = CrashTracker::new(CrashLimit(3), CrashTimestamp::ProcessStart);
+    // The router gives up on each engine 1,150 ms after its last response.
     for number in 1..=7 {
         let at = now + ms(1_150) + ms(90) * number as u32;
-        cases.on_death(upstream(number, at), now + ms(90) * number as u32);
+        tracker.on_suspected_failure(upstream(number, at), now + ms(90) * number as u32);
         let attempt = LostAttempt {
             ran_for: at - now,
-            ..attempt(number, Loss::GivenUp, at)
+            ..attempt(number, LossCause::UpstreamSilent, at)
         };
-        cases.on_lost(&content(), attempt);
+        tracker.on_lost(&content(), attempt);
     }
-    cases
+    tracker
 }
 
 #[test]
-fn copies_of_a_request_in_a_data_centre_that_froze_are_not_held_and_not_stopped_when_it_proves_dead()
- {
+fn copies_in_a_frozen_data_centre_are_not_held_and_not_blocked() {
     let now = Instant::now();
-    let mut cases = copies_in_a_frozen_data_centre(now);
-    assert_ne!(hold(&cases, now + ms(1_900)), Hold::UntilSettled);
-    // Their ends are proved one after the other.
+    let mut tracker = tracker_with_copies_in_frozen_data_centre(now);
+    assert_ne!(hold(&tracker, now + ms(1_900)), Hold::UntilResolved);
+    // The crashes are proven one after the other.
     for number in 1..=7 {
-        cases.on_end(upstream(number, now + ms(2_500) + ms(200) * number as u32));
+        tracker.on_process_gone(upstream(number, now + ms(2_500) + ms(200) * number as u32));
     }
     let later = now + ms(5_000);
-    assert_eq!(cases.judge(later, neighbours).len(), 7);
-    assert_eq!(cases.book.verdict(key(), later), Verdict::Harmless);
+    assert_eq!(tracker.record_confirmed(later, neighbours).len(), 7);
+    assert_eq!(tracker.registry.status(key(), later), ContentStatus::Normal);
 }
 
-/// Guards against innocent requests that are stopped because upstreams have started again before it is known,
-/// and the requests that the next starts had got until then are given up.
+/// Guards against a content that is blocked though it crashes nothing: the router learns late that upstreams have
+/// restarted, and then gives up on attempts that were already sent to the newer processes.
 #[test]
-fn attempts_at_the_next_starts_of_upstreams_that_were_known_to_have_ended_do_not_count() {
+fn attempts_at_restarted_upstreams_do_not_count() {
     let now = Instant::now();
-    let mut cases = CrashCases::new(CrashLimit(3), EndsBy::Start);
-    let next_known = now + ms(1_300);
+    let mut tracker = CrashTracker::new(CrashLimit(3), CrashTimestamp::ProcessStart);
+    let restart_known_at = now + ms(1_300);
     for number in 1..=3 {
-        cases.on_end(upstream(number, now + ms(3) * number as u32));
+        tracker.on_process_gone(upstream(number, now + ms(3) * number as u32));
     }
     for number in 1..=3 {
-        cases.on_former_start(upstream(number, next_known));
-        // Begun 19 ms before.
-        cases.on_lost(
+        tracker.on_process_replaced(upstream(number, restart_known_at));
+        // Sent 19 ms before the restart is known.
+        tracker.on_lost(
             &content(),
-            attempt(number, Loss::GivenUp, next_known + ms(1)),
+            attempt(number, LossCause::UpstreamSilent, restart_known_at + ms(1)),
         );
     }
-    let judged_at = next_known + ms(1) + JUDGE_AFTER;
-    assert!(cases.judge(judged_at, neighbours).is_empty());
-    assert_eq!(cases.book.verdict(key(), judged_at), Verdict::Harmless);
+    let recorded_at = restart_known_at + ms(1) + CRASH_SETTLE_DELAY;
+    assert!(tracker.record_confirmed(recorded_at, neighbours).is_empty());
+    assert_eq!(
+        tracker.registry.status(key(), recorded_at),
+        ContentStatus::Normal
+    );
 }
 
-/// The same where the attempts are given up before the next start is known.
+/// Guards against an attempt that counts for a crash before the attempt was sent: the router gives up on the attempt
+/// before the newer process is known.
 #[test]
-fn attempts_that_began_after_an_upstream_refused_are_not_charged_with_its_end() {
+fn attempts_sent_after_a_refused_connection_do_not_count_for_the_earlier_crash() {
     let now = Instant::now();
-    let mut cases = CrashCases::new(CrashLimit(3), EndsBy::Start);
-    cases.on_end(upstream(1, now));
-    cases.on_lost(&content(), attempt(1, Loss::GivenUp, now + ms(200)));
-    cases.on_former_start(upstream(1, now + ms(300)));
-    assert!(cases.judge(now + ms(400), neighbours).is_empty());
-    // The next start ends after that, and the one after it answers at once.
-    cases.on_former_start(upstream(1, now + ms(500)));
-    assert_eq!(cases.judge(now + ms(600), neighbours).len(), 1);
+    let mut tracker = CrashTracker::new(CrashLimit(3), CrashTimestamp::ProcessStart);
+    tracker.on_process_gone(upstream(1, now));
+    tracker.on_lost(
+        &content(),
+        attempt(1, LossCause::UpstreamSilent, now + ms(200)),
+    );
+    tracker.on_process_replaced(upstream(1, now + ms(300)));
+    assert!(
+        tracker
+            .record_confirmed(now + ms(400), neighbours)
+            .is_empty()
+    );
+    // The newer process crashes after that, and the process after it responds at once.
+    tracker.on_process_replaced(upstream(1, now + ms(500)));
+    assert_eq!(tracker.record_confirmed(now + ms(600), neighbours).len(), 1);
 }
 
-/// Guards against the same at a router that has seen nothing of these ends, and was told of them.
+/// Guards against the same fault at a router that has not observed the crashes itself: peers have reported them.
 #[test]
-fn attempts_at_the_next_starts_of_upstreams_that_peers_saw_end_do_not_count() {
+fn attempts_at_restarted_upstreams_do_not_count_if_peers_observed_the_crashes() {
     let now = Instant::now();
-    let mut cases = CrashCases::new(CrashLimit(3), EndsBy::Start);
-    let crashing = ContentKey::of(&Content {
+    let mut tracker = CrashTracker::new(CrashLimit(3), CrashTimestamp::ProcessStart);
+    let crashing = ContentKey::of(&RequestContent {
         body: b"crashes whoever runs it",
         ..content()
     });
-    let next_known = now + ms(1_300);
+    let restart_known_at = now + ms(1_300);
     for number in 1..=3 {
-        let seen = attempt(number, Loss::Broke, now);
+        let reported = attempt(number, LossCause::ConnectionBroken, now);
         let crash = Crash {
-            end: seen.end,
+            id: reported.crash_id,
             at: now,
-            ran_for: seen.ran_for,
-            surroundings: Surroundings::default(),
-            excused: false,
+            ran_for: reported.ran_for,
+            context: CrashContext::default(),
+            is_disregarded: false,
         };
-        cases.book.record(crashing, crash, now);
+        tracker.registry.record(crashing, crash, now);
     }
     for number in 1..=3 {
-        cases.on_former_start(upstream(number, next_known));
-        // Begun 19 ms before.
-        let given_up = attempt(number, Loss::GivenUp, next_known + ms(1));
-        cases.on_lost(&content(), given_up);
+        tracker.on_process_replaced(upstream(number, restart_known_at));
+        // Sent 19 ms before the restart is known.
+        let lost = attempt(number, LossCause::UpstreamSilent, restart_known_at + ms(1));
+        tracker.on_lost(&content(), lost);
     }
-    let judged_at = next_known + ms(1) + JUDGE_AFTER;
-    assert!(cases.judge(judged_at, neighbours).is_empty());
-    assert_eq!(cases.book.verdict(crashing, judged_at), Verdict::Stopped);
-    // The next start ends after that.
-    let ended = judged_at + ms(200);
-    cases.on_end(upstream(1, ended));
-    assert_eq!(cases.judge(ended + JUDGE_AFTER, neighbours).len(), 1);
+    let recorded_at = restart_known_at + ms(1) + CRASH_SETTLE_DELAY;
+    assert!(tracker.record_confirmed(recorded_at, neighbours).is_empty());
+    assert_eq!(
+        tracker.registry.status(crashing, recorded_at),
+        ContentStatus::Blocked
+    );
+    // The newer process crashes after that.
+    let crashed_at = recorded_at + ms(200);
+    tracker.on_process_gone(upstream(1, crashed_at));
+    assert_eq!(
+        tracker
+            .record_confirmed(crashed_at + CRASH_SETTLE_DELAY, neighbours)
+            .len(),
+        1
+    );
 }
 
-/// Equal copies of a request that run at engines of a data centre until it dies: all connections break at
-/// once, and a busy machine takes its time to refuse what asks there.
-fn copies_in_a_data_centre_that_died(now: Instant) -> CrashCases {
-    let mut cases = CrashCases::new(CrashLimit(3), EndsBy::Start);
+/// Lost attempts of copies of a request that run at the engines of a data centre until the data centre fails: all
+/// connections break at once. A busy host may refuse connections only much later.
+fn tracker_with_copies_in_data_centre_outage(now: Instant) -> CrashTracker {
+    let mut tracker = CrashTracker::new(CrashLimit(3), CrashTimestamp::ProcessStart);
     for number in 1..=5 {
         let at = now + ms(600) + ms(1) * number as u32;
         let attempt = LostAttempt {
             ran_for: ms(600),
-            ..attempt(number, Loss::Broke, at)
+            ..attempt(number, LossCause::ConnectionBroken, at)
         };
-        cases.on_lost(&content(), attempt);
+        tracker.on_lost(&content(), attempt);
     }
-    cases
+    tracker
 }
 
-/// Guards against requests that are stopped as their engines died together and that was proved late.
+/// Guards against a content that is blocked because its engines crashed together and the crashes are proven late.
 #[test]
-fn copies_in_a_data_centre_that_died_are_not_stopped_however_late_that_is_proved() {
+fn copies_in_a_data_centre_outage_are_not_blocked_however_late_the_proof() {
     let now = Instant::now();
-    for apart in [0, 90] {
-        let mut cases = copies_in_a_data_centre_that_died(now);
-        let mut judged = 0;
+    for proof_interval in [0, 90] {
+        let mut tracker = tracker_with_copies_in_data_centre_outage(now);
+        let mut confirmed_count = 0;
         for number in 1..=5 {
-            let proved = now + ms(830) + ms(apart) * number as u32;
-            cases.on_end(upstream(number, proved));
-            if apart > 0 {
-                judged += cases.judge(proved, neighbours).len();
+            let proven_at = now + ms(830) + ms(proof_interval) * number as u32;
+            tracker.on_process_gone(upstream(number, proven_at));
+            if proof_interval > 0 {
+                confirmed_count += tracker.record_confirmed(proven_at, neighbours).len();
             }
         }
         let late = now + ms(2_000);
-        judged += cases.judge(late, neighbours).len();
-        assert_eq!(judged, 5);
+        confirmed_count += tracker.record_confirmed(late, neighbours).len();
+        assert_eq!(confirmed_count, 5);
         assert_eq!(
-            cases.book.verdict(key(), late),
-            Verdict::Harmless,
-            "{apart} ms"
+            tracker.registry.status(key(), late),
+            ContentStatus::Normal,
+            "{proof_interval} ms"
         );
     }
 }
 
 #[test]
-fn copies_at_engines_that_started_again_together_under_their_names_are_not_stopped() {
+fn copies_at_engines_that_restarted_together_are_not_blocked() {
     let now = Instant::now();
-    let mut cases = copies_in_a_data_centre_that_died(now);
+    let mut tracker = tracker_with_copies_in_data_centre_outage(now);
     for number in 1..=5 {
-        cases.on_former_start(upstream(number, now + ms(1_700)));
+        tracker.on_process_replaced(upstream(number, now + ms(1_700)));
     }
     let late = now + ms(2_000);
-    assert_eq!(cases.judge(late, neighbours).len(), 5);
-    assert_eq!(cases.book.verdict(key(), late), Verdict::Harmless);
+    assert_eq!(tracker.record_confirmed(late, neighbours).len(), 5);
+    assert_eq!(tracker.registry.status(key(), late), ContentStatus::Normal);
 }
--- a/crates/shared/cloverpier_crashes/tests/weight.rs
+++ b/crates/shared/cloverpier_crashes/tests/weight.rs
@@ -1,89 +1,106 @@
-//! What an end counts by what else ended.
+//! The weight of a crash, and the concurrent failures from which the weight is computed.
 
 use cloverpier_core::{DataCentre, ServiceName};
 use cloverpier_crashes::prelude::*;
-use cloverpier_crashes::recent_failures::SAME_MOMENT;
-use cloverpier_crashes::weight::MAX_NAMED;
+use cloverpier_crashes::recent_failures::CONCURRENCY_WINDOW;
+use cloverpier_crashes::weight::MAX_LISTED;
 use std::time::{Duration, Instant};
 
 #[test]
-fn an_end_alone_counts_in_full_and_one_of_all_counts_nothing() {
+fn single_crash_has_full_weight_and_crash_in_complete_outage_none() {
     for others in [0, 1, 3, 23, 279] {
-        assert_eq!(Weight::in_domain(others, 0), Weight::FULL);
+        assert_eq!(Weight::in_failure_domain(others, 0), Weight::FULL);
     }
     for others in [1, 3, 23, 279] {
-        assert_eq!(Weight::in_domain(others, others), Weight::NONE);
+        assert_eq!(Weight::in_failure_domain(others, others), Weight::NONE);
     }
 }
 
 #[test]
-fn more_ends_beside_it_never_make_an_end_count_more() {
+fn weight_does_not_grow_with_concurrent_failures() {
     for others in 1..60 {
-        let weights: Vec<Weight> = (0..=others).map(|k| Weight::in_domain(others, k)).collect();
+        let weights: Vec<Weight> = (0..=others)
+            .map(|k| Weight::in_failure_domain(others, k))
+            .collect();
         assert!(weights.is_sorted_by(|a, b| a >= b), "{weights:?}");
     }
 }
 
-/// An end in a data centre of six upstreams of 24.
-fn around(ended: &[(u64, bool)]) -> Surroundings {
-    Surroundings {
-        in_service: 23,
-        in_data_centre: 5,
-        ended: EndedBeside::of(ended.iter().copied()),
+/// The context of a crash in a data centre that has 6 of the service's 24 upstreams. A failure is an upstream, and
+/// whether the upstream is in the data centre of the crash.
+fn context_with(failed: &[(u64, bool)]) -> CrashContext {
+    CrashContext {
+        others_in_service: 23,
+        others_in_data_centre: 5,
+        concurrent_failures: ConcurrentFailures::of(failed.iter().copied()),
     }
 }
 
 #[test]
-fn the_domain_that_explains_an_end_best_decides() {
+fn failure_domain_with_the_lowest_weight_decides() {
     let none = |_| None;
-    let far = around(&[(1, false), (2, false)]).weight(none);
-    let near = around(&[(1, true), (2, true)]).weight(none);
-    assert_eq!(far, Weight::in_domain(23, 2));
-    assert_eq!(near, Weight::in_domain(5, 2));
+    let far = context_with(&[(1, false), (2, false)]).weight(none);
+    let near = context_with(&[(1, true), (2, true)]).weight(none);
+    assert_eq!(far, Weight::in_failure_domain(23, 2));
+    assert_eq!(near, Weight::in_failure_domain(5, 2));
     assert!(near < far);
 }
 
-/// These upstreams ended under the same request, one after the other.
-fn own(ended: &[u64]) -> impl Fn(u64) -> Option<OwnEnd> {
-    |upstream| ended.contains(&upstream).then_some(OwnEnd::OfRunsInTurn)
+/// For [`CrashContext::weight`]: the given upstreams crashed under the same request, one after the other.
+fn sequential_under(crashed: &[u64]) -> impl Fn(u64) -> Option<ExecutionOrder> {
+    |upstream| {
+        crashed
+            .contains(&upstream)
+            .then_some(ExecutionOrder::Sequential)
+    }
 }
 
 #[test]
-fn what_ended_under_the_same_request_explains_nothing() {
-    let around = around(&[(1, true), (2, true), (3, false)]);
-    assert_eq!(around.weight(own(&[1, 2, 3, 9])), Weight::FULL);
-    assert_eq!(around.weight(own(&[1, 2])), Weight::in_domain(23, 1));
+fn sequential_crashes_under_the_same_request_do_not_lower_the_weight() {
+    let context = context_with(&[(1, true), (2, true), (3, false)]);
+    assert_eq!(
+        context.weight(sequential_under(&[1, 2, 3, 9])),
+        Weight::FULL
+    );
+    assert_eq!(
+        context.weight(sequential_under(&[1, 2])),
+        Weight::in_failure_domain(23, 1)
+    );
 }
 
 #[test]
-fn equal_requests_on_a_data_centre_that_dies_are_acquitted_by_it() {
-    let own = |_| Some(OwnEnd::OfRunsAtOnce);
-    let dies = [1, 2, 3, 4, 5].map(|upstream| (upstream, true));
-    assert_eq!(around(&dies).weight(own), Weight::NONE);
-    // Repeats that were sent at the same moment end upstreams here and there, and count less.
+fn crash_has_no_weight_if_copies_ran_in_a_complete_data_centre_outage() {
+    let overlapping = |_| Some(ExecutionOrder::Overlapping);
+    let outage = [1, 2, 3, 4, 5].map(|upstream| (upstream, true));
+    assert_eq!(context_with(&outage).weight(overlapping), Weight::NONE);
+    // Repeats that are sent at the same time crash upstreams in several data centres, with a reduced weight.
     let repeats = [(1, false), (2, false), (3, true), (4, false), (5, false)];
-    assert_eq!(around(&repeats).weight(own), Weight::in_domain(23, 5));
+    assert_eq!(
+        context_with(&repeats).weight(overlapping),
+        Weight::in_failure_domain(23, 5)
+    );
 }
 
 #[test]
-fn a_mass_death_explains_all_of_its_ends() {
-    let ended: Vec<(u64, bool)> = (0..=MAX_NAMED as u64)
+fn crash_in_a_large_outage_has_no_weight() {
+    let failed: Vec<(u64, bool)> = (0..=MAX_LISTED as u64)
         .map(|upstream| (upstream, false))
         .collect();
-    let own = |_| Some(OwnEnd::OfRunsInTurn);
-    let mass = Surroundings {
-        in_service: 279,
-        in_data_centre: 69,
-        ended: EndedBeside::of(ended),
+    let sequential = |_| Some(ExecutionOrder::Sequential);
+    let outage = CrashContext {
+        others_in_service: 279,
+        others_in_data_centre: 69,
+        concurrent_failures: ConcurrentFailures::of(failed),
     };
-    assert_eq!(mass.weight(own), Weight::NONE);
-    let mut one = Surroundings::default();
-    assert!(one.merge(&mass) && !one.merge(&mass));
-    assert_eq!(one.ended, EndedBeside::Many);
+    assert_eq!(outage.weight(sequential), Weight::NONE);
+    let mut context = CrashContext::default();
+    assert!(context.merge(&outage) && !context.merge(&outage));
+    assert_eq!(context.concurrent_failures, ConcurrentFailures::Many);
 }
 
-fn ended(upstream: u64, data_centre: &str, at: Instant) -> EndedUpstream {
-    EndedUpstream {
+/// The failure of an upstream of the service `drafts`.
+fn failure(upstream: u64, data_centre: &str, at: Instant) -> UpstreamEvent {
+    UpstreamEvent {
         upstream,
         service: ServiceName::new("drafts"),
         data_centre: DataCentre::new(data_centre),
@@ -92,47 +109,47 @@
 }
 
 #[test]
-fn ends_are_beside_another_if_they_are_near_in_time_and_of_its_service() {
+fn failures_are_concurrent_if_near_in_time_and_of_the_same_service() {
     let now = Instant::now();
-    let mut ends = EndedUpstreams::default();
-    let long_ago = now.checked_sub(SAME_MOMENT * 2).unwrap();
-    ends.on_end(ended(1, "hall-a", long_ago));
-    ends.on_end(ended(2, "hall-a", now));
-    ends.on_end(ended(2, "hall-a", now + Duration::from_millis(300)));
-    ends.on_end(ended(3, "hall-b", now + Duration::from_millis(20)));
-    ends.on_end(EndedUpstream {
+    let mut failures = RecentFailures::default();
+    let long_ago = now.checked_sub(CONCURRENCY_WINDOW * 2).unwrap();
+    failures.on_crash(failure(1, "hall-a", long_ago));
+    failures.on_crash(failure(2, "hall-a", now));
+    failures.on_crash(failure(2, "hall-a", now + Duration::from_millis(300)));
+    failures.on_crash(failure(3, "hall-b", now + Duration::from_millis(20)));
+    failures.on_crash(UpstreamEvent {
         service: ServiceName::new("lookups"),
-        ..ended(4, "hall-a", now)
+        ..failure(4, "hall-a", now)
     });
-    ends.on_end(ended(7, "hall-a", now + SAME_MOMENT * 2));
-    let end = ended(5, "hall-a", now + SAME_MOMENT);
-    ends.on_end(end.clone());
-    ends.on_end(ended(6, "hall-b", now + SAME_MOMENT));
-    let beside = EndedBeside::of([(2, true), (3, false), (6, false), (7, true)]);
-    assert_eq!(ends.beside(&end), beside);
+    failures.on_crash(failure(7, "hall-a", now + CONCURRENCY_WINDOW * 2));
+    let crash = failure(5, "hall-a", now + CONCURRENCY_WINDOW);
+    failures.on_crash(crash.clone());
+    failures.on_crash(failure(6, "hall-b", now + CONCURRENCY_WINDOW));
+    let concurrent = ConcurrentFailures::of([(2, true), (3, false), (6, false), (7, true)]);
+    assert_eq!(failures.concurrent_with(&crash), concurrent);
 }
 
 #[test]
-fn a_death_that_is_no_proof_explains_ends_and_proves_none() {
+fn suspected_failure_is_concurrent_but_proves_no_crash() {
     let now = Instant::now();
-    let mut ends = EndedUpstreams::default();
-    ends.on_death(ended(1, "hall-a", now), now);
-    assert!(!ends.has_ended_since(1, Some(now)));
-    let beside = ends.beside(&ended(2, "hall-a", now));
-    assert_eq!(beside, EndedBeside::of([(1, true)]));
-    // The proof follows.
-    ends.on_end(ended(1, "hall-a", now + Duration::from_millis(3)));
-    assert!(ends.has_ended_since(1, Some(now)));
+    let mut failures = RecentFailures::default();
+    failures.on_suspected_failure(failure(1, "hall-a", now), now);
+    assert!(!failures.has_crashed_since(1, Some(now)));
+    let concurrent = failures.concurrent_with(&failure(2, "hall-a", now));
+    assert_eq!(concurrent, ConcurrentFailures::of([(1, true)]));
+    // A refused connection proves the crash later.
+    failures.on_crash(failure(1, "hall-a", now + Duration::from_millis(3)));
+    assert!(failures.has_crashed_since(1, Some(now)));
 }
 
 #[test]
-fn an_upstream_that_ends_again_later_has_ended_twice() {
+fn later_crash_of_the_same_upstream_is_a_second_crash() {
     let now = Instant::now();
-    let mut ends = EndedUpstreams::default();
-    ends.on_end(ended(1, "hall-a", now));
-    assert!(ends.has_ended_since(1, Some(now)));
-    let later = now + SAME_MOMENT * 2;
-    assert!(!ends.has_ended_since(1, Some(later)));
-    ends.on_end(ended(1, "hall-a", later));
-    assert!(ends.has_ended_since(1, Some(later)));
+    let mut failures = RecentFailures::default();
+    failures.on_crash(failure(1, "hall-a", now));
+    assert!(failures.has_crashed_since(1, Some(now)));
+    let later = now + CONCURRENCY_WINDOW * 2;
+    assert!(!failures.has_crashed_since(1, Some(later)));
+    failures.on_crash(failure(1, "hall-a", later));
+    assert!(failures.has_crashed_since(1, Some(later)));
 }
--- a/tools/src/crash_play/pauses.rs
+++ b/tools/src/crash_play/pauses.rs
@@ -140,7 +140,9 @@
         let silent_since = self.began + self.now.saturating_sub(GIVE_UP_AFTER);
         let name = self.engines[engine].name.clone();
         self.table.suspect(&name, died.at);
-        self.routers[router].cases.on_death(died, silent_since);
+        self.routers[router]
+            .cases
+            .on_suspected_failure(died, silent_since);
         self.lose(run, Lost::GivenUp);
         self.schedule_in(CHECK_EACH, Event::Check { router, engine });
     }
@@ -163,7 +165,7 @@
     /// Asks the engines of which a router knows nothing.
     pub(super) fn ask_unclear(&mut self, router: usize) {
         let now = self.instant();
-        let unclear = self.routers[router].cases.unclear(now);
+        let unclear = self.routers[router].cases.upstreams_to_probe(now);
         for ended in unclear {
             let key = ended.upstream;
             let mut engines = self.engines.iter();
@@ -199,19 +201,19 @@
         } = question;
         let ended = self.ended(engine);
         let now = self.instant();
-        let sign = SignOfLife {
+        let sign = UpstreamResponse {
             upstream: ended.upstream,
-            asked: self.began + asked,
-            answered: now,
+            sent_at: self.began + asked,
+            received_at: now,
         };
         let engine = &self.engines[engine];
         let cases = &mut self.routers[router].cases;
         if !engine.is_up {
-            cases.on_end(ended);
+            cases.on_process_gone(ended);
         } else if engine.ended_at.is_some_and(|at| at >= lost) {
-            cases.on_former_start(ended);
+            cases.on_process_replaced(ended);
         } else {
-            cases.on_alive(sign);
+            cases.on_response(sign);
             self.table.on_alive(&engine.name, now);
         }
         self.schedule_in(Duration::ZERO, Event::Judge { router });
--- a/tools/src/crash_play/reports.rs
+++ b/tools/src/crash_play/reports.rs
@@ -27,10 +27,10 @@
         let now = self.instant();
         let neighbours = self.neighbours();
         let state = &mut self.routers[router];
-        let judged = state.cases.judge(now, neighbours);
-        let told = judged.iter().filter(|j| is_told(&j.surroundings, j.ends));
+        let judged = state.cases.record_confirmed(now, neighbours);
+        let told = judged.iter().filter(|j| is_told(&j.context, j.crash_count));
         let told: Vec<ContentKey> = told.map(|j| j.attempt.content).collect();
-        let reports = state.cases.book.reports(&told, now);
+        let reports = state.cases.registry.reports(&told, now);
         if !reports.is_empty() {
             state.last_report = Some(now);
             let all: Vec<usize> = (0..self.spec.routers).collect();
@@ -58,15 +58,15 @@
     }
 
     /// The engines beside one, as far as they explain its end.
-    pub(super) fn neighbours(&self) -> impl Fn(&EndedUpstream) -> Neighbours + Copy + use<> {
+    pub(super) fn neighbours(&self) -> impl Fn(&UpstreamEvent) -> NeighbourCounts + Copy + use<> {
         let (engines, counting) = (self.spec.engines as u32, self.spec.counting);
         move |_| match counting {
-            Counting::Weighed => Neighbours {
+            Counting::Weighed => NeighbourCounts {
                 in_service: engines - 1,
                 in_data_centre: engines / 4 - 1,
             },
             // Nothing beside an end explains it.
-            Counting::Plain => Neighbours::default(),
+            Counting::Plain => NeighbourCounts::default(),
         }
     }
 
@@ -103,7 +103,7 @@
         if !state.is_up {
             return;
         }
-        let changed = state.cases.book.merge(&self.messages[message], now);
+        let changed = state.cases.registry.merge(&self.messages[message], now);
         if !changed.is_empty() {
             state.last_report = Some(now);
             self.call_back(router);
@@ -122,8 +122,8 @@
 
     fn send_suspects(&mut self, router: usize, to: &[usize]) {
         let now = self.instant();
-        let book = &self.routers[router].cases.book;
-        let reports = book.reports(&book.suspects(now), now);
+        let book = &self.routers[router].cases.registry;
+        let reports = book.reports(&book.suspect_or_blocked(now), now);
         self.tell(router, reports, to);
     }
 
@@ -141,7 +141,7 @@
     pub(super) fn kill(&mut self, router: usize) {
         let state = &mut self.routers[router];
         state.is_up = false;
-        state.cases = CrashCases::new(LIMIT, EndsBy::Start);
+        state.cases = CrashTracker::new(LIMIT, CrashTimestamp::ProcessStart);
         state.last_report = None;
         for request in self.requests.iter_mut().filter(|r| r.router == router) {
             request.is_done = true;
--- a/tools/src/crash_play/requests.rs
+++ b/tools/src/crash_play/requests.rs
@@ -4,7 +4,7 @@
 use super::world::{Event, World};
 use super::{CONTACT, Waiting};
 use cloverpier_core::{DataCentre, UpstreamName};
-use cloverpier_crashes::lost_attempts::JUDGE_AFTER;
+use cloverpier_crashes::lost_attempts::CRASH_SETTLE_DELAY;
 use cloverpier_crashes::prelude::*;
 use cloverpier_router_policy::load_query::ReportedLoad;
 use cloverpier_router_policy::prelude::*;
@@ -68,8 +68,8 @@
 }
 
 impl Request {
-    pub(super) fn content(&self) -> Content<'_> {
-        Content {
+    pub(super) fn content(&self) -> RequestContent<'_> {
+        RequestContent {
             account: "lab",
             host: "api.example",
             method: "POST",
@@ -134,7 +134,7 @@
         let since = self.began + held_since;
         let neighbours = self.neighbours();
         let hold = match (cases.hold(content, now, neighbours), self.spec.waiting) {
-            (Hold::UntilSettled, Waiting::Briefly) => Hold::Briefly,
+            (Hold::UntilResolved, Waiting::Briefly) => Hold::Briefly,
             (Hold::WhileAnotherRuns(_), Waiting::SideBySide) => Hold::No,
             (hold, _) => hold,
         };
@@ -149,10 +149,10 @@
             self.outcome.waited.push(self.now - since);
         }
         match admission {
-            Admission::Stopped => self.stop(index),
+            Admission::Blocked => self.stop(index),
             admission => {
                 self.begin_attempt(index, content);
-                self.send_to_engine(index, admission.apart(content));
+                self.send_to_engine(index, admission.isolation_key(content));
             }
         }
     }
@@ -172,7 +172,7 @@
         let request = &mut self.requests[index];
         if let Some(attempt) = request.attempt.take() {
             let cases = &mut self.routers[request.router].cases;
-            cases.on_over(content, attempt);
+            cases.on_finished(content, attempt);
         }
     }
 
@@ -350,13 +350,13 @@
         let attempt = LostAttempt {
             content: ContentKey::of(&self.requests[index].content()),
             loss: match lost {
-                Lost::Broke => Loss::Broke,
-                Lost::GivenUp => Loss::GivenUp,
+                Lost::Broke => LossCause::ConnectionBroken,
+                Lost::GivenUp => LossCause::UpstreamSilent,
             },
-            ran_well: false,
-            end: UpstreamEnd {
+            has_completed: false,
+            crash_id: CrashId {
                 upstream: ended.upstream,
-                start: self.start_of(engine),
+                time_ms: self.start_of(engine),
             },
             upstream: ended,
             ran_for: self.now - begun_at,
@@ -367,21 +367,25 @@
         request.lost += 1;
         self.outcome.unlucky += usize::from(request.crashing.is_none() && request.lost == 2);
         request.is_done |= request.attempts >= MAX_ATTEMPTS;
-        self.schedule_in(JUDGE_AFTER, Event::Judge { router });
+        self.schedule_in(CRASH_SETTLE_DELAY, Event::Judge { router });
         self.schedule_in(Duration::ZERO, Event::Send { request: index });
     }
 
     pub(super) fn on_refused(&mut self, router: usize, engine: usize) {
         if !self.engines[engine].is_up {
             let ended = self.ended(engine);
-            self.routers[router].cases.on_end(ended);
+            self.routers[router].cases.on_process_gone(ended);
         }
     }
 
     /// Calls back a router's requests with stopped contents that no engine has begun to run.
     pub(super) fn call_back(&mut self, router: usize) {
         let now = self.instant();
-        let stopped = self.routers[router].cases.book.changed_stops(now).stopped;
+        let stopped = self.routers[router]
+            .cases
+            .registry
+            .take_block_changes(now)
+            .blocked;
         for content in stopped {
             let runs = self.runs.iter().enumerate();
             let waiting = runs.filter(|(_, run)| run.is_alive && !run.has_begun);
--- a/tools/src/crash_play/upstreams.rs
+++ b/tools/src/crash_play/upstreams.rs
@@ -77,9 +77,9 @@
         1_790_000_000_000 + self.engines[index].starts * 5_000
     }
 
-    pub(super) fn ended(&self, index: usize) -> EndedUpstream {
+    pub(super) fn ended(&self, index: usize) -> UpstreamEvent {
         let engine = &self.engines[index];
-        EndedUpstream {
+        UpstreamEvent {
             upstream: UpstreamKey::of(&engine.name).0,
             service: self.service.clone(),
             data_centre: DataCentre::new(format!("hall-{}", engine.data_centre)),
@@ -126,7 +126,9 @@
     pub(super) fn on_death(&mut self, router: usize, engine: usize) {
         let died = self.ended(engine);
         let silent_since = died.at;
-        self.routers[router].cases.on_death(died, silent_since);
+        self.routers[router]
+            .cases
+            .on_suspected_failure(died, silent_since);
     }
 
     /// A request crashes its engine.
--- a/tools/src/crash_play/world.rs
+++ b/tools/src/crash_play/world.rs
@@ -66,7 +66,7 @@
 
 /// A router.
 pub(super) struct SimRouter {
-    pub cases: CrashCases,
+    pub cases: CrashTracker,
     pub last_report: Option<Instant>,
     /// When it looks at its open attempts next.
     pub judges_at: Option<Instant>,
@@ -80,7 +80,7 @@
 impl SimRouter {
     fn new() -> Self {
         Self {
-            cases: CrashCases::new(LIMIT, EndsBy::Start),
+            cases: CrashTracker::new(LIMIT, CrashTimestamp::ProcessStart),
             last_report: None,
             judges_at: None,
             is_up: true,
