--- a/crates/shared/cloverpier_crashes/src/lib.rs
+++ b/crates/shared/cloverpier_crashes/src/lib.rs
@@ -1,13 +1,13 @@
 //! Detection of requests that crash the upstreams that execute them.
 //!
-//! A request may crash each upstream that starts to execute it, and it is sent again: a router retries it, or the
-//! caller repeats it at any router. The repeats have only their content in common. So routers count upstream crashes
-//! by request content, exchange the crashes with their peers, and send a content to no further upstream once it has
-//! crashed too many.
+//! A request may crash each upstream that starts to execute the request, and then be sent again: a router retries the
+//! request, or the caller repeats the request at any router. The repeats have only their content in common: client
+//! account, host, method, path and body. So routers count upstream crashes by request content, exchange the crashes
+//! with their peers, and block a content that has crashed too many upstreams.
 //!
-//! Both kinds of router use the crate. It consists of functions and small state machines over plain data, without
-//! sockets or a clock: the caller passes the events and the present time. The modules, in the order in which a lost
-//! attempt passes through them:
+//! Both router programs, `cloverpier_daemon` and `cloverpier_router`, use the crate. The crate consists of functions
+//! and small state machines over plain data, without sockets or a clock: the caller passes the events and the present
+//! time. The modules, in the order in which a lost attempt passes through them:
 //!
 //! | task | module |
 //! | --- | --- |
--- a/crates/shared/cloverpier_crashes/src/lost_attempts.rs
+++ b/crates/shared/cloverpier_crashes/src/lost_attempts.rs
@@ -11,13 +11,13 @@
 //!   for which no crash is recorded.
 //! - **A broken connection proves no crash.** Connections are reset while the upstream keeps running, and most
 //!   requests that lose a response at several upstreams lose it in this way.
-//! - **Silence proves neither a crash nor survival.** It comes from cut links and pauses, too. A paused upstream may
+//! - **Silence proves neither a crash nor survival.** Cut links and pauses cause silence, too. A paused upstream may
 //!   crash later because of the request, and the host of a crashed upstream may not respond for seconds. So the
 //!   decision whether a further attempt may be sent takes unresolved attempts into account.
 //! - **Proof of survival after a broken connection.** The upstream responds to a probe that was sent after the break.
-//! - **Proof of survival after silence.** The upstream may start the request after its first response. So it has to
-//!   respond promptly to two probes, the second one sent at least a *survival time* after the first response: as
-//!   long as other upstreams executed the content before they crashed.
+//! - **Proof of survival after silence.** The upstream may start the request after its first response. So the upstream
+//!   has to respond promptly to two probes, and the second probe has to be sent at least a *survival time* after the
+//!   first response: as long as other upstreams executed the content before they crashed.
 //! - **Proof of survival after an abandoned attempt.** The upstream was responsive when the attempt was abandoned, so
 //!   one response is enough, to a probe sent at least two seconds after that.
 //!
@@ -34,22 +34,24 @@
 /// data centre, all crashes are known and count as concurrent. With a longer delay, a request that crashes upstreams
 /// would already be running at the next one.
 pub const CRASH_SETTLE_DELAY: Duration = Duration::from_millis(50);
-/// An attempt is discarded if it is not resolved for this long. The timeout is longer than an upstream pauses, even
-/// repeatedly, and longer than the next process takes to start at the address of a crashed one. Meanwhile, the
-/// fourth attempt of a request that lost three attempts may be held back.
+/// Time after which a lost attempt is discarded if neither the crash nor the survival of its upstream is proven. The
+/// timeout is longer than an upstream pauses, even repeatedly, and longer than the next process takes to start at the
+/// address of a crashed one. In the meantime, the fourth attempt of a request that lost three attempts may be held
+/// back.
 pub const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time between two probes of an upstream, while the lost attempt there may hold back requests.
+/// Time between two probes of an upstream, while a lost attempt at the upstream may hold back requests.
 pub const PROBE_INTERVAL: Duration = Duration::from_millis(150);
-/// Minimum time after which an upstream that still responds has survived an abandoned attempt: a request that
-/// crashes an engine does so within two seconds of its arrival.
+/// Minimum time after which an upstream that still responds has survived an abandoned attempt: a request that crashes
+/// an engine does so within two seconds of the arrival of the request.
 const ABANDONED_SURVIVAL_TIME: Duration = Duration::from_secs(2);
 /// Time for an upstream to respond to the first probe, even if this exceeds [`CONFIRMATION_TIMEOUT`]: the router may
 /// have been paused, so that it sent the probe late.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
-/// An upstream that takes longer than this to respond to a probe was paused in between.
+/// Maximum time in which an upstream that is not paused responds to a probe. A later response shows that the upstream
+/// was paused in between.
 const PROMPT_RESPONSE: Duration = Duration::from_millis(100);
 /// Maximum number of unresolved attempts. Beyond it, the oldest abandoned attempt is discarded, or the oldest
-/// attempt if none is abandoned. The outage of a data centre leaves some tens of them at one router.
+/// attempt if none is abandoned. The outage of a data centre leaves some tens of unresolved attempts at one router.
 const MAX_UNRESOLVED: usize = 1_024;
 
 /// Why a router lost an attempt.
@@ -65,7 +67,7 @@
     Abandoned,
 }
 
-/// An attempt that did not complete at its upstream, which may have crashed because of the attempt.
+/// An attempt that was sent to an upstream and did not complete there. The upstream may have crashed because of it.
 #[derive(Clone, Debug)]
 pub struct LostAttempt {
     /// Key of the request's content.
@@ -75,7 +77,7 @@
     /// Whether a request with the content completed shortly before the loss, or at any time since.
     /// [`crate::tracker::CrashTracker::on_lost`] sets it.
     pub has_completed: bool,
-    /// Identity of the crash, if the upstream process to which the attempt was sent has crashed.
+    /// Identity under which the crash is recorded if the upstream process that received the attempt has crashed.
     pub crash_id: CrashId,
     /// The upstream, and the time of the loss.
     pub upstream: UpstreamEvent,
@@ -84,7 +86,8 @@
 }
 
 impl LostAttempt {
-    /// The execution of the request, if the upstream crashed at the time of the loss.
+    /// The execution of the request at the upstream, on the assumption that the upstream crashed at the time of the
+    /// loss.
     pub fn execution(&self) -> CrashedExecution {
         CrashedExecution {
             at: self.upstream.at,
@@ -137,7 +140,7 @@
 #[derive(Clone, Debug)]
 struct UnresolvedAttempt {
     attempt: LostAttempt,
-    /// When the crash of the upstream became known; `None` while no crash is proven.
+    /// When the crash of the upstream was proven; `None` while no crash is proven.
     crash_known_at: Option<Instant>,
     /// When the upstream was first returned for a probe; `None` before.
     first_probed_at: Option<Instant>,
@@ -218,7 +221,8 @@
         self.attempt.upstream.at + survival_time.max(ABANDONED_SURVIVAL_TIME)
     }
 
-    /// Processes a response of the upstream; returns whether it proves that the upstream survived the attempt.
+    /// Processes a response of the upstream; returns whether the response proves that the upstream survived the
+    /// attempt.
     fn check_survival(&mut self, response: UpstreamResponse, survival_time: Duration) -> bool {
         if self.crash_known_at.is_some() || response.sent_at < self.attempt.upstream.at {
             return false;
@@ -240,8 +244,8 @@
     }
 }
 
-/// The lost attempts of one router that are unresolved: it is not known whether their upstreams have crashed, or the
-/// crash is not recorded yet.
+/// The unresolved attempts of one router: lost attempts for which no crash is recorded yet, while neither the crash nor
+/// the survival of the upstream is proven, or while the settle delay of a proven crash runs.
 #[derive(Clone, Debug, Default)]
 pub struct LostAttempts {
     unresolved: Vec<UnresolvedAttempt>,
@@ -275,11 +279,11 @@
         }
     }
 
-    /// Records that a former process of an upstream is known to have crashed, as of `now`, since a newer process
+    /// Records that a crash of the former process of an upstream is proven, as of `now`, because a newer process
     /// responds. `may_have_reached` returns whether an attempt can have reached the former process.
     ///
-    /// An attempt whose connection broke counts in either case: if it reached the newer process, that process is
-    /// assumed to have crashed, too, as its survival is not known.
+    /// An attempt whose connection broke counts in either case: if the attempt reached the newer process, that process
+    /// is assumed to have crashed, too, as its survival is not known.
     pub fn on_process_replaced(
         &mut self,
         upstream: u64,
@@ -330,7 +334,7 @@
         attempts: impl IntoIterator<Item = UnresolvedAttempt>,
         reason: DiscardReason,
     ) {
-        // An abandoned attempt whose upstream was never probed is left out of the log.
+        // An abandoned attempt whose upstream was never probed is not reported to the caller.
         let is_reported = |lost: &UnresolvedAttempt| {
             lost.attempt.loss != LossCause::Abandoned || lost.last_probed_at.is_some()
         };
@@ -371,8 +375,8 @@
             .filter(move |attempt| attempt.content == content)
     }
 
-    /// When the first connection of the unresolved attempts at an upstream broke: the time of the crash, if the
-    /// upstream has crashed. `None` if no connection broke.
+    /// When the connection of an unresolved attempt at an upstream broke first; if the upstream has crashed, this is
+    /// the time of the crash. `None` if no connection broke.
     pub fn first_break_at(&self, upstream: u64) -> Option<Instant> {
         let broken = self.unresolved().filter(|attempt| {
             attempt.crash_id.upstream == upstream && attempt.loss == LossCause::ConnectionBroken
--- a/crates/shared/cloverpier_crashes/src/recent_completions.rs
+++ b/crates/shared/cloverpier_crashes/src/recent_completions.rs
@@ -1,8 +1,8 @@
 //! Request contents that completed within the last seconds, before an upstream crashed under them.
 //!
 //! The same lookup may run at several upstreams at any time. If all of them crash at once, as after an operator's
-//! mistake, no other upstream fails at the same time, and the lookup would be blocked though every caller needs
-//! it. A content that completed just before a crash is therefore taken not to have caused the crash.
+//! mistake, nothing else shows that the lookup did not cause the crashes, and a lookup that every caller needs would be
+//! blocked. A content that completed just before a crash is therefore taken not to have caused the crash.
 //!
 //! Owns a hash table of fixed size, in which a newer content replaces an older one in the same slot: crashes
 //! under a replaced content count as usual. The hash is a fast one, not a cryptographic one, as each completed
@@ -12,13 +12,13 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Age up to which the completion of a content shows that the content did not cause a crash now. A content that
-/// starts to crash upstreams after a completion is not blocked for this time.
+/// How long after a completion a request content is taken not to have caused an upstream crash. The window is short
+/// because a content that starts to crash upstreams is not blocked for this time.
 const RECENT_COMPLETION_WINDOW: Duration = Duration::from_secs(10);
-/// Number of contents in the table; at 24 bytes each, the table takes 24 kB.
+/// Number of request contents in the table; at 24 bytes each, the table takes 24 kB.
 const SLOTS: usize = 1_024;
 
-/// Contents of requests that completed recently.
+/// Table of the request contents that completed recently.
 #[derive(Clone, Debug)]
 pub struct RecentCompletions {
     /// The hash and the last completion of one content; `None` for an unused slot.
--- a/crates/shared/cloverpier_crashes/src/recent_failures.rs
+++ b/crates/shared/cloverpier_crashes/src/recent_failures.rs
@@ -16,9 +16,9 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Maximum time between two failures that count as concurrent. The lower bound is the outage of a data centre:
-/// its engines are known to have crashed within 50 ms of each other. The upper bound is a request that is repeated
-/// every 100 ms at other engines: the crashes that it causes must not count as concurrent.
+/// Maximum time between two failures that count as concurrent. The window has to exceed 50 ms: the crashes of all
+/// engines in an outage of a data centre are observed within that time. The window has to stay well below 100 ms: a
+/// request may be repeated every 100 ms at other engines, and the crashes that the request causes are not concurrent.
 pub const CONCURRENCY_WINDOW: Duration = Duration::from_millis(60);
 /// How long a failure is kept: longer than a lost attempt at the upstream may remain unresolved
 /// ([`crate::lost_attempts::CONFIRMATION_TIMEOUT`]).
@@ -40,12 +40,13 @@
 /// Evidence that an upstream has failed, from the weakest to the strongest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum FailureEvidence {
-    /// The upstream does not respond, or a peer reported it dead. It may have crashed, so its failure can be
-    /// concurrent with a crash, but a crash is not proven.
+    /// The upstream does not respond, or a peer reported the upstream as dead. This proves no crash, but the failure
+    /// counts as concurrent with the crashes of other upstreams.
     Silence,
     /// A newer process responds at the upstream's address: the former process has crashed at an unknown time.
     NewerProcess,
-    /// The upstream's host has no process at the address: the process has crashed just before.
+    /// The upstream's host has no process at the address: the process has crashed, at the time of the event or
+    /// shortly before.
     NoProcess,
 }
 
@@ -57,8 +58,8 @@
     /// silence, else the time of the event.
     since: Instant,
     evidence: FailureEvidence,
-    /// When the upstream's host first refused a connection; `None` if no connection was refused, or if the next
-    /// process at the address is known.
+    /// When the upstream's host first refused a connection; `None` if no connection was refused, or once the next
+    /// process at the address has been observed.
     refused_at: Option<Instant>,
 }
 
@@ -69,8 +70,8 @@
 }
 
 impl RecentFailures {
-    /// Records a proven crash: the upstream's host has no process at the address. A crash may be recorded more than
-    /// once; it is kept as one failure.
+    /// Records a proven crash: the upstream's host has no process at the address. Repeated records of a crash within
+    /// [`CONCURRENCY_WINDOW`] are kept as one failure.
     pub fn on_crash(&mut self, crashed: UpstreamEvent) {
         let since = crashed.at;
         self.record(crashed, since, FailureEvidence::NoProcess);
@@ -87,8 +88,8 @@
         }
     }
 
-    /// Records that the process after the latest crash of an upstream is known. Returns when the host refused a
-    /// connection after that crash; `None` if no connection was refused or the next process was known before.
+    /// Records that the process after the latest crash of an upstream was observed. Returns when the host refused a
+    /// connection after that crash; `None` if no connection was refused, or if that process was observed before.
     pub fn on_newer_process(&mut self, upstream: u64) -> Option<Instant> {
         let failures = self.failures.iter_mut();
         let refused = failures
@@ -104,8 +105,9 @@
         self.record(former, since, FailureEvidence::NewerProcess);
     }
 
-    /// Records an upstream that is suspected to have failed, as it has not responded since `silent_since` or a peer
-    /// reported it dead. Such a failure can be concurrent with a crash, but does not prove a crash.
+    /// Records an upstream that is suspected to have failed: the upstream has not responded since `silent_since`, or a
+    /// peer reported the upstream as dead. This proves no crash, but the failure counts as concurrent with the crashes
+    /// of other upstreams.
     pub fn on_suspected_failure(&mut self, suspect: UpstreamEvent, silent_since: Instant) {
         self.record(suspect, silent_since, FailureEvidence::Silence);
     }
@@ -135,14 +137,14 @@
         }
     }
 
-    /// Whether a crash of an upstream is proven that was observed at or after `since`; with `None`, which stands
-    /// for a time before the earliest `Instant`, whether any crash is.
+    /// Whether a proven crash of an upstream was observed at or after `since`. `None` stands for a time before the
+    /// earliest `Instant`, so that any proven crash counts.
     pub fn has_crashed_since(&self, upstream: u64, since: Option<Instant>) -> bool {
         self.has_failed_since(upstream, since, FailureEvidence::NewerProcess)
     }
 
-    /// Whether an upstream's host had no process at the address at or after `since`, so that any process that ran
-    /// there before has crashed. `None` stands for a time before the earliest `Instant`.
+    /// Whether an upstream's host had no process at the address at some time since `since`, so that any process that
+    /// ran there before has crashed. `None` stands for a time before the earliest `Instant`.
     pub fn had_no_process_since(&self, upstream: u64, since: Option<Instant>) -> bool {
         self.has_failed_since(upstream, since, FailureEvidence::NoProcess)
     }
--- a/crates/shared/cloverpier_crashes/src/registry.rs
+++ b/crates/shared/cloverpier_crashes/src/registry.rs
@@ -27,25 +27,26 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-/// How long a crash counts as evidence. Once the first of three crashes expires, a blocked content is sent
-/// again and may crash one more upstream, which blocks the content again. So a request that is repeated without
-/// end crashes at most three upstreams per hour; a content that is blocked by mistake stays blocked for at most
-/// an hour, unless the operator clears it.
+/// How long a crash counts as evidence against a request content. With the default limit of three crashes, a blocked
+/// content is sent again once the first crash expires, and may crash one more upstream, which blocks it again. So a
+/// request that is repeated without end crashes at most three upstreams per hour, and a content that is blocked by
+/// mistake stays blocked for an hour at most, or until the operator clears the content.
 pub const CRASH_TTL: Duration = Duration::from_secs(3_600);
-/// Maximum number of contents in the registry; beyond it, the content with the fewest counted crashes is
-/// evicted. One crash adds a content for each request that the upstream was executing.
+/// Maximum number of request contents in a [`CrashRegistry`]; beyond it, the content with the fewest counted crashes
+/// is evicted. One crash adds a content for each request that the upstream was executing.
 pub const MAX_CONTENTS: usize = 4_096;
-/// Maximum number of crashes that are kept for one content. The settings accept no higher [`CrashLimit`].
+/// Maximum number of crashes that are kept for one request content. The settings accept no higher [`CrashLimit`].
 pub const MAX_CRASHES_PER_CONTENT: usize = 16;
-/// By how much, in thousandths of a full crash, the evidence may fall short of a threshold and still reach it.
-/// Without it, the unrelated failure of one more engine at the same time would lower the evidence below the
-/// threshold, and the content would crash another engine before it is blocked.
+/// By how much the evidence against a request content may fall short of a threshold and still reach the threshold, in
+/// thousandths of a crash of full weight. Without this tolerance, the unrelated failure of one more engine at the time
+/// of a crash would lower the evidence below the threshold, and the content would crash another engine before it is
+/// blocked.
 const THRESHOLD_TOLERANCE: u32 = 500;
-/// Number of fully weighted crashes from which on a content is suspect: its requests are isolated from other
+/// Number of crashes of full weight from which on a request content is suspect: its requests are isolated from other
 /// requests, and its crashes are sent to peers repeatedly.
 pub const SUSPECT_THRESHOLD: u32 = 2;
 
-/// Number of fully weighted crashes that block a content, set by the operator; 0 disables blocking.
+/// Number of upstream crashes of full weight that block a request content, set by the operator; 0 disables blocking.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashLimit(pub u32);
 
@@ -58,8 +59,8 @@
 /// Which time [`CrashId::time_ms`] holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashTimestamp {
-    /// The start time of the process, as the upstream reports it, so all routers have the same number. Any other
-    /// number is another crash, as an upstream may restart within milliseconds.
+    /// The start time of the process that crashed, as reported by the upstream, so that all routers have the same
+    /// number. A different number is another crash, as an upstream may restart within milliseconds.
     ProcessStart,
     /// The wall clock time at which a router observed the crash.
     ObservedCrash,
@@ -99,12 +100,12 @@
     pub ran_for: Duration,
     /// The other upstreams of the service at the time of the crash.
     pub context: CrashContext,
-    /// Whether the crash is no evidence against the content, as a request with the content completed shortly
+    /// Whether the crash is no evidence against the request content, as a request with this content completed shortly
     /// before the crash, or at any upstream afterwards.
     pub is_disregarded: bool,
 }
 
-/// The crashes that count against a content, taken together.
+/// The upstream crashes that count against a request content, taken together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Evidence {
     /// Number of crashes that count, whatever their weight.
@@ -114,14 +115,14 @@
 }
 
 impl Evidence {
-    /// Whether the sum of the weights amounts to this number of crashes of full weight, or falls short of it by
-    /// at most half a crash.
+    /// Whether the sum of the weights amounts to `full_crashes` crashes of full weight, or falls short of that by at
+    /// most half a crash.
     pub fn reaches(self, full_crashes: u32) -> bool {
         self.thousandths + THRESHOLD_TOLERANCE >= full_crashes * Weight::FULL.thousandths()
     }
 }
 
-/// Whether requests with a content may be sent, by the crashes recorded for the content.
+/// Whether requests with a certain content may be sent, by the upstream crashes recorded for the content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ContentStatus {
     /// The evidence is below [`SUSPECT_THRESHOLD`]: requests are sent like any other.
@@ -132,12 +133,12 @@
     Blocked,
 }
 
-/// The crashes of one content, as a router reports them to its peers.
+/// The upstream crashes recorded for one request content, as a router reports them to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContentReport {
-    /// Key of the content.
+    /// Key of the request content that the upstreams were executing.
     pub content: ContentKey,
-    /// The crashes that the router has recorded for the content, including disregarded ones.
+    /// The crashes that the router has recorded for the content and that have not expired, including disregarded ones.
     pub crashes: Vec<ReportedCrash>,
 }
 
@@ -154,7 +155,7 @@
     /// The other upstreams of the service at the time of the crash.
     #[serde(rename = "surroundings")]
     pub context: CrashContext,
-    /// Whether the crash is no evidence against the content; see [`Crash::is_disregarded`].
+    /// Whether the crash is no evidence against the request content; see [`Crash::is_disregarded`].
     #[serde(rename = "excused")]
     pub is_disregarded: bool,
 }
@@ -174,13 +175,13 @@
     }
 }
 
-/// The recorded crashes of each content, and the decisions that follow from them.
+/// The upstream crashes recorded for each request content, and the status of each content that follows from them.
 #[derive(Clone, Debug)]
 pub struct CrashRegistry {
     limit: CrashLimit,
     timestamp: CrashTimestamp,
     records: HashMap<ContentKey, ContentRecord>,
-    /// Contents that the operator has cleared: they are never blocked.
+    /// Request contents that the operator has cleared: they are never blocked.
     cleared: HashSet<ContentKey>,
 }
 
@@ -195,18 +196,19 @@
         }
     }
 
-    /// Applies the operator's settings; `cleared` replaces the former set of contents that are never blocked.
+    /// Applies the operator's settings: the limit from which on request contents are blocked, and the contents that
+    /// are never blocked. `cleared` replaces the set that was passed before.
     pub fn configure(&mut self, limit: CrashLimit, cleared: HashSet<ContentKey>) {
         self.limit = limit;
         self.cleared = cleared;
     }
 
-    /// Number of crashes of full weight that block a content; 0 if blocking is disabled.
+    /// Number of crashes of full weight that block a request content; 0 if blocking is disabled.
     pub fn limit(&self) -> CrashLimit {
         self.limit
     }
 
-    /// Whether the operator has cleared a content, so that the content is never blocked.
+    /// Whether the operator has cleared a request content, so that the content is never blocked.
     pub fn is_cleared(&self, content: ContentKey) -> bool {
         self.cleared.contains(&content)
     }
@@ -216,7 +218,7 @@
         self.records.is_empty()
     }
 
-    /// Whether a crash is recorded for a content, disregarded crashes included.
+    /// Whether a crash is recorded for a request content, disregarded crashes included.
     pub fn contains(&self, content: ContentKey) -> bool {
         self.records.contains_key(&content)
     }
@@ -287,8 +289,8 @@
             .add(crash)
     }
 
-    /// Records that a request with a content completed: the crashes recorded for the content so far are
-    /// disregarded, as the content did not cause them. Returns whether this changed any crash.
+    /// Records that a request with a content completed. The crashes recorded for the content so far are disregarded,
+    /// as the completion shows that the content did not cause them. Returns whether this changed any crash.
     pub fn on_completed(&mut self, content: ContentKey) -> bool {
         let record = self.records.get_mut(&content);
         record.is_some_and(ContentRecord::disregard_all)
@@ -366,7 +368,8 @@
         self.with_status(now, |status| status == ContentStatus::Blocked)
     }
 
-    /// The contents against which the evidence is at least `min_thousandths`, in thousandths of [`Weight::FULL`].
+    /// The request contents against which the evidence is at least `min_thousandths`, in thousandths of
+    /// [`Weight::FULL`].
     pub fn contents_with_evidence(&self, min_thousandths: u32, now: Instant) -> Vec<ContentKey> {
         let contents = self.records.keys().copied();
         contents
@@ -428,7 +431,7 @@
     }
 }
 
-/// Contents that were blocked or unblocked since [`CrashRegistry::take_block_changes`] was called before.
+/// Request contents that were blocked or unblocked between two calls of [`CrashRegistry::take_block_changes`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BlockChanges {
     /// Contents that are now blocked.
--- a/crates/shared/cloverpier_crashes/src/tracker.rs
+++ b/crates/shared/cloverpier_crashes/src/tracker.rs
@@ -3,11 +3,11 @@
 //! A router reports the events that it observes to a [`CrashTracker`]: attempts that were admitted, sent or lost,
 //! upstreams that crashed or responded, requests that completed. The results are the [`Admission`] of a request, the
 //! [`Hold`] before it, the upstreams to probe, and the attempts for which a crash was recorded or discarded, for
-//! logs and peers. The two kinds of router observe the same events by different means and share the order in which
-//! the rules apply.
+//! logs and peers. The two router programs observe the same events by different means; the tracker applies the rules
+//! in the same order for both.
 //!
 //! Owns the registry of crashes, the unresolved and in-flight attempts, the recent failures and the recent
-//! completions. [`admission`] decides whether a request may be sent.
+//! completions. The module `admission` decides whether a request may be sent.
 
 mod admission;
 
@@ -27,11 +27,11 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-/// Minimum survival time: how long an upstream must continue to respond to have survived a content for which no
-/// crash is recorded.
+/// Minimum survival time: how long an upstream must continue to respond to have survived a request content for which
+/// no crash is recorded.
 const MIN_SURVIVAL_TIME: Duration = Duration::from_millis(100);
-/// Maximum survival time: an upstream that responds for this long has survived any content, even if other upstreams
-/// executed the content for longer before they crashed. Few prompts take longer to read.
+/// Maximum survival time: an upstream that continues to respond for this long has survived any request content, even
+/// if other upstreams executed the content for longer before they crashed. Few prompts take longer to read.
 const MAX_SURVIVAL_TIME: Duration = Duration::from_secs(3);
 
 /// If a crash is proven within this time after the connection broke, the time of the break is the time of the crash.
@@ -224,8 +224,9 @@
         self.failures.on_connection_refused(upstream, refused_at);
     }
 
-    /// Records an upstream that is suspected to have failed, as it has not responded since `silent_since` or a peer
-    /// reported it dead. Such a failure can be concurrent with a crash, but does not prove a crash.
+    /// Records an upstream that is suspected to have failed: the upstream has not responded since `silent_since`, or a
+    /// peer reported the upstream as dead. This proves no crash, but the failure counts as concurrent with the crashes
+    /// of other upstreams.
     pub fn on_suspected_failure(&mut self, suspect: UpstreamEvent, silent_since: Instant) {
         self.failures.on_suspected_failure(suspect, silent_since);
     }
--- a/crates/shared/cloverpier_crashes/src/tracker/admission.rs
+++ b/crates/shared/cloverpier_crashes/src/tracker/admission.rs
@@ -17,7 +17,8 @@
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-/// Maximum time of [`Hold::Briefly`]: enough for a probe of the upstream and the settle delay of a crash.
+/// Maximum time for which [`Hold::Briefly`] holds a request: it covers the settle delay of a crash and the probe
+/// before.
 pub const MAX_HOLD: Duration = Duration::from_millis(250);
 
 /// Whether a request is held back before it is sent, and for how long.
@@ -39,7 +40,7 @@
 }
 
 impl Hold {
-    /// The latest time until which a request is held that has been held since `since` and times out at `deadline`;
+    /// The latest time until which a request is held, if it has been held since `since` and times out at `deadline`;
     /// `None` if the request is not held any more.
     pub fn until(self, since: Instant, deadline: Instant, now: Instant) -> Option<Instant> {
         let until = match self {
@@ -59,18 +60,18 @@
     /// The request is sent like any other.
     #[serde(rename = "beside")]
     Normal,
-    /// The request is sent to the upstream that executes the fewest others, as its content may have crashed
+    /// The request is sent to the upstream that executes the fewest other requests, as its content may have crashed
     /// [`SUSPECT_THRESHOLD`] upstreams.
     #[serde(rename = "apart")]
     Isolated,
-    /// The request is sent to no upstream, as its content has crashed too many.
+    /// The request is sent to no upstream, as its content has crashed too many upstreams.
     #[serde(rename = "stopped")]
     Blocked,
 }
 
 impl Admission {
-    /// For [`Admission::Isolated`], a hash by which two suspect contents prefer different upstreams, so that they do
-    /// not meet at the same one; else `None`.
+    /// For [`Admission::Isolated`], a hash of the content by which requests with different suspect contents prefer
+    /// different upstreams, so that they do not meet at the same one; else `None`.
     pub fn isolation_key(self, content: ContentKey) -> Option<u64> {
         (self == Self::Isolated).then(|| content.placement_hash())
     }
--- a/crates/shared/cloverpier_crashes/src/weight.rs
+++ b/crates/shared/cloverpier_crashes/src/weight.rs
@@ -29,17 +29,17 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Maximum number of concurrent failures that [`ConcurrentFailures::Few`] lists. More failures at the same
-/// time are treated as a large outage, and crashes in a large outage have no weight.
+/// Maximum number of upstreams that [`ConcurrentFailures::Few`] lists. More failures at the same time are treated
+/// as a large outage, and crashes in a large outage have no weight.
 pub const MAX_LISTED: usize = 12;
 
 /// Whether two executions of the same request, both of which ended with the crash of their upstreams,
 /// overlapped in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExecutionOrder {
-    /// Both executions were in progress when the first of the two upstreams crashed.
+    /// Both executions were in progress when the first of the two upstreams crashed, as with copies of a request.
     Overlapping,
-    /// One execution started after the other one ended, as a retry does.
+    /// One execution started after the other execution ended, as with a retry.
     Sequential,
 }
 
@@ -74,7 +74,8 @@
     }
 }
 
-/// Weight of one crash as evidence against a request, in thousandths of a crash without concurrent failures.
+/// Weight of one upstream crash as evidence against a request that the upstream was executing, in thousandths of a
+/// crash without concurrent failures.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Weight(u32);
 
@@ -102,13 +103,13 @@
     }
 }
 
-/// The upstreams of a service that failed at the time of a crash there.
+/// The upstreams of a service that failed at the same time as an upstream of this service crashed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConcurrentFailures {
-    /// At most [`MAX_LISTED`] failures. The key is the hash of the upstream's name; the value is whether the
+    /// At most [`MAX_LISTED`] upstreams. The key is the hash of the upstream's name; the value is whether the
     /// upstream is in the data centre of the crash.
     Few(BTreeMap<u64, bool>),
-    /// More than [`MAX_LISTED`] failures.
+    /// More than [`MAX_LISTED`] upstreams: a large outage.
     Many,
 }
 
@@ -120,8 +121,8 @@
         failures
     }
 
-    /// Removes an upstream whose failure does not make another cause of the crash more likely. Has no effect
-    /// on [`ConcurrentFailures::Many`].
+    /// Removes an upstream whose failure is no sign of a common cause, as one that the same request crashed before.
+    /// Has no effect on [`ConcurrentFailures::Many`].
     pub fn remove(&mut self, upstream: u64) {
         if let Self::Few(listed) = self {
             listed.remove(&upstream);
@@ -183,8 +184,9 @@
 
     /// The weight of the crash: the lower one of its weights in the service and in the data centre.
     ///
-    /// `same_request` returns, for an upstream that also crashed under the request, whether the two executions
-    /// overlapped, and `None` for any other upstream. Crashes of sequential executions are left out.
+    /// `same_request` returns, for an upstream that also crashed during an execution of the request, whether the two
+    /// executions overlapped, and `None` for any other upstream. Upstreams with sequential executions do not count as
+    /// concurrent failures.
     pub fn weight(&self, same_request: impl Fn(u64) -> Option<ExecutionOrder>) -> Weight {
         let ConcurrentFailures::Few(failed) = &self.concurrent_failures else {
             return Weight::NONE;
--- a/crates/shared/cloverpier_crashes/tests/lost_attempts.rs
+++ b/crates/shared/cloverpier_crashes/tests/lost_attempts.rs
@@ -271,8 +271,8 @@
     assert_eq!(reasons(&mut lost), [DiscardReason::Unconfirmed]);
 }
 
-/// Guards against an attempt that is discarded without a probe, because the router itself was paused for longer than the
-/// confirmation timeout.
+/// Guards against an attempt that is discarded without a probe because the router itself was paused for longer than
+/// the confirmation timeout.
 #[test]
 fn attempt_does_not_expire_before_its_upstream_could_respond() {
     let now = Instant::now();
--- a/crates/shared/cloverpier_crashes/tests/tracker.rs
+++ b/crates/shared/cloverpier_crashes/tests/tracker.rs
@@ -44,8 +44,8 @@
     );
 }
 
-/// Guards against a crash that is not counted: the router waits for a response of an upstream that has already restarted
-/// under the same name.
+/// Guards against a crash that is not counted: the router waits for a response of an upstream that has already
+/// restarted under the same name.
 #[test]
 fn crash_that_a_newer_process_proved_before_the_loss_counts() {
     let now = Instant::now();
@@ -111,8 +111,8 @@
     assert!(!tracker.has_unresolved_at(1));
 }
 
-/// Guards against a crash that counts against a content that completed elsewhere in between: an engine was only paused at
-/// the loss and crashed later.
+/// Guards against a crash that counts against a content that completed elsewhere in between: an engine was only paused
+/// at the loss and crashed later.
 #[test]
 fn crash_that_is_proven_after_a_completion_does_not_count() {
     let now = Instant::now();
