--- a/crates/router/cloverpier_router_policy/src/crash_reports.rs
+++ b/crates/router/cloverpier_router_policy/src/crash_reports.rs
@@ -13,7 +13,7 @@
 //! When reports are repeated is decided in [`crate::dissemination`]. How much a crash counts, and
 //! what happens to the request's content, is decided in `cloverpier_crashes`. Owns no state.
 
-use cloverpier_crashes::{ContentReport, Surroundings};
+use cloverpier_crashes::{ContentReport, CrashContext};
 
 /// Minimum weight of a crash that is reported, in thousandths. The weight falls below it when three of
 /// the five other upstreams in a data centre crash at about the same time. It is low enough that two
@@ -30,7 +30,7 @@
 /// content. The first is reported only if few other upstreams crashed at about the same time: otherwise
 /// their common cause explains it. Later ones are always reported, as the content may have caused all
 /// of them.
-pub fn is_reported(surroundings: &Surroundings, crash_count: usize) -> bool {
+pub fn is_reported(surroundings: &CrashContext, crash_count: usize) -> bool {
     let weight = surroundings.weight(|_| None);
     crash_count > 1 || weight.thousandths() >= MIN_REPORTED_WEIGHT
 }
--- a/crates/router/cloverpier_router_policy/src/suspicion.rs
+++ b/crates/router/cloverpier_router_policy/src/suspicion.rs
@@ -35,7 +35,7 @@
 pub const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Delay before a probe whose connection broke is repeated. Well below the time for which a request
 /// is held until its last attempt is classified as a crash or not
-/// ([`cloverpier_crashes::cases::MAX_HOLD`]).
+/// ([`cloverpier_crashes::tracker::MAX_HOLD`]).
 pub const PROBE_RETRY_DELAY: Duration = Duration::from_millis(40);
 /// Maximum number of consecutive probes while each connection is reset. With
 /// [`PROBE_RETRY_DELAY`] between them they take about as long as one probe may stay unanswered
--- a/crates/router/cloverpier_router_policy/tests/crash_reports.rs
+++ b/crates/router/cloverpier_router_policy/tests/crash_reports.rs
@@ -12,11 +12,11 @@
 
 /// The surroundings of a crash in a data centre with five other upstreams of the service, which has 23
 /// others in total. `ended` of the five crashed at the same time.
-fn surroundings(ended: u64) -> Surroundings {
-    Surroundings {
-        in_service: 23,
-        in_data_centre: 5,
-        ended: EndedBeside::of((0..ended).map(|upstream| (upstream, true))),
+fn surroundings(ended: u64) -> CrashContext {
+    CrashContext {
+        others_in_service: 23,
+        others_in_data_centre: 5,
+        concurrent_failures: ConcurrentFailures::of((0..ended).map(|upstream| (upstream, true))),
     }
 }
 
@@ -87,7 +87,7 @@
 
 /// A report with the maximum number of crashes that are kept for one content, each of the maximum size.
 fn largest_report(name: &str) -> ContentReport {
-    let content = ContentKey::of(&Content {
+    let content = ContentKey::of(&RequestContent {
         account: "lab",
         host: "api.example",
         method: "POST",
@@ -95,18 +95,18 @@
         body: b"",
     });
     let crash = |upstream: u64| ReportedCrash {
-        end: UpstreamEnd {
+        id: CrashId {
             upstream: u64::MAX - upstream,
-            start: 1_790_000_000_000,
+            time_ms: 1_790_000_000_000,
         },
         age_ms: u32::MAX,
         ran_ms: u32::MAX,
-        surroundings: Surroundings {
-            in_service: u32::MAX,
-            in_data_centre: u32::MAX,
-            ended: EndedBeside::of((0..12).map(|n| (u64::MAX - n, true))),
+        context: CrashContext {
+            others_in_service: u32::MAX,
+            others_in_data_centre: u32::MAX,
+            concurrent_failures: ConcurrentFailures::of((0..12).map(|n| (u64::MAX - n, true))),
         },
-        excused: true,
+        is_disregarded: true,
     };
     ContentReport {
         content,
