--- a/crates/router/cloverpier_router/src/crashes/reports.rs
+++ b/crates/router/cloverpier_router/src/crashes/reports.rs
@@ -10,7 +10,9 @@
 use crate::router::Router;
 use cloverpier_crashes::{ContentKey, ContentReport};
 use cloverpier_router_policy::crash_reports::in_messages;
-use cloverpier_router_policy::dissemination::{is_repeated, may_have_missed, sends_missed};
+use cloverpier_router_policy::dissemination::{
+    is_within_repeat_window, may_have_missed_facts, sends_missed_facts,
+};
 use cloverpier_router_policy::prelude::PeerEntry;
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -31,7 +33,7 @@
     former: Option<&PeerEntry>,
     entry: &PeerEntry,
 ) {
-    if may_have_missed(former, entry, router.peer_timeout()) {
+    if may_have_missed_facts(former, entry, router.peer_timeout()) {
         greet_newcomer(router, peer);
     }
 }
@@ -41,14 +43,14 @@
     if router.crashes.cases.borrow().book.is_empty() {
         return;
     }
-    if sends_missed(router.peers.count(), &mut router.rng.borrow_mut()) {
+    if sends_missed_facts(router.peers.count(), &mut router.rng.borrow_mut()) {
         send_suspects(router, &Recipients::These(vec![peer]), router.now());
     }
 }
 
 /// Tells one peer of the suspect contents, for a while after something was learned.
 pub(crate) fn repeat(router: &Router, now: Instant) {
-    if !is_repeated(router.crashes.last_report.get(), now) {
+    if !is_within_repeat_window(router.crashes.last_report.get(), now) {
         return;
     }
     let peers = router.peers.addresses();
--- a/crates/router/cloverpier_router/src/gossip.rs
+++ b/crates/router/cloverpier_router/src/gossip.rs
@@ -1,7 +1,7 @@
 //! Gossip of a large fleet: sends and receives what replaces heartbeats there.
 //!
 //! Who is sent what, who is probed and who lives is decided in
-//! `cloverpier_router_policy::{membership, watcher_beats}`; [`crate::heartbeats`] has the loop that
+//! `cloverpier_router_policy::{membership, watcher_reports}`; [`crate::heartbeats`] has the loop that
 //! sends. Owns no state: [`crate::peers`] does.
 
 use crate::crashes::reports as crash_reports;
@@ -18,10 +18,12 @@
 use crate::store_view::Watched;
 use crate::upstream_updates::apply_upstream_changes;
 use cloverpier_router_policy::heartbeat::MAX_DATAGRAM;
-use cloverpier_router_policy::membership::{GossipReply, GossipSeen, MemberState, MemberUpdate};
+use cloverpier_router_policy::membership::{
+    GossipReply, MemberState, MemberUpdate, ReceivedGossip,
+};
 use cloverpier_router_policy::prelude::*;
-use cloverpier_router_policy::store_watch::changes_roles;
-use cloverpier_router_policy::watcher_beats::WatcherBeat;
+use cloverpier_router_policy::store_watch::affects_watcher_roles;
+use cloverpier_router_policy::watcher_reports::WatcherReport;
 use std::net::SocketAddr;
 use std::time::Instant;
 
@@ -34,7 +36,10 @@
 pub(crate) fn send_period(router: &Router, was_paused: bool, now: Instant) {
     let peers = &router.peers;
     peers.members.borrow_mut().set_own_state(router.state());
-    let step = peers.members.borrow_mut().ring_step(was_paused, now);
+    let step = peers
+        .members
+        .borrow_mut()
+        .check_predecessors(was_paused, now);
     for dead in &step.dead {
         log_dependency(
             &router.log,
@@ -58,7 +63,7 @@
 pub(crate) fn send_ended(router: &Router) {
     let (members, targets) = {
         let mut known = router.peers.members.borrow_mut();
-        let ended = known.take_ended();
+        let ended = known.take_departures();
         let targets = known.urgent_targets(&mut router.rng.borrow_mut());
         (ended, targets)
     };
@@ -91,12 +96,12 @@
     let Some(store_age_ms) = store_age_ms(router, now) else {
         return;
     };
-    let beat = WatcherBeat {
+    let beat = WatcherReport {
         router: router.settings().listen.peers,
         number: router.peers.next_beat(),
         store_age_ms,
     };
-    router.peers.beats.borrow_mut().on_beat(beat, now);
+    router.peers.beats.borrow_mut().on_report(beat, now);
 }
 
 fn send_gossip(router: &Router, to: &[SocketAddr], wants_reply: bool, now: Instant) {
@@ -138,7 +143,7 @@
         gossip.configuration_version > router.store.configuration_version();
     let reply = apply_members(router, &gossip, now);
     record_entry(router, &gossip, now);
-    if reply.is_newcomer {
+    if reply.is_new_or_changed {
         crash_reports::greet_newcomer(router, sender);
         leaving_reports::greet_newcomer(router, sender);
         limit_reports::greet_newcomer(router, sender);
@@ -154,7 +159,7 @@
 }
 
 fn apply_members(router: &Router, gossip: &Gossip, now: Instant) -> GossipReply {
-    let seen = GossipSeen {
+    let seen = ReceivedGossip {
         sender: &gossip.sender,
         wants_reply: gossip.wants_reply,
         members: gossip.members as usize,
@@ -163,7 +168,7 @@
     };
     let mut members = router.peers.members.borrow_mut();
     let reply = members.on_gossip(seen, &mut router.rng.borrow_mut(), now);
-    if members.has_ended() {
+    if members.has_departures() {
         router.peers.outbox.wake();
     }
     reply
@@ -192,7 +197,7 @@
     let own = router.settings().listen.peers;
     let outbox = &router.peers.outbox;
     let send = |message| outbox.send(message, Recipients::These(vec![to]));
-    if let Some(update) = reply.of_itself {
+    if let Some(update) = reply.dead_update {
         send(PeerMessage::Members(Members {
             sender: own,
             members: vec![update],
@@ -203,7 +208,7 @@
         message.updates.extend(reply.sample);
         send(PeerMessage::Gossip(message));
     }
-    if reply.ask_members {
+    if reply.request_members {
         send(PeerMessage::AskMembers(own));
     }
 }
@@ -211,7 +216,7 @@
 /// Sends a router that knows fewer all members.
 pub(crate) fn on_ask_members(router: &Router, asking: SocketAddr, now: Instant) {
     let sender = router.settings().listen.peers;
-    let parts = router.peers.members.borrow_mut().on_asked(now);
+    let parts = router.peers.members.borrow_mut().on_members_request(now);
     for members in parts {
         let message = PeerMessage::Members(Members { sender, members });
         router
@@ -225,21 +230,21 @@
 pub(crate) fn on_members(router: &Router, message: Members, now: Instant) {
     let mut members = router.peers.members.borrow_mut();
     members.on_members(message.members, now);
-    if members.has_ended() {
+    if members.has_departures() {
         router.peers.outbox.wake();
     }
 }
 
 /// Takes what watchers of the store said; the roles are decided anew where it says something else.
-fn apply_beats(router: &Router, beats: &[WatcherBeat], now: Instant) {
+fn apply_beats(router: &Router, beats: &[WatcherReport], now: Instant) {
     let mut is_urgent = false;
     let peers = router.peers.count();
     for beat in beats {
         let mut known = router.peers.beats.borrow_mut();
         let former = known.store_age(beat.router, now);
-        if known.on_beat(*beat, now) {
+        if known.on_report(*beat, now) {
             let present = known.store_age(beat.router, now);
-            is_urgent |= changes_roles(former, present, peers);
+            is_urgent |= affects_watcher_roles(former, present, peers);
         }
     }
     if is_urgent {
--- a/crates/router/cloverpier_router/src/heartbeats.rs
+++ b/crates/router/cloverpier_router/src/heartbeats.rs
@@ -14,8 +14,9 @@
 use crate::store_events::decide_watcher_role;
 use cloverpier_core::UpstreamName;
 use cloverpier_router_policy::heartbeat::{
-    HeartbeatTurn, MAX_ENTRIES, MAX_GREETED, MENTIONED_PEERS, MENTIONED_TO_NEW_PEER,
-    MIN_SEND_PAUSE, SEED_PERIOD, change_peers, load_ttl, reaches_all_peers, version_peers,
+    HeartbeatRotation, MAX_ENTRIES, MAX_NEW_PEERS_PER_ROUND, MENTIONED_PEERS,
+    MENTIONED_TO_NEW_PEER, MIN_SEND_PAUSE, SEED_PERIOD, change_recipients, is_small_fleet,
+    load_ttl, version_recipients,
 };
 use cloverpier_router_policy::membership::GOSSIP_PERIOD;
 use cloverpier_router_policy::permit::RouterPlace;
@@ -47,7 +48,7 @@
 /// Sends what is due and what waits.
 struct Sender {
     router: Rc<Router>,
-    turn: HeartbeatTurn,
+    turn: HeartbeatRotation,
     roles: RoleTurn,
     next_period: Instant,
     next_seeds: Instant,
@@ -59,7 +60,7 @@
         let now = router.now();
         Self {
             router,
-            turn: HeartbeatTurn::default(),
+            turn: HeartbeatRotation::default(),
             roles: RoleTurn::default(),
             next_period: now,
             next_seeds: now,
@@ -102,7 +103,7 @@
         if router.peers.is_large() && router.peers.may_send_ended(now) {
             gossip::send_ended(router);
         }
-        let new_peers = router.peers.outbox.take_new(MAX_GREETED);
+        let new_peers = router.peers.outbox.take_new(MAX_NEW_PEERS_PER_ROUND);
         if !new_peers.is_empty() {
             send_heartbeat(router, &new_peers, MENTIONED_TO_NEW_PEER, now);
             // One that belongs to a large fleet answers this.
@@ -112,7 +113,7 @@
             router.datagrams.send(&message, &recipients(router, to));
         }
         if let Some(change) = next_change(router) {
-            let peers = change_peers(router.peers.addresses(), &mut router.rng.borrow_mut());
+            let peers = change_recipients(router.peers.addresses(), &mut router.rng.borrow_mut());
             router.datagrams.send(&PeerMessage::Change(change), &peers);
         }
     }
@@ -163,7 +164,7 @@
 }
 
 /// Sends what is due in each period: heartbeats, or gossip in a large fleet.
-fn send_period(router: &Router, turn: &mut HeartbeatTurn, was_paused: bool, now: Instant) {
+fn send_period(router: &Router, turn: &mut HeartbeatRotation, was_paused: bool, now: Instant) {
     let serves_peers = serves_peers(router, now);
     let is_large = router.peers.is_large();
     let peers = if is_large {
@@ -188,7 +189,7 @@
         router.peers.addresses()
     };
     if !peers.is_empty() {
-        let peers = version_peers(peers, serves_peers, &mut router.rng.borrow_mut());
+        let peers = version_recipients(peers, serves_peers, &mut router.rng.borrow_mut());
         send_heartbeat(router, &peers, MENTIONED_PEERS, now);
     }
 }
@@ -213,8 +214,8 @@
         // Whoever gets it passes it on.
         Recipients::All if peers.is_large() => peers.members.borrow().flood_roots(&mut rng),
         Recipients::All => peers.addresses(),
-        Recipients::Many => change_peers(peers.addresses(), &mut rng),
-        Recipients::Few => version_peers(peers.addresses(), false, &mut rng),
+        Recipients::Many => change_recipients(peers.addresses(), &mut rng),
+        Recipients::Few => version_recipients(peers.addresses(), false, &mut rng),
         Recipients::Next => peers.members.borrow().flood_targets(&mut rng),
         Recipients::These(peers) => peers,
     }
@@ -263,7 +264,7 @@
     let settings = router.settings();
     let table = router.upstreams.borrow();
     let peers = router.peers.addresses();
-    let streams = if reaches_all_peers(peers.len()) {
+    let streams = if is_small_fleet(peers.len()) {
         StreamReport {
             load: table.own_load(),
             prompt_locations: router.prompts.running(),
--- a/crates/router/cloverpier_router/src/intake.rs
+++ b/crates/router/cloverpier_router/src/intake.rs
@@ -17,7 +17,7 @@
 };
 use cloverpier_router_policy::deadline::CallerLimit;
 use cloverpier_router_policy::held_memory::HeldFor;
-use cloverpier_router_policy::lifecycle::holds_until;
+use cloverpier_router_policy::lifecycle::hold_deadline;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::refusal::Refusal;
 use http_body_util::BodyExt;
@@ -139,7 +139,7 @@
     let store = &router.store;
     let started = router.lifecycle.started();
     while !store.is_serving() {
-        let until = holds_until(started, store.fails(), arrived, limit);
+        let until = hold_deadline(started, store.fails(), arrived, limit);
         let Some(until) = until.filter(|until| router.now() < *until) else {
             return;
         };
--- a/crates/router/cloverpier_router/src/lifecycle.rs
+++ b/crates/router/cloverpier_router/src/lifecycle.rs
@@ -4,7 +4,7 @@
 //! that ended. A request counts until the last byte of its answer is handed to the connection, by
 //! [`InFlight`]. When a stopping router may exit is decided in `cloverpier_router_policy::lifecycle`.
 
-use cloverpier_router_policy::lifecycle::{StreamDurations, takes_streams};
+use cloverpier_router_policy::lifecycle::{StreamDurations, accepts_streams};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -65,7 +65,7 @@
     /// Whether a new stream is taken.
     pub fn takes_streams(&self, grace: Duration, now: Instant) -> bool {
         let expected = self.stream_durations.borrow().expected();
-        takes_streams(self.stopping_for(now), expected, grace)
+        accepts_streams(self.stopping_for(now), expected, grace)
     }
 
     /// Number of requests in flight.
--- a/crates/router/cloverpier_router/src/limit_reports.rs
+++ b/crates/router/cloverpier_router/src/limit_reports.rs
@@ -6,7 +6,9 @@
 use crate::outbox::Recipients;
 use crate::peer_messages::{LimitReports, PeerMessage};
 use crate::router::Router;
-use cloverpier_router_policy::dissemination::{is_repeated, may_have_missed, sends_missed};
+use cloverpier_router_policy::dissemination::{
+    is_within_repeat_window, may_have_missed_facts, sends_missed_facts,
+};
 use cloverpier_router_policy::limit::{LimitReport, in_messages};
 use cloverpier_router_policy::prelude::*;
 use std::net::SocketAddr;
@@ -40,7 +42,7 @@
     former: Option<&PeerEntry>,
     entry: &PeerEntry,
 ) {
-    if may_have_missed(former, entry, router.peer_timeout()) {
+    if may_have_missed_facts(former, entry, router.peer_timeout()) {
         greet_newcomer(router, peer);
     }
 }
@@ -48,14 +50,15 @@
 /// Sends a peer that may have missed some what is known, where this router is one of those that do.
 pub(crate) fn greet_newcomer(router: &Router, peer: SocketAddr) {
     let reports = reports(router);
-    if !reports.is_empty() && sends_missed(router.peers.count(), &mut router.rng.borrow_mut()) {
+    if !reports.is_empty() && sends_missed_facts(router.peers.count(), &mut router.rng.borrow_mut())
+    {
         send(router, &reports, &Recipients::These(vec![peer]));
     }
 }
 
 /// Repeats what is known to one peer, for a while after something was learned.
 pub(crate) fn repeat(router: &Router, now: Instant) {
-    if !is_repeated(router.upstream_limits.last_report.get(), now) {
+    if !is_within_repeat_window(router.upstream_limits.last_report.get(), now) {
         return;
     }
     let peers = router.peers.addresses();
--- a/crates/router/cloverpier_router/src/peer_fetch.rs
+++ b/crates/router/cloverpier_router/src/peer_fetch.rs
@@ -20,8 +20,8 @@
 use cloverpier_core::jitter;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::version_fetch::{
-    COMPARE_PERIOD, FAILURE_PAUSE, FAR_WAIT, FetchSources, FetchStep, GATHER_FETCHES,
-    LARGE_COMPARE_PERIOD, STALL_TIMEOUT, STORE_FIRST,
+    COMPARE_PERIOD, FAILURE_PAUSE, FetchSources, FetchStep, LARGE_FLEET_COMPARE_PERIOD,
+    REMOTE_FETCH_DELAY, STALL_TIMEOUT, STORE_HEAD_START, UPSTREAM_FETCH_PAUSE,
 };
 use hyper::StatusCode;
 use hyper::header::{ACCEPT, ACCEPT_ENCODING, HeaderMap, HeaderValue};
@@ -58,7 +58,7 @@
         watched,
         sources: match watched {
             Watched::Configuration => FetchSources::default(),
-            Watched::Upstreams => FetchSources::with_far_wait(FAR_WAIT),
+            Watched::Upstreams => FetchSources::with_remote_delay(REMOTE_FETCH_DELAY),
         },
         clients: HashMap::new(),
         is_failing: false,
@@ -70,7 +70,7 @@
             () = router.timers.sleep(compare_period(router)) => {}
         }
         if router.store.role().watches() && router.store.is_serving() {
-            router.timers.sleep(STORE_FIRST).await;
+            router.timers.sleep(STORE_HEAD_START).await;
         }
         fetcher.catch_up().await;
     }
@@ -79,7 +79,7 @@
 /// How often versions are compared without a sign of a newer one.
 fn compare_period(router: &Router) -> Duration {
     if router.peers.is_large() {
-        LARGE_COMPARE_PERIOD
+        LARGE_FLEET_COMPARE_PERIOD
     } else {
         COMPARE_PERIOD
     }
@@ -103,7 +103,7 @@
             match self.next_step() {
                 FetchStep::UpToDate => return,
                 FetchStep::Wait(wait) => self.pause(wait).await,
-                FetchStep::Ask(peer) => {
+                FetchStep::Fetch(peer) => {
                     self.fetch_from(peer).await;
                     self.gather().await;
                 }
@@ -114,7 +114,7 @@
     /// Has the next changes of upstreams come together, in a large fleet.
     async fn gather(&self) {
         if self.watched == Watched::Upstreams && self.router.peers.is_large() {
-            self.router.timers.sleep(GATHER_FETCHES).await;
+            self.router.timers.sleep(UPSTREAM_FETCH_PAUSE).await;
         }
     }
 
--- a/crates/router/cloverpier_router/src/peer_messages/large_fleet.rs
+++ b/crates/router/cloverpier_router/src/peer_messages/large_fleet.rs
@@ -4,7 +4,7 @@
 
 use cloverpier_router_policy::membership::MemberUpdate;
 use cloverpier_router_policy::prelude::*;
-use cloverpier_router_policy::watcher_beats::WatcherBeat;
+use cloverpier_router_policy::watcher_reports::WatcherReport;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -24,7 +24,7 @@
     /// Revision of the sender's list of upstreams.
     pub upstreams_revision: u64,
     /// What the watchers of the store said last, as far as the sender knows.
-    pub watchers: Vec<WatcherBeat>,
+    pub watchers: Vec<WatcherReport>,
     /// Upstreams that the sender suspects to be dead.
     pub suspects: Vec<UpstreamKey>,
     /// The sender's use of each service's retry budget.
--- a/crates/router/cloverpier_router/src/peer_reports.rs
+++ b/crates/router/cloverpier_router/src/peer_reports.rs
@@ -19,7 +19,7 @@
 use crate::successors::{on_peer_replaced, on_peer_successor};
 use cloverpier_router_policy::heartbeat::MAX_DATAGRAM;
 use cloverpier_router_policy::prelude::*;
-use cloverpier_router_policy::store_watch::changes_roles;
+use cloverpier_router_policy::store_watch::affects_watcher_roles;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -153,7 +153,7 @@
     let is_large = router.peers.is_large();
     let member = member_of(&entry, peer);
     let mut members = router.peers.members.borrow_mut();
-    members.on_plain_message(member, now);
+    members.on_unstamped_message(member, now);
     drop(members);
     if is_large {
         router.peers.on_plain_heartbeat(peer, now);
@@ -163,7 +163,7 @@
     leaving_reports::send_if_missed(router, peer, former.as_ref(), &entry);
     limit_reports::send_if_missed(router, peer, former.as_ref(), &entry);
     let former_age = former.and_then(|entry| entry.store_age);
-    if changes_roles(former_age, store_age, router.peers.count()) {
+    if affects_watcher_roles(former_age, store_age, router.peers.count()) {
         decide_watcher_role(router, now);
     }
 }
--- a/crates/router/cloverpier_router/src/peers.rs
+++ b/crates/router/cloverpier_router/src/peers.rs
@@ -11,14 +11,14 @@
 use crate::peer_messages::PeerMessage;
 use crate::store_view::Watched;
 use cloverpier_core::{DataCentre, ServiceName};
-use cloverpier_router_policy::heartbeat::{greets_mentioned, reaches_all_peers};
-use cloverpier_router_policy::membership::{ENDED_PERIOD, MemberUpdate, Membership};
-use cloverpier_router_policy::peers::listed_for_callers;
+use cloverpier_router_policy::heartbeat::{contacts_mentioned_peers, is_small_fleet};
+use cloverpier_router_policy::membership::{DEPARTURE_REPORT_INTERVAL, MemberUpdate, Membership};
+use cloverpier_router_policy::peers::directory_addresses;
 use cloverpier_router_policy::permit::{LimiterMap, RouterPlace};
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::store_watch::ReadyPeer;
 use cloverpier_router_policy::version_fetch::PeerVersion;
-use cloverpier_router_policy::watcher_beats::WatcherBeats;
+use cloverpier_router_policy::watcher_reports::WatcherReports;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -43,7 +43,7 @@
 pub(crate) struct Peers {
     table: RefCell<PeerTable>,
     pub(crate) members: RefCell<Membership>,
-    pub(crate) beats: RefCell<WatcherBeats>,
+    pub(crate) beats: RefCell<WatcherReports>,
     /// The size of the fleet as other routers said it, and when.
     heard_size: Cell<Option<(usize, Instant)>>,
     /// Peers that send heartbeats though they know of a large fleet: those of former releases.
@@ -83,7 +83,7 @@
 
     /// Whether the fleet is too large for heartbeats to all.
     pub fn is_large(&self) -> bool {
-        !reaches_all_peers(self.count())
+        !is_small_fleet(self.count())
     }
 
     /// Whether any peer has sent something since the start.
@@ -115,8 +115,8 @@
 
     /// Whether others are notified now of routers that end; it counts as done then.
     pub fn may_send_ended(&self, now: Instant) -> bool {
-        let is_recent = |at: Instant| now.saturating_duration_since(at) < ENDED_PERIOD;
-        if !self.members.borrow().has_ended() || self.sent_ended.get().is_some_and(is_recent) {
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < DEPARTURE_REPORT_INTERVAL;
+        if !self.members.borrow().has_departures() || self.sent_ended.get().is_some_and(is_recent) {
             return false;
         }
         self.sent_ended.set(Some(now));
@@ -140,7 +140,7 @@
 
     /// Records a heartbeat; returns the one before.
     pub fn on_heartbeat(&self, peer: SocketAddr, entry: PeerEntry) -> Option<PeerEntry> {
-        let is_new = !self.table.borrow().knows(peer);
+        let is_new = !self.table.borrow().contains(peer);
         if is_new && !self.is_large() {
             self.outbox.greet(peer);
         }
@@ -159,7 +159,7 @@
     /// Records peers that a peer mentioned.
     pub fn on_mentioned(&self, peers: impl IntoIterator<Item = SocketAddr>, now: Instant) {
         for peer in peers {
-            if greets_mentioned(self.count()) && self.note_mentioned(peer, now) {
+            if contacts_mentioned_peers(self.count()) && self.note_mentioned(peer, now) {
                 self.outbox.greet(peer);
             }
         }
@@ -168,7 +168,7 @@
     /// Records a peer that was mentioned; returns whether it was not known.
     fn note_mentioned(&self, peer: SocketAddr, now: Instant) -> bool {
         let is_new = self.table.borrow_mut().on_mentioned(peer, now);
-        is_new && !self.members.borrow().knows(peer)
+        is_new && !self.members.borrow().contains(peer)
     }
 
     /// Forgets peers that were silent for long.
@@ -257,9 +257,9 @@
         let live = self.ready(now, timeout);
         let live = live.iter().map(ready).chain(own);
         let lost = if self.is_large() {
-            self.members.borrow().lost()
+            self.members.borrow().lost_count()
         } else {
-            self.table.borrow().lost(now, timeout)
+            self.table.borrow().lost_count(now, timeout)
         };
         Some(LimiterMap::new(address, live.collect(), lost))
     }
@@ -269,8 +269,8 @@
         let members = self.members.borrow();
         LimitersSeen {
             digest: members.digest(),
-            lost: members.lost(),
-            is_alone: members.is_alone(now),
+            lost: members.lost_count(),
+            is_alone: members.is_isolated(now),
             serves,
         }
     }
@@ -289,7 +289,7 @@
         let members = self.members.borrow();
         let ready = members.live(now).filter(|m| m.state == PeerState::Ready);
         let ready: Vec<SocketAddr> = ready.map(|member| member.callers).collect();
-        listed_for_callers(own, ready, || members.once_ready())
+        directory_addresses(own, ready, || members.last_known_ready())
     }
 
     /// What is known of the peers' use of a service's retry budget.
@@ -345,7 +345,7 @@
             peer: *peer,
             version: version(entry),
             // In a small fleet all are as good.
-            is_near: !is_large || entry.data_centre == *home,
+            is_local: !is_large || entry.data_centre == *home,
         });
         versions.collect()
     }
--- a/crates/router/cloverpier_router/src/stop.rs
+++ b/crates/router/cloverpier_router/src/stop.rs
@@ -9,7 +9,7 @@
 use crate::decision_log::log_dependency;
 use crate::router::Router;
 use cloverpier_observe::NoFields;
-use cloverpier_router_policy::lifecycle::{STOP_CHECK_PERIOD, StopStep, stop_step};
+use cloverpier_router_policy::lifecycle::{SHUTDOWN_CHECK_PERIOD, ShutdownStep, shutdown_step};
 use cloverpier_settings::RouterSettings;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -26,12 +26,12 @@
     router.log.info("process.stopping", &NoFields {});
     let grace = router.settings().grace;
     loop {
-        router.timers.sleep(STOP_CHECK_PERIOD).await;
+        router.timers.sleep(SHUTDOWN_CHECK_PERIOD).await;
         let Some(stopping_for) = router.lifecycle.stopping_for(router.now()) else {
             continue;
         };
         let in_flight = router.lifecycle.in_flight();
-        if stop_step(stopping_for, in_flight, grace) == StopStep::Exit {
+        if shutdown_step(stopping_for, in_flight, grace) == ShutdownStep::Exit {
             return;
         }
     }
--- a/crates/router/cloverpier_router/src/store_events.rs
+++ b/crates/router/cloverpier_router/src/store_events.rs
@@ -8,7 +8,7 @@
 use crate::decision_log::{VersionTaken, WatcherRoleChanged, log_dependency};
 use crate::router::Router;
 use crate::store_view::{StoreLoop, Watched};
-use cloverpier_router_policy::store_watch::{OwnStore, max_backoff, watcher_role};
+use cloverpier_router_policy::store_watch::{OwnWatcherState, max_backoff, watcher_role};
 use std::time::{Duration, Instant};
 
 /// Puts a configuration in force if it is newer; peers are notified at once, as any router that
@@ -76,7 +76,7 @@
 pub(crate) fn decide_watcher_role(router: &Router, now: Instant) {
     let peers = router.peers.ready(now, router.peer_timeout());
     let settings = router.settings();
-    let own = OwnStore {
+    let own = OwnWatcherState {
         address: settings.listen.peers,
         data_centre: settings.data_centre.clone(),
         is_fresh: router.store.is_fresh(now),
--- a/crates/router/cloverpier_router/src/store_sync.rs
+++ b/crates/router/cloverpier_router/src/store_sync.rs
@@ -22,10 +22,12 @@
 use crate::store_view::{StoreLoop, StoreView, Watched};
 use crate::upstream_updates::{apply_upstream_changes, apply_upstream_list, readable_changes};
 use cloverpier_core::jitter;
-use cloverpier_router_policy::first_read::{FirstRead, Starting, first_read};
+use cloverpier_router_policy::first_read::{FirstRead, StartupState, first_read};
 use cloverpier_router_policy::prelude::{Configuration, Upstream};
-use cloverpier_router_policy::store_ping::{PING_DOUBT, PING_TIMEOUT, PingPacing};
-use cloverpier_router_policy::store_watch::{GATHER_PERIOD, INITIAL_BACKOFF, WATCH_WAIT, may_call};
+use cloverpier_router_policy::store_ping::{PING_SUSPICION_TIMEOUT, PING_TIMEOUT, PingPacing};
+use cloverpier_router_policy::store_watch::{
+    INITIAL_BACKOFF, UPSTREAM_WATCH_PAUSE, WATCH_WAIT, may_call,
+};
 use std::collections::HashMap;
 use std::pin::pin;
 use std::rc::Rc;
@@ -96,7 +98,7 @@
 /// Whether this router reads from the store although it has just started.
 fn is_first_read_due(router: &Router, random: f64) -> bool {
     let started = router.lifecycle.started();
-    let starting = Starting {
+    let starting = StartupState {
         is_seed: is_seed(router),
         age: router.now().saturating_duration_since(started),
         has_peers: router.peers.has_heard_any(),
@@ -182,7 +184,7 @@
             Ok(Some(at)) => {
                 backoff.on_success(&router);
                 revision = Some(at);
-                router.timers.sleep(GATHER_PERIOD).await;
+                router.timers.sleep(UPSTREAM_WATCH_PAUSE).await;
             }
             Err(error) => {
                 revision = None;
@@ -328,7 +330,11 @@
 /// Pings the store once; peers learn of a suspicion before the ping is over.
 async fn ping(router: &Router, source: &impl ConfigurationSource) -> Result<(), SourceError> {
     let mut ping = pin!(source.ping(PING_TIMEOUT));
-    if let Ok(result) = router.timers.timeout(PING_DOUBT, &mut ping).await {
+    if let Ok(result) = router
+        .timers
+        .timeout(PING_SUSPICION_TIMEOUT, &mut ping)
+        .await
+    {
         return result;
     }
     on_ping_result(router, false);
--- a/crates/router/cloverpier_router/tests/gossip_messages.rs
+++ b/crates/router/cloverpier_router/tests/gossip_messages.rs
@@ -12,7 +12,7 @@
     MEMBERS_PER_MESSAGE, MemberState, MemberUpdate, UPDATES_PER_MESSAGE,
 };
 use cloverpier_router_policy::prelude::*;
-use cloverpier_router_policy::watcher_beats::WatcherBeat;
+use cloverpier_router_policy::watcher_reports::WatcherReport;
 use std::net::SocketAddr;
 
 #[track_caller]
@@ -47,7 +47,7 @@
         digest: 0x0102_0304_0506_0708,
         configuration_version: 7,
         upstreams_revision: 530,
-        watchers: vec![WatcherBeat {
+        watchers: vec![WatcherReport {
             router: address(7204),
             number: 12,
             store_age_ms: 250,
--- a/crates/router/cloverpier_router_policy/src/arrival.rs
+++ b/crates/router/cloverpier_router_policy/src/arrival.rs
@@ -78,10 +78,10 @@
     route: &Route,
     key: Option<&str>,
 ) -> Result<Option<Arc<ClientAccount>>, Rejection> {
-    if !configuration.needs_keys() {
+    if !configuration.requires_keys() {
         return Ok(None);
     }
-    let account = key.and_then(|key| configuration.account_of_key(key));
+    let account = key.and_then(|key| configuration.account_for_key(key));
     if account.is_none() && !route.public {
         return Err(Rejection::UnknownKey);
     }
--- a/crates/router/cloverpier_router_policy/src/configuration.rs
+++ b/crates/router/cloverpier_router_policy/src/configuration.rs
@@ -208,12 +208,12 @@
     }
 
     /// Whether requests of routes that aren't public carry keys.
-    pub fn needs_keys(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         self.parts.accounts.is_some()
     }
 
     /// The client account that holds a key.
-    pub fn account_of_key(&self, key: &str) -> Option<&Arc<ClientAccount>> {
+    pub fn account_for_key(&self, key: &str) -> Option<&Arc<ClientAccount>> {
         self.by_key.get(key)
     }
 }
--- a/crates/router/cloverpier_router_policy/src/first_read.rs
+++ b/crates/router/cloverpier_router_policy/src/first_read.rs
@@ -16,7 +16,7 @@
 //!
 //! Owns no state.
 
-use crate::heartbeat::reaches_all_peers;
+use crate::heartbeat::is_small_fleet;
 use std::time::Duration;
 
 /// A router that has received messages from no peer after this time reads by itself: seeds answer within a
@@ -35,7 +35,7 @@
 
 /// A router that has just started.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Starting {
+pub struct StartupState {
     /// Whether the settings name it as a seed, or name none.
     pub is_seed: bool,
     /// How long ago it started.
@@ -58,12 +58,12 @@
 }
 
 /// Decides whether a router reads by itself.
-pub fn first_read(starting: &Starting) -> FirstRead {
+pub fn first_read(starting: &StartupState) -> FirstRead {
     let from = if starting.is_seed {
         Duration::ZERO
     } else if !starting.has_peers {
         FIRST_WORD
-    } else if reaches_all_peers(starting.peers) {
+    } else if is_small_fleet(starting.peers) {
         SMALL_FLEET
     } else {
         large_fleet_wait(starting.random * starting.peers as f64)
--- a/crates/router/cloverpier_router_policy/src/heartbeat.rs
+++ b/crates/router/cloverpier_router_policy/src/heartbeat.rs
@@ -39,7 +39,7 @@
 pub const MENTIONED_TO_NEW_PEER: usize = 16;
 /// New peers that are sent a first heartbeat at the same time; the others follow after
 /// [`MIN_SEND_PAUSE`].
-pub const MAX_GREETED: usize = 32;
+pub const MAX_NEW_PEERS_PER_ROUND: usize = 32;
 /// Upstreams, suspects or prompts in one message; with 64 of each a message stays within
 /// [`MAX_DATAGRAM`].
 pub const MAX_ENTRIES: usize = 64;
@@ -64,11 +64,11 @@
 
 /// Where the turns among peers have got to.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct HeartbeatTurn {
+pub struct HeartbeatRotation {
     next: usize,
 }
 
-impl HeartbeatTurn {
+impl HeartbeatRotation {
     /// The peers that get the next heartbeat: all, where peers rely on this router for the
     /// store or are few; else those whose turn it is.
     pub fn next_peers(
@@ -92,7 +92,7 @@
 /// router for the store or are few; else some picked at random, so that whoever looks for the
 /// version learns of many routers that have it. In turns, routers would notify the same peers at the
 /// same time.
-pub fn version_peers(
+pub fn version_recipients(
     peers: Vec<SocketAddr>,
     serves_peers: bool,
     rng: &mut fastrand::Rng,
@@ -106,18 +106,18 @@
 /// Whether a peer that is not known gets a first message because another one mentioned it. In a large
 /// fleet gossip names all members: 1,000 routers that greet each other are a million messages of
 /// 2 kB within two seconds.
-pub fn greets_mentioned(known_peers: usize) -> bool {
-    reaches_all_peers(known_peers)
+pub fn contacts_mentioned_peers(known_peers: usize) -> bool {
+    is_small_fleet(known_peers)
 }
 
 /// Whether a change reaches all peers, so that their load is known exactly.
-pub fn reaches_all_peers(known_peers: usize) -> bool {
+pub fn is_small_fleet(known_peers: usize) -> bool {
     known_peers <= MAX_PEERS_PER_CHANGE
 }
 
 /// The peers that get a change at once: all, or some picked at random where they are many.
-pub fn change_peers(peers: Vec<SocketAddr>, rng: &mut fastrand::Rng) -> Vec<SocketAddr> {
-    if reaches_all_peers(peers.len()) {
+pub fn change_recipients(peers: Vec<SocketAddr>, rng: &mut fastrand::Rng) -> Vec<SocketAddr> {
+    if is_small_fleet(peers.len()) {
         return peers;
     }
     rng.choose_multiple(peers, MAX_PEERS_PER_CHANGE)
--- a/crates/router/cloverpier_router_policy/src/lib.rs
+++ b/crates/router/cloverpier_router_policy/src/lib.rs
@@ -36,7 +36,7 @@
 //! | which peers are sent what, and how long it counts | [`heartbeat`] |
 //! | which routers live, in a large fleet, and who informs whom | [`membership`] |
 //! | who watches the store, and how often | [`store_watch`] |
-//! | what a large fleet knows of its watchers | [`watcher_beats`] |
+//! | what a large fleet knows of its watchers | [`watcher_reports`] |
 //! | who reads the list of upstreams at a start | [`first_read`] |
 //! | when is the store pinged | [`store_ping`] |
 //! | from which peer are newer versions fetched | [`version_fetch`] |
@@ -98,7 +98,7 @@
 pub mod upstream_table;
 pub mod version_fetch;
 pub mod version_serving;
-pub mod watcher_beats;
+pub mod watcher_reports;
 
 /// The types that users of the crate need daily; rules and constants are named by module.
 pub mod prelude {
--- a/crates/router/cloverpier_router_policy/src/lifecycle.rs
+++ b/crates/router/cloverpier_router_policy/src/lifecycle.rs
@@ -5,7 +5,7 @@
 //! - **Inputs.** Whether configuration and upstreams are known, and how long ago the process
 //!   started; when a request arrived, and its caller's limit; when the termination signal came;
 //!   requests in flight; the grace period in force.
-//! - **Answer.** A [`PeerState`], a moment and a [`StopStep`].
+//! - **Answer.** A [`PeerState`], a moment and a [`ShutdownStep`].
 //! - **Why.** Callers keep a router's address for a while after it has left the directory,
 //!   so a stopping router goes on serving; and it must be gone before the platform kills
 //!   it, which would cut what is in flight.
@@ -35,11 +35,11 @@
 /// before the kill.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
 /// How often a stopping router checks whether it may exit.
-pub const STOP_CHECK_PERIOD: Duration = Duration::from_millis(50);
+pub const SHUTDOWN_CHECK_PERIOD: Duration = Duration::from_millis(50);
 
 /// What a stopping router does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StopStep {
+pub enum ShutdownStep {
     /// Go on serving and check again.
     Serve,
     /// Exit: nothing is in flight, or the grace period is over.
@@ -58,7 +58,7 @@
 /// Until when a router that started at a moment holds a request that it cannot serve yet, which
 /// arrived at another one; `None` where `store_fails`: then the router is not known to be ready
 /// soon, and the request is refused at once.
-pub fn holds_until(
+pub fn hold_deadline(
     started: Instant,
     store_fails: bool,
     arrived: Instant,
@@ -99,7 +99,7 @@
 /// while it can be expected to end within the grace period; `stopping_for` is `None` where
 /// there was no signal. One that is refused is served by another router, one that is cut has
 /// to be resumed there.
-pub fn takes_streams(
+pub fn accepts_streams(
     stopping_for: Option<Duration>,
     expected: Option<Duration>,
     grace: Duration,
@@ -113,12 +113,12 @@
 }
 
 /// Whether a router that got its termination signal `stopping_for` ago may exit.
-pub fn stop_step(stopping_for: Duration, in_flight: usize, grace: Duration) -> StopStep {
+pub fn shutdown_step(stopping_for: Duration, in_flight: usize, grace: Duration) -> ShutdownStep {
     let is_idle = in_flight == 0 && stopping_for >= MIN_STOP;
     let is_over = stopping_for >= grace.saturating_sub(KILL_MARGIN);
     if is_idle || is_over {
-        StopStep::Exit
+        ShutdownStep::Exit
     } else {
-        StopStep::Serve
+        ShutdownStep::Serve
     }
 }
--- a/crates/router/cloverpier_router_policy/src/load_query.rs
+++ b/crates/router/cloverpier_router_policy/src/load_query.rs
@@ -16,7 +16,7 @@
 //! Owns no state.
 
 use crate::choice::{Demand, by_believed_cost};
-use crate::heartbeat::reaches_all_peers;
+use crate::heartbeat::is_small_fleet;
 use crate::load::Load;
 use crate::upstream::{Upstream, UpstreamKey};
 use crate::upstream_table::UpstreamTable;
@@ -93,7 +93,7 @@
     peers: usize,
     rng: &mut fastrand::Rng,
 ) -> Vec<Upstream> {
-    let is_known = reaches_all_peers(peers) || demand.prompt_location.is_some();
+    let is_known = is_small_fleet(peers) || demand.prompt_location.is_some();
     if is_known || demand.engine_memory.is_none() {
         return Vec::new();
     }
@@ -114,7 +114,7 @@
     peers: usize,
     rng: &mut fastrand::Rng,
 ) -> Option<Upstream> {
-    let is_known = reaches_all_peers(peers) || demand.prompt_location.is_some();
+    let is_known = is_small_fleet(peers) || demand.prompt_location.is_some();
     if is_known || demand.engine_memory.is_none() || !demand.limits.limits_any() {
         return None;
     }
--- a/crates/router/cloverpier_router_policy/src/membership.rs
+++ b/crates/router/cloverpier_router_policy/src/membership.rs
@@ -1,70 +1,79 @@
-//! Which routers there are, and which of them live, in a fleet too large for heartbeats to all.
+//! Gossip membership and failure detection for router fleets too large for heartbeats to every peer.
 //!
-//! - **Question.** Which routers live? Who gets the next message about that, who is probed, and what
-//!   does the message say of others?
-//! - **Inputs.** Messages from routers, with what they say of themselves and of others; moments.
-//! - **Answer.** [`MemberUpdate`] to send, and to whom; the members that live.
-//! - **Why.** What a router sends, receives and waits must not grow with the fleet. So the routers form a
-//!   ring by the hash of their addresses, and each sends every message to its next [`SUCCESSORS`] there,
-//!   which notice its silence, and to a few others at random. A router that is silent is probed, and
-//!   declared dead by who probed it if it does not answer. That, like anything else that changes, goes on
-//!   with the messages that are sent anyway, some times each: after as many rounds as the logarithm of
-//!   the fleet all know it. A router that learns that it counts as dead says that it is not.
+//! - **Question.** Which routers are alive? Which routers receive the next gossip message, which are
+//!   probed, and which updates about other routers does the message carry?
+//! - **Inputs.** Gossip messages, which carry the sender's own state and updates about other routers; the
+//!   current time.
+//! - **Answer.** The [`MemberUpdate`]s to send, their recipients, and the live members.
+//! - **Why.** The messages that a router sends and receives, and the time that an update takes, must not
+//!   grow in proportion to the fleet. The routers form a ring, ordered by the hashes of their addresses. Each
+//!   router sends every gossip message to its next [`SUCCESSORS`] routers on the ring, which detect its
+//!   silence, and to a few random routers. A successor probes a silent router and declares the router dead if
+//!   no message arrives. Gossip messages carry each update several times, so that an update reaches all
+//!   routers after a number of rounds that grows with the logarithm of the fleet size. A router that
+//!   receives an update that declares it dead refutes the update with a higher stamp.
 //!
-//! This is SWIM (Das, Gupta, Motivala, 2002): probes, and updates that travel with other messages. Here the
-//! messages go to fixed neighbours, too, so that silence is noticed without a probe each period.
+//! The protocol is SWIM (Das, Gupta, Motivala, 2002): probes, and updates piggybacked on other messages.
+//! Unlike in SWIM, gossip messages also go to fixed neighbours, so that silence is detected without a probe
+//! in each period.
 //!
-//! Updates of a router are ordered by its stamp, which it raises with each change of its own state: what
-//! has a lower stamp is older. Nothing of safety depends on who counts as alive.
+//! Updates about one router are ordered by the stamp that this router assigns: it raises the stamp with
+//! each change of its own state, and an update with a lower stamp is older. No safety property depends on
+//! which routers are recorded as alive.
 //!
-//! [`Membership`] owns all members with the last update of each, the ring, the updates to pass on, and the
-//! probes under way. Small fleets do without it ([`crate::heartbeat`]).
+//! [`Membership`] owns the last update of each member, the ring, the queue of updates to send, and the
+//! pending probes. Small fleets send heartbeats to all peers instead ([`crate::heartbeat`]).
 
 mod exchange;
 mod ring;
-mod roster;
+mod router_set;
 mod targets;
 mod update;
 mod update_queue;
 
 pub use exchange::MEMBERS_PER_MESSAGE;
-pub use ring::{RingStep, SUCCESSORS};
-pub use update::{GossipReply, GossipSeen, Heard, LiveMember, MemberState, MemberUpdate};
+pub use ring::{PredecessorCheck, SUCCESSORS};
+pub use update::{
+    GossipReply, LiveMember, MemberState, MemberUpdate, ReceivedGossip, UpdateOutcome,
+};
 
 use crate::peers::PeerState;
 use cloverpier_core::DataCentre;
-use ring::{Probe, rank_of};
-use roster::Roster;
+use ring::{Probe, ring_hash};
+use router_set::RouterSet;
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use update_queue::UpdateQueue;
 
-/// How often a router of a large fleet sends messages.
+/// Interval between the gossip messages of a router in a large fleet.
 pub const GOSSIP_PERIOD: Duration = Duration::from_millis(400);
-/// Routers that end are reported at once, once in this time at most.
-pub const ENDED_PERIOD: Duration = Duration::from_millis(100);
-/// How long after its end a member may count as alive: silence, probes, and some rounds of updates.
+/// Minimum interval between two urgent reports of routers that are leaving or dead.
+pub const DEPARTURE_REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest expected time between a member's death and the moment when all routers have recorded it: the
+/// silence before probes, the probes, and a few gossip rounds.
 pub const MEMBER_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// A router that receives nothing from others for this long is cut off, and knows nothing of others.
-const ALONE_AFTER: Duration = Duration::from_millis(2_500);
-/// A dead router is forgotten after this long; until then it is sent a message now and then, so that
-/// routers find each other again after a partition.
-const DEAD_KEPT_FOR: Duration = Duration::from_secs(60);
-/// Updates in one message: with data centres' names of 20 bytes they take some 60 bytes each.
+/// A router that receives no message for this long is presumed to be cut off from the network, and its
+/// record of other routers is not used.
+const ISOLATION_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// How long a dead member is kept. Until then it occasionally receives gossip, so that the two sides of a
+/// healed partition discover each other again.
+const DEAD_MEMBER_TTL: Duration = Duration::from_secs(60);
+/// Maximum number of updates in one gossip message. An update takes about 60 bytes where the data centre's
+/// name has 20 bytes.
 pub const UPDATES_PER_MESSAGE: usize = 24;
 
-/// A router, as it is known.
+/// The last update of another router, and when its messages arrived.
 #[derive(Clone, Debug)]
 struct Member {
     callers: SocketAddr,
     data_centre: DataCentre,
     state: MemberState,
     stamp: u64,
-    /// When a message of its own arrived last.
-    heard: Option<Instant>,
-    /// When the last update of it came.
-    changed: Instant,
+    /// When the member itself last sent a message to this router; `None` before the first.
+    last_message_at: Option<Instant>,
+    /// When this record last changed.
+    updated_at: Instant,
 }
 
 impl Member {
@@ -73,63 +82,69 @@
     }
 }
 
-/// The routers that a router knows.
+/// One router's record of the fleet's members.
 #[derive(Clone, Debug)]
 pub struct Membership {
     own: MemberUpdate,
     members: HashMap<SocketAddr, Member>,
-    /// Those that are not dead, and this router, by rank.
+    /// This router and all members that are not dead, ordered by the hashes of their addresses.
     ring: BTreeSet<(u64, SocketAddr)>,
-    /// Those that are not dead, in the own data centre and elsewhere.
-    near: Roster,
-    elsewhere: Roster,
-    dead: Roster,
+    /// Members in this router's data centre that are not dead.
+    local: RouterSet,
+    /// Members in other data centres that are not dead.
+    remote: RouterSet,
+    dead: RouterSet,
     updates: UpdateQueue,
     probes: HashMap<SocketAddr, Probe>,
-    heard_any: Option<Instant>,
-    /// Routers that end, which are reported without waiting for the next period.
-    ended: BTreeSet<SocketAddr>,
-    messages: u32,
-    /// Of what is known of those that are not dead.
+    /// When any router's message last arrived.
+    last_received_at: Option<Instant>,
+    /// Leaving and dead routers, to be reported without waiting for the next gossip period.
+    departures: BTreeSet<SocketAddr>,
+    /// Gossip rounds since the start.
+    rounds: u32,
+    /// XOR of the [`state_hash`] of this router and of all members.
     digest: u64,
-    /// When another router last knew the same.
-    agreed: Option<Instant>,
-    /// When all members were asked for, and sent.
-    asked: Option<Instant>,
-    sent_all: Option<Instant>,
+    /// When a digest received from this data centre last equalled this router's; the first digest that
+    /// differs sets it, too.
+    digest_matched_at: Option<Instant>,
+    /// When this router last requested another router's member list.
+    members_requested_at: Option<Instant>,
+    /// When this router last sent its member list.
+    members_sent_at: Option<Instant>,
 }
 
 impl Membership {
-    /// A router that knows nobody. `stamp` must be greater than those of its former runs: the time of
-    /// day does; where a clock went back, the first update of itself corrects it.
+    /// Creates the record of a router that has received no message yet. The stamp in `own` must exceed the
+    /// stamps of earlier processes at this address; the wall clock provides such a stamp. After a backward
+    /// clock step, the first update about this router that it receives corrects the stamp.
     pub fn new(own: MemberUpdate) -> Self {
         let mut ring = BTreeSet::new();
-        ring.insert((rank_of(own.router), own.router));
+        ring.insert((ring_hash(own.router), own.router));
         Self {
-            digest: mark(&own),
+            digest: state_hash(&own),
             own,
             members: HashMap::new(),
             ring,
-            near: Roster::default(),
-            elsewhere: Roster::default(),
-            dead: Roster::default(),
+            local: RouterSet::default(),
+            remote: RouterSet::default(),
+            dead: RouterSet::default(),
             updates: UpdateQueue::default(),
             probes: HashMap::new(),
-            heard_any: None,
-            ended: BTreeSet::new(),
-            messages: 0,
-            agreed: None,
-            asked: None,
-            sent_all: None,
+            last_received_at: None,
+            departures: BTreeSet::new(),
+            rounds: 0,
+            digest_matched_at: None,
+            members_requested_at: None,
+            members_sent_at: None,
         }
     }
 
-    /// What this router says of itself.
+    /// The state that this router's gossip messages report for itself.
     pub fn own(&self) -> &MemberUpdate {
         &self.own
     }
 
-    /// Says something else of this router from now on.
+    /// Sets the state that this router reports for itself; a changed state raises the stamp.
     pub fn set_own_state(&mut self, state: PeerState) {
         let state = MemberState::Alive(state);
         if self.own.state != state {
@@ -143,145 +158,148 @@
     }
 
     fn set_own(&mut self, own: MemberUpdate) {
-        self.digest ^= mark(&self.own) ^ mark(&own);
+        self.digest ^= state_hash(&self.own) ^ state_hash(&own);
         self.own = own;
     }
 
-    /// A digest of what is known of the members that are not dead, this router among them: routers that
-    /// know the same have the same.
+    /// A digest of the recorded states of this router and all members that are not dead. Two routers with
+    /// the same records have the same digest.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Whether a router is a member, dead or not.
-    pub fn knows(&self, router: SocketAddr) -> bool {
+    /// Whether a router is recorded as a member, dead or alive.
+    pub fn contains(&self, router: SocketAddr) -> bool {
         self.members.contains_key(&router)
     }
 
-    /// Whether a router counts as dead.
+    /// Whether a router is recorded as dead.
     pub fn is_known_dead(&self, router: SocketAddr) -> bool {
         self.members.get(&router).is_some_and(Member::is_dead)
     }
 
-    /// Number of members, dead ones not among them, this router not either.
+    /// Number of members that are not dead, without this router.
     pub fn count(&self) -> usize {
         self.ring.len() - 1
     }
 
-    /// Number of routers that were declared dead within the last minute.
-    pub fn lost(&self) -> usize {
+    /// Number of members recorded as dead; they are removed after a minute.
+    pub fn lost_count(&self) -> usize {
         self.dead.len()
     }
 
-    /// Records a message from a router, with what it says of itself.
-    pub fn on_message(&mut self, sender: MemberUpdate, now: Instant) -> Heard {
+    /// Records a message from a router; `sender` is the state that the router reports for itself.
+    pub fn on_message(&mut self, sender: MemberUpdate, now: Instant) -> UpdateOutcome {
         if sender.router == self.own.router {
-            return Heard::Known;
+            return UpdateOutcome::Unchanged;
         }
-        self.heard_any = Some(now);
+        self.last_received_at = Some(now);
         let router = sender.router;
-        let known = self.members.get_mut(&router);
-        if let Some(known) = known {
-            known.heard = Some(now);
-            if known.is_dead() && known.stamp >= sender.stamp {
-                return Heard::TakenForDead;
+        let member = self.members.get_mut(&router);
+        if let Some(member) = member {
+            member.last_message_at = Some(now);
+            if member.is_dead() && member.stamp >= sender.stamp {
+                return UpdateOutcome::RecordedDead;
             }
         }
-        let heard = self.on_update(sender, now);
+        let outcome = self.on_update(sender, now);
         if let Some(member) = self.members.get_mut(&router) {
-            member.heard = Some(now);
+            member.last_message_at = Some(now);
         }
-        heard
+        outcome
     }
 
-    /// Records a message of a router of a release that says nothing of stamps: that it runs is known
-    /// all the same.
-    pub fn on_plain_message(&mut self, sender: MemberUpdate, now: Instant) -> Heard {
-        let known = self.members.get(&sender.router);
-        let stamp = known.map_or(0, |known| known.stamp + u64::from(known.is_dead()));
+    /// Records a message without a stamp, as heartbeats are. The recorded stamp is assumed, and a higher
+    /// one if the sender is recorded as dead, because the message proves that the sender is alive.
+    pub fn on_unstamped_message(&mut self, sender: MemberUpdate, now: Instant) -> UpdateOutcome {
+        let member = self.members.get(&sender.router);
+        let stamp = member.map_or(0, |member| member.stamp + u64::from(member.is_dead()));
         self.on_message(MemberUpdate { stamp, ..sender }, now)
     }
 
-    /// Records what another router says of a router.
-    pub fn on_update(&mut self, update: MemberUpdate, now: Instant) -> Heard {
+    /// Records an update about any router, as received from another router.
+    pub fn on_update(&mut self, update: MemberUpdate, now: Instant) -> UpdateOutcome {
         if update.router == self.own.router {
             return self.on_own_update(&update);
         }
         let is_dead = update.state == MemberState::Dead;
-        let Some(known) = self.members.get(&update.router) else {
-            // A dead router that was not known needs no memory.
+        let Some(member) = self.members.get(&update.router) else {
+            // The death of a router that has no record here needs no record.
             if is_dead {
-                return Heard::Known;
+                return UpdateOutcome::Unchanged;
             }
             self.put(update, None, now);
-            return Heard::Changed;
+            return UpdateOutcome::Changed;
         };
-        if update.stamp == known.stamp && update.state == known.state {
-            self.updates.heard_again(update.router, self.ring.len());
-            return Heard::Known;
+        if update.stamp == member.stamp && update.state == member.state {
+            self.updates
+                .on_redundant_update(update.router, self.ring.len());
+            return UpdateOutcome::Unchanged;
         }
-        let is_newer = update.stamp > known.stamp;
-        let is_end = update.stamp == known.stamp && is_dead && !known.is_dead();
-        if !is_newer && !is_end {
-            return Heard::Known;
+        let is_newer = update.stamp > member.stamp;
+        let is_death = update.stamp == member.stamp && is_dead && !member.is_dead();
+        if !is_newer && !is_death {
+            return UpdateOutcome::Unchanged;
         }
-        let differs = known.state != update.state || known.callers != update.callers;
-        let heard = known.heard;
-        self.put(update, heard, now);
+        let differs = member.state != update.state || member.callers != update.callers;
+        let last_message_at = member.last_message_at;
+        self.put(update, last_message_at, now);
         if differs {
-            Heard::Changed
+            UpdateOutcome::Changed
         } else {
-            Heard::Known
+            UpdateOutcome::Unchanged
         }
     }
 
-    /// Somebody takes this router for dead, or for a former run of it.
-    fn on_own_update(&mut self, update: &MemberUpdate) -> Heard {
+    /// Refutes an update that declares this router dead, or that an earlier process at this address left,
+    /// by raising this router's stamp above the update's.
+    fn on_own_update(&mut self, update: &MemberUpdate) -> UpdateOutcome {
         if update.stamp < self.own.stamp || (update.stamp == self.own.stamp && *update == self.own)
         {
-            return Heard::Known;
+            return UpdateOutcome::Unchanged;
         }
         let stamp = update.stamp + 1;
         self.set_own(MemberUpdate {
             stamp,
             ..self.own.clone()
         });
-        Heard::Changed
+        UpdateOutcome::Changed
     }
 
-    fn put(&mut self, update: MemberUpdate, heard: Option<Instant>, now: Instant) {
-        let former = self.update_of(update.router);
-        self.digest ^= former.as_ref().map_or(0, mark) ^ mark(&update);
-        let place = (rank_of(update.router), update.router);
+    /// Replaces a member's record, adjusts the sets and the digest, and queues the update for sending.
+    fn put(&mut self, update: MemberUpdate, last_message_at: Option<Instant>, now: Instant) {
+        let previous = self.update_of(update.router);
+        self.digest ^= previous.as_ref().map_or(0, state_hash) ^ state_hash(&update);
+        let ring_position = (ring_hash(update.router), update.router);
         if update.state == MemberState::Dead {
-            self.ring.remove(&place);
+            self.ring.remove(&ring_position);
             self.probes.remove(&update.router);
-            self.near.remove(update.router);
-            self.elsewhere.remove(update.router);
+            self.local.remove(update.router);
+            self.remote.remove(update.router);
             self.dead.insert(update.router);
         } else {
-            self.ring.insert(place);
+            self.ring.insert(ring_position);
             self.dead.remove(update.router);
             if update.data_centre == self.own.data_centre {
-                self.near.insert(update.router);
+                self.local.insert(update.router);
             } else {
-                self.elsewhere.insert(update.router);
+                self.remote.insert(update.router);
             }
         }
         self.updates.push(update.router);
-        let is_ending = [MemberState::Dead, MemberState::Alive(PeerState::Leaving)];
-        if is_ending.contains(&update.state) {
-            self.ended.insert(update.router);
+        let is_departing = [MemberState::Dead, MemberState::Alive(PeerState::Leaving)];
+        if is_departing.contains(&update.state) {
+            self.departures.insert(update.router);
         } else {
-            self.ended.remove(&update.router);
+            self.departures.remove(&update.router);
         }
         let member = Member {
             callers: update.callers,
             data_centre: update.data_centre,
             state: update.state,
             stamp: update.stamp,
-            heard,
-            changed: now,
+            last_message_at,
+            updated_at: now,
         };
         self.members.insert(update.router, member);
     }
@@ -297,56 +315,62 @@
         })
     }
 
-    /// Whether routers end that are to be reported at once.
-    pub fn has_ended(&self) -> bool {
-        !self.ended.is_empty()
+    /// Whether there are leaving or dead routers that have not been reported at once yet.
+    pub fn has_departures(&self) -> bool {
+        !self.departures.is_empty()
     }
 
-    /// The routers that end, to be reported to [`Membership::urgent_targets`] at once; they count as
-    /// reported then.
-    pub fn take_ended(&mut self) -> Vec<MemberUpdate> {
-        let mut ended = std::mem::take(&mut self.ended);
-        // What does not fit waits for the next time.
-        while ended.len() > MEMBERS_PER_MESSAGE {
-            self.ended.extend(ended.pop_last());
+    /// Removes and returns updates about leaving and dead routers, at most [`MEMBERS_PER_MESSAGE`]. The
+    /// caller sends them to [`Membership::urgent_targets`].
+    pub fn take_departures(&mut self) -> Vec<MemberUpdate> {
+        let mut departures = std::mem::take(&mut self.departures);
+        // Departures that do not fit into one message stay for the next call.
+        while departures.len() > MEMBERS_PER_MESSAGE {
+            self.departures.extend(departures.pop_last());
         }
-        let known = ended.into_iter();
-        known.filter_map(|router| self.update_of(router)).collect()
+        let routers = departures.into_iter();
+        routers
+            .filter_map(|router| self.update_of(router))
+            .collect()
     }
 
-    /// Updates for the next message; each goes into some messages.
+    /// Returns the updates for the next gossip message, and counts them as sent once more. Each update goes
+    /// into a limited number of messages.
     pub fn take_updates(&mut self) -> Vec<MemberUpdate> {
         let routers = self.updates.take(UPDATES_PER_MESSAGE, self.ring.len());
-        let known = routers.into_iter();
-        known.filter_map(|router| self.update_of(router)).collect()
+        let routers = routers.into_iter();
+        routers
+            .filter_map(|router| self.update_of(router))
+            .collect()
     }
 
-    /// Whether this router receives nothing from others.
-    pub fn is_alone(&self, now: Instant) -> bool {
-        self.heard_any
-            .is_none_or(|at| now.saturating_duration_since(at) > ALONE_AFTER)
+    /// Whether this router has received no message for 2.5 s, and is presumed to be cut off.
+    pub fn is_isolated(&self, now: Instant) -> bool {
+        self.last_received_at
+            .is_none_or(|at| now.saturating_duration_since(at) > ISOLATION_TIMEOUT)
     }
 
-    /// Forgets routers that have been dead for long.
+    /// Removes members that have been recorded as dead for a minute.
     pub fn forget_old(&mut self, now: Instant) {
         let is_kept = |member: &Member| {
-            !member.is_dead() || now.saturating_duration_since(member.changed) < DEAD_KEPT_FOR
+            !member.is_dead() || now.saturating_duration_since(member.updated_at) < DEAD_MEMBER_TTL
         };
-        let over = self.members.iter().filter(|(_, member)| !is_kept(member));
-        let over: Vec<SocketAddr> = over.map(|(router, _)| *router).collect();
-        for router in over {
+        let expired = self.members.iter().filter(|(_, member)| !is_kept(member));
+        let expired: Vec<SocketAddr> = expired.map(|(router, _)| *router).collect();
+        for router in expired {
             self.members.remove(&router);
             self.dead.remove(router);
         }
     }
 
-    /// The members that live; none where this router is cut off.
+    /// The live members, in ring order from this router on; none while this router is isolated.
     pub fn live(&self, now: Instant) -> impl Iterator<Item = LiveMember<'_>> {
-        let is_alone = self.is_alone(now);
-        // From this router's place on: whoever takes the first of them takes others than its peers do.
-        let own = self.own_place();
+        let is_isolated = self.is_isolated(now);
+        // The order begins at this router's ring position, so that routers that use only the first few
+        // members each use different ones.
+        let own = self.own_ring_position();
         let around = self.ring.range(own..).chain(self.ring.range(..own));
-        let ring = around.filter(move |_| !is_alone);
+        let ring = around.filter(move |_| !is_isolated);
         ring.filter_map(|(_, router)| {
             let member = self.members.get(router)?;
             let MemberState::Alive(state) = member.state else {
@@ -361,21 +385,21 @@
         })
     }
 
-    /// The addresses of all members, dead or not.
+    /// The peer addresses of all members, dead ones included.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.members.keys().copied().collect()
     }
 
-    /// Where callers reach the members that were ready when something was last known of them.
-    pub fn once_ready(&self) -> Vec<SocketAddr> {
+    /// The addresses for callers of all members whose last recorded state is ready.
+    pub fn last_known_ready(&self) -> Vec<SocketAddr> {
         let ready = MemberState::Alive(PeerState::Ready);
         let members = self.members.values().filter(|m| m.state == ready);
         members.map(|member| member.callers).collect()
     }
 }
 
-/// A router's part in the digest; none if it is dead.
-fn mark(update: &MemberUpdate) -> u64 {
+/// The hash that a router contributes to the digest; 0 for a dead router.
+fn state_hash(update: &MemberUpdate) -> u64 {
     let state = match update.state {
         MemberState::Dead => return 0,
         MemberState::Alive(PeerState::Starting) => 1,
@@ -383,6 +407,7 @@
         MemberState::Alive(PeerState::Leaving) => 3,
     };
     let stamp = update.stamp.wrapping_mul(4).wrapping_add(state);
-    // Spread over all bits, so that two changes hardly cancel each other.
-    rank_of(update.router) ^ stamp.wrapping_mul(0x9e37_79b9_7f4a_7c15)
+    // The multiplication spreads the stamp over all bits, so that two changes rarely cancel each other in
+    // the digest's XOR.
+    ring_hash(update.router) ^ stamp.wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
--- a/crates/router/cloverpier_router_policy/src/membership/exchange.rs
+++ b/crates/router/cloverpier_router_policy/src/membership/exchange.rs
@@ -1,112 +1,126 @@
-//! What routers send each other that know different members.
+//! Anti-entropy: replies to gossip messages, and exchange of member lists between routers whose records
+//! differ.
 //!
-//! Owns no state: relies on [`Membership`] for when something was asked for last.
+//! Owns no state: [`Membership`] holds when member lists were last requested and sent.
 
 use super::{
-    GossipReply, GossipSeen, Heard, MemberState, MemberUpdate, Membership, UPDATES_PER_MESSAGE,
+    GossipReply, MemberState, MemberUpdate, Membership, ReceivedGossip, UPDATES_PER_MESSAGE,
+    UpdateOutcome,
 };
 use crate::peers::PeerState;
 use std::time::{Duration, Instant};
 
-/// Members in one message that answers a request for all of them.
+/// Maximum number of members in one message of a member list or of urgent departures.
 pub const MEMBERS_PER_MESSAGE: usize = 48;
-/// All members are asked for, and sent, once in this time at most: in a fleet of 1,000 they take some
-/// 50 kB.
-const MEMBERS_PERIOD: Duration = Duration::from_millis(200);
-/// Routers that know something else for this long missed updates: one of them asks for all members.
-const DIFFERS_LONG: Duration = Duration::from_secs(2);
-/// A router that knows so much less than the sender of a message asks for all members.
-const MUCH_LESS: f64 = 0.9;
+/// Minimum interval between two requests for a member list, and between two lists sent. The list of a fleet
+/// of 1,000 routers takes about 50 kB.
+const MEMBER_LIST_INTERVAL: Duration = Duration::from_millis(200);
+/// A router whose digest has differed for this long from all digests received in its data centre may have
+/// missed updates and requests a member list. It is also the minimum interval between such requests.
+const DIGEST_MISMATCH_TIMEOUT: Duration = Duration::from_secs(2);
+/// A router with fewer members than this fraction of the sender's requests a member list at once.
+const MIN_MEMBER_FRACTION: f64 = 0.9;
 
 impl Membership {
-    /// Records a message of gossip; returns what its sender gets.
+    /// Records a gossip message, and returns what the router sends back.
     pub fn on_gossip(
         &mut self,
-        seen: GossipSeen<'_>,
+        gossip: ReceivedGossip<'_>,
         rng: &mut fastrand::Rng,
         now: Instant,
     ) -> GossipReply {
-        let heard = self.on_message(seen.sender.clone(), now);
-        for update in seen.updates {
+        let outcome = self.on_message(gossip.sender.clone(), now);
+        for update in gossip.updates {
             self.on_update(update.clone(), now);
         }
-        let sender = seen.sender.router;
-        let is_near = seen.sender.data_centre == self.own.data_centre;
-        let ask_members = is_near && self.is_to_ask(seen, now);
-        let is_told = heard == Heard::TakenForDead;
-        let gets_sample = seen.wants_reply && seen.members < self.count();
-        let starts = seen.sender.state == MemberState::Alive(PeerState::Starting);
+        let sender = gossip.sender.router;
+        let is_local = gossip.sender.data_centre == self.own.data_centre;
+        let request_members = is_local && self.requests_members(gossip, now);
+        let is_recorded_dead = outcome == UpdateOutcome::RecordedDead;
+        let sends_sample = gossip.wants_reply && gossip.members < self.count();
+        let starts = gossip.sender.state == MemberState::Alive(PeerState::Starting);
         GossipReply {
-            // Its former run may have ended before it said anything else, too.
-            is_newcomer: starts || heard == Heard::Changed,
-            of_itself: is_told.then(|| self.update_of(sender)).flatten(),
-            message: seen.wants_reply,
-            sample: if gets_sample {
+            // A starting sender counts as new in each message: an earlier process at its address may have
+            // ended while it was starting, too.
+            is_new_or_changed: starts || outcome == UpdateOutcome::Changed,
+            dead_update: is_recorded_dead.then(|| self.update_of(sender)).flatten(),
+            message: gossip.wants_reply,
+            sample: if sends_sample {
                 self.sample(rng)
             } else {
                 Vec::new()
             },
-            ask_members,
+            request_members,
         }
     }
 
-    /// Whether this router asks for all members: it knows much less than the sender; or for long
-    /// something else than all others, although no updates are under way or it still knows fewer.
-    fn is_to_ask(&mut self, seen: GossipSeen<'_>, now: Instant) -> bool {
-        if seen.digest == self.digest {
-            self.agreed = Some(now);
+    /// Whether this router requests the member list of a sender in its data centre; records the request. It
+    /// requests the list if it has far fewer members than the sender. It also does if its digest has differed
+    /// from all digests received in its data centre for [`DIGEST_MISMATCH_TIMEOUT`], and either no updates
+    /// are queued here or it has fewer members than the sender: then updates in transit don't explain the
+    /// difference.
+    fn requests_members(&mut self, gossip: ReceivedGossip<'_>, now: Instant) -> bool {
+        if gossip.digest == self.digest {
+            self.digest_matched_at = Some(now);
             return false;
         }
-        if (self.count() as f64) < seen.members as f64 * MUCH_LESS {
-            return may_again(&mut self.asked, MEMBERS_PERIOD, now);
+        if (self.count() as f64) < gossip.members as f64 * MIN_MEMBER_FRACTION {
+            return start_if_due(&mut self.members_requested_at, MEMBER_LIST_INTERVAL, now);
         }
-        let since = *self.agreed.get_or_insert(now);
-        let differs_long = now.saturating_duration_since(since) > DIFFERS_LONG;
-        let is_behind = self.count() < seen.members || self.updates.is_empty();
-        differs_long && is_behind && may_again(&mut self.asked, DIFFERS_LONG, now)
+        let since = *self.digest_matched_at.get_or_insert(now);
+        let differs_long = now.saturating_duration_since(since) > DIGEST_MISMATCH_TIMEOUT;
+        let is_behind = self.count() < gossip.members || self.updates.is_empty();
+        differs_long
+            && is_behind
+            && start_if_due(&mut self.members_requested_at, DIGEST_MISMATCH_TIMEOUT, now)
     }
 
-    /// Takes members that a router was asked for, or that came with its reply, or that end. Others ask,
-    /// too, so those that were not known here, or that both know to live, are not passed on.
+    /// Records the members of a list that this router requested, of a report of departures, or of a notice
+    /// that this router is recorded as dead. Members that were not recorded here before, and live members
+    /// with nothing new, are not queued for gossip, as other routers request lists themselves.
     pub fn on_members(&mut self, members: Vec<MemberUpdate>, now: Instant) {
         for update in members {
             let router = update.router;
             let is_alive = matches!(update.state, MemberState::Alive(_));
-            let was_known = self.members.contains_key(&router);
-            let heard = self.on_update(update, now);
-            if !was_known || (is_alive && heard == Heard::Known) {
-                self.updates.forget(router);
+            let was_recorded = self.members.contains_key(&router);
+            let outcome = self.on_update(update, now);
+            if !was_recorded || (is_alive && outcome == UpdateOutcome::Unchanged) {
+                self.updates.remove(router);
             }
         }
     }
 
-    /// All members, for a router that asks; nothing where others were sent them just now.
-    pub fn on_asked(&mut self, now: Instant) -> Vec<Vec<MemberUpdate>> {
-        if may_again(&mut self.sent_all, MEMBERS_PERIOD, now) {
-            self.all()
+    /// The member list for a router that requests it, in messages of [`MEMBERS_PER_MESSAGE`]. Empty if this
+    /// router sent a list to any router within `MEMBER_LIST_INTERVAL`.
+    pub fn on_members_request(&mut self, now: Instant) -> Vec<Vec<MemberUpdate>> {
+        if start_if_due(&mut self.members_sent_at, MEMBER_LIST_INTERVAL, now) {
+            self.member_list()
         } else {
             Vec::new()
         }
     }
 
-    /// All members, also those that are known to be dead, in parts that fit into a message each.
-    fn all(&self) -> Vec<Vec<MemberUpdate>> {
-        let all = self.members.keys().filter_map(|r| self.update_of(*r));
-        let all: Vec<MemberUpdate> = all.collect();
-        let parts = all.chunks(MEMBERS_PER_MESSAGE);
-        parts.map(<[MemberUpdate]>::to_vec).collect()
+    /// All members, dead ones included, in chunks that fit into one message each.
+    fn member_list(&self) -> Vec<Vec<MemberUpdate>> {
+        let members = self.members.keys().filter_map(|r| self.update_of(*r));
+        let members: Vec<MemberUpdate> = members.collect();
+        let chunks = members.chunks(MEMBERS_PER_MESSAGE);
+        chunks.map(<[MemberUpdate]>::to_vec).collect()
     }
 
-    /// Some members at random, for a router that has just begun.
+    /// Random live members, for a sender with fewer members than this router.
     fn sample(&self, rng: &mut fastrand::Rng) -> Vec<MemberUpdate> {
         let routers = self.ring.iter().map(|(_, router)| *router);
-        let some = rng.choose_multiple(routers, UPDATES_PER_MESSAGE);
-        some.into_iter().filter_map(|r| self.update_of(r)).collect()
+        let chosen = rng.choose_multiple(routers, UPDATES_PER_MESSAGE);
+        chosen
+            .into_iter()
+            .filter_map(|r| self.update_of(r))
+            .collect()
     }
 }
 
-/// Whether something may be done again that was done last at a moment; it counts as done then.
-fn may_again(last: &mut Option<Instant>, period: Duration, now: Instant) -> bool {
+/// Whether `period` has passed since the action last started; if so, records that the action starts now.
+fn start_if_due(last: &mut Option<Instant>, period: Duration, now: Instant) -> bool {
     let is_due = last.is_none_or(|at| now.saturating_duration_since(at) >= period);
     if is_due {
         *last = Some(now);
--- a/crates/router/cloverpier_router_policy/src/membership/ring.rs
+++ b/crates/router/cloverpier_router_policy/src/membership/ring.rs
@@ -1,134 +1,143 @@
-//! The ring: who is next to whom, and what a neighbour's silence means.
+//! The ring of routers, and failure detection of a router's predecessors on it.
 //!
-//! Owns the probes under way. A router that was paused, or that receives nothing from others, judges nobody.
+//! Defines the pending probes, which [`Membership`] holds. A router that was paused, or that receives no
+//! messages, declares no router dead, because the silence may be its own fault.
 
 use super::{MemberState, MemberUpdate, Membership};
 use cloverpier_core::hash_of;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The next routers on the ring, which notice a router's silence: one of them may be dead, too.
+/// How many successors on the ring receive each gossip message of a router and detect its silence. Two, as
+/// one of them may be dead, too.
 pub const SUCCESSORS: usize = 2;
-/// Silence of a predecessor after which it is probed: two messages and a half.
-const SILENCE: Duration = Duration::from_millis(1_000);
-/// Pause between probes, and how many may stay unanswered.
-const PROBE_PERIOD: Duration = Duration::from_millis(200);
-const PROBES: u32 = 3;
+/// Silence of a predecessor after which it is probed: two and a half gossip periods.
+const PROBE_AFTER_SILENCE: Duration = Duration::from_millis(1_000);
+/// Interval between probes of one router.
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
+/// Unanswered probes after which a router is declared dead, one interval after the last.
+const MAX_UNANSWERED_PROBES: u32 = 3;
 
-/// A probe of a predecessor.
+/// The silence of one predecessor, and the probes sent because of it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Probe {
-    /// When its silence began to count.
+    /// When the silence began: at the predecessor's last message, or when this router began to watch it.
     since: Instant,
     sent: u32,
     last: Option<Instant>,
 }
 
-/// What the ring requires of this router now.
+/// The result of one check of the predecessors' silence.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct RingStep {
-    /// Predecessors to probe.
+pub struct PredecessorCheck {
+    /// Predecessors to be sent a gossip message that requires a reply.
     pub probe: Vec<SocketAddr>,
-    /// Predecessors that were declared dead.
+    /// Predecessors that this check declared dead and recorded as such.
     pub dead: Vec<SocketAddr>,
 }
 
 impl Membership {
-    pub(super) fn own_place(&self) -> (u64, SocketAddr) {
-        (rank_of(self.own.router), self.own.router)
+    pub(super) fn own_ring_position(&self) -> (u64, SocketAddr) {
+        (ring_hash(self.own.router), self.own.router)
     }
 
     pub(super) fn successors(&self) -> Vec<SocketAddr> {
-        let own = self.own_place();
+        let own = self.own_ring_position();
         let after = self.ring.range(own..).skip(1);
         let around = after.chain(self.ring.range(..own));
         around.take(SUCCESSORS).map(|(_, router)| *router).collect()
     }
 
     fn predecessors(&self) -> Vec<SocketAddr> {
-        let own = self.own_place();
+        let own = self.own_ring_position();
         let before = self.ring.range(..own).rev();
         let around = before.chain(self.ring.range(own..).rev());
         let others = around.filter(|(_, router)| *router != self.own.router);
         others.take(SUCCESSORS).map(|(_, router)| *router).collect()
     }
 
-    /// Judges the silence of the predecessors. Where this process was paused, silence says nothing:
-    /// it counts anew.
-    pub fn ring_step(&mut self, was_paused: bool, now: Instant) -> RingStep {
+    /// Checks how long each predecessor has been silent. If this process was paused (`was_paused`), silence
+    /// is no evidence of a failure, and the measurement starts again.
+    pub fn check_predecessors(&mut self, was_paused: bool, now: Instant) -> PredecessorCheck {
         let predecessors = self.predecessors();
         if was_paused {
             self.probes.clear();
         }
         self.probes
             .retain(|router, _| predecessors.contains(router));
-        let mut step = RingStep::default();
-        // A router that is cut off itself judges nobody.
-        if self.is_alone(now) {
+        let mut check = PredecessorCheck::default();
+        // An isolated router can't distinguish dead predecessors from its own loss of connection.
+        if self.is_isolated(now) {
             self.probes.clear();
-            return step;
+            return check;
         }
         for router in predecessors {
-            match self.judge(router, now) {
-                Judgement::Fine => {}
-                Judgement::Probe => step.probe.push(router),
-                Judgement::Dead => step.dead.push(router),
+            match self.probe_decision(router, now) {
+                ProbeDecision::Wait => {}
+                ProbeDecision::Probe => check.probe.push(router),
+                ProbeDecision::DeclareDead => check.dead.push(router),
             }
         }
-        for router in &step.dead {
+        for router in &check.dead {
             self.declare_dead(*router, now);
         }
-        step
+        check
     }
 
-    fn judge(&mut self, router: SocketAddr, now: Instant) -> Judgement {
-        let heard = self.members.get(&router).and_then(|member| member.heard);
+    fn probe_decision(&mut self, router: SocketAddr, now: Instant) -> ProbeDecision {
+        let last_message_at = self
+            .members
+            .get(&router)
+            .and_then(|member| member.last_message_at);
         let probe = self.probes.entry(router).or_insert(Probe {
             since: now,
             sent: 0,
             last: None,
         });
-        if let Some(heard) = heard.filter(|heard| *heard > probe.since) {
+        if let Some(last_message_at) = last_message_at.filter(|at| *at > probe.since) {
             *probe = Probe {
-                since: heard,
+                since: last_message_at,
                 sent: 0,
                 last: None,
             };
         }
         let passed = |at: Instant| now.saturating_duration_since(at);
         let is_due = match probe.last {
-            None => passed(probe.since) >= SILENCE,
-            Some(last) => passed(last) >= PROBE_PERIOD,
+            None => passed(probe.since) >= PROBE_AFTER_SILENCE,
+            Some(last) => passed(last) >= PROBE_INTERVAL,
         };
         if !is_due {
-            return Judgement::Fine;
+            return ProbeDecision::Wait;
         }
-        if probe.sent == PROBES {
-            return Judgement::Dead;
+        if probe.sent == MAX_UNANSWERED_PROBES {
+            return ProbeDecision::DeclareDead;
         }
         probe.sent += 1;
         probe.last = Some(now);
-        Judgement::Probe
+        ProbeDecision::Probe
     }
 
     fn declare_dead(&mut self, router: SocketAddr, now: Instant) {
         let update = self.update_of(router);
-        let heard = self.members.get(&router).and_then(|member| member.heard);
+        let last_message_at = self
+            .members
+            .get(&router)
+            .and_then(|member| member.last_message_at);
         if let Some(update) = update {
             let state = MemberState::Dead;
-            self.put(MemberUpdate { state, ..update }, heard, now);
+            self.put(MemberUpdate { state, ..update }, last_message_at, now);
         }
     }
 }
 
-/// What a predecessor's silence means.
-enum Judgement {
-    Fine,
+/// The action that a predecessor's silence requires.
+enum ProbeDecision {
+    Wait,
     Probe,
-    Dead,
+    DeclareDead,
 }
 
-/// A router's place on the ring.
-pub(super) fn rank_of(router: SocketAddr) -> u64 {
+/// The hash of a router's address, which orders the ring.
+pub(super) fn ring_hash(router: SocketAddr) -> u64 {
     hash_of(&router.to_string())
 }
--- a/crates/router/cloverpier_router_policy/src/membership/roster.rs
+++ b/crates/router/cloverpier_router_policy/src/membership/router_set.rs
@@ -1,24 +1,24 @@
-//! Routers to choose from at random, without a look at each of them.
+//! A set of routers with random sampling in time that does not depend on its size.
 //!
-//! [`Roster`] owns a set of addresses.
+//! [`RouterSet`] owns the addresses.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// A set of routers.
+/// A set of router addresses, indexed for random sampling.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Roster {
+pub(super) struct RouterSet {
     routers: Vec<SocketAddr>,
     positions: HashMap<SocketAddr, usize>,
 }
 
-impl Roster {
-    /// Number of routers.
+impl RouterSet {
+    /// Number of routers in the set.
     pub fn len(&self) -> usize {
         self.routers.len()
     }
 
-    /// Adds a router.
+    /// Adds a router; a router in the set stays where it is.
     pub fn insert(&mut self, router: SocketAddr) {
         if !self.positions.contains_key(&router) {
             self.positions.insert(router, self.routers.len());
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Takes a router out.
+    /// Removes a router, and moves the last one to its position.
     pub fn remove(&mut self, router: SocketAddr) {
         let Some(position) = self.positions.remove(&router) else {
             return;
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Some of them at random, each once.
+    /// Returns up to `count` different routers, picked at random.
     pub fn choose(&self, count: usize, rng: &mut fastrand::Rng) -> Vec<SocketAddr> {
         if count * 2 >= self.routers.len() {
             return rng.choose_multiple(self.routers.iter().copied(), count);
--- a/crates/router/cloverpier_router_policy/src/membership/targets.rs
+++ b/crates/router/cloverpier_router_policy/src/membership/targets.rs
@@ -1,35 +1,40 @@
-//! Who gets which message of a large fleet's gossip.
+//! Recipients of gossip messages and of flooded changes in a large fleet.
 //!
-//! Successors on the ring, a few others at random, and now and then a router that counts as dead. Owns no
-//! state; relies on [`Membership`] for who lives where.
+//! Gossip goes to the successors on the ring, to a few random routers, and occasionally to a router that is
+//! recorded as dead. Owns no state; relies on [`Membership`] for the live routers and their data centres.
 
 use super::Membership;
 use cloverpier_core::DataCentre;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Other routers that get each message, in the own data centre and elsewhere: updates spread over them.
-const RANDOM_NEAR: usize = 1;
-const RANDOM_ELSEWHERE: usize = 1;
-/// Routers that are sent something urgent at once, in the own data centre and elsewhere.
-const URGENT_NEAR: usize = 6;
-const URGENT_ELSEWHERE: usize = 2;
-/// Routers that whoever gets a change for the first time passes it on to, all in its data centre; of
-/// 1,000 that each choose 4, 98% are reached, and the others notice that they are behind.
-const FLOOD_NEAR: usize = 4;
-/// Routers of each other data centre that get a change from the one that read it from the store.
-const FLOOD_ELSEWHERE: usize = 3;
-/// Of this many messages one goes to a dead router.
-const DEAD_PERIOD: u32 = 10;
+/// Random recipients of each gossip message in this router's data centre, which spread updates beyond the
+/// successors.
+const RANDOM_LOCAL: usize = 1;
+/// Random recipients of each gossip message in other data centres.
+const RANDOM_REMOTE: usize = 1;
+/// Random recipients of an urgent message in this router's data centre.
+const URGENT_LOCAL: usize = 6;
+/// Random recipients of an urgent message in other data centres.
+const URGENT_REMOTE: usize = 2;
+/// Routers in its data centre to which a router forwards a change when it receives the change for the first
+/// time. If each of 1,000 routers picks 4, the change reaches 98% of them, and the others fetch it when a
+/// gossip message reports a newer revision.
+const FLOOD_LOCAL: usize = 4;
+/// Routers in each other data centre to which a change is sent by the router that read it from the store.
+const FLOOD_REMOTE: usize = 3;
+/// One gossip round out of this many also has a dead router as a recipient.
+const ROUNDS_PER_DEAD_TARGET: u32 = 10;
 
 impl Membership {
-    /// Who gets the next message: the successors, and some at random.
+    /// Recipients of the next gossip message: the successors, some random routers, and in every
+    /// `ROUNDS_PER_DEAD_TARGET`th round a dead one.
     pub fn targets(&mut self, rng: &mut fastrand::Rng) -> Vec<SocketAddr> {
         let mut targets = self.successors();
-        targets.extend(self.near.choose(RANDOM_NEAR, rng));
-        targets.extend(self.elsewhere.choose(RANDOM_ELSEWHERE, rng));
-        self.messages = self.messages.wrapping_add(1);
-        if self.messages.is_multiple_of(DEAD_PERIOD) {
+        targets.extend(self.local.choose(RANDOM_LOCAL, rng));
+        targets.extend(self.remote.choose(RANDOM_REMOTE, rng));
+        self.rounds = self.rounds.wrapping_add(1);
+        if self.rounds.is_multiple_of(ROUNDS_PER_DEAD_TARGET) {
             targets.extend(self.dead.choose(1, rng));
         }
         targets.sort_unstable();
@@ -37,35 +42,35 @@
         targets
     }
 
-    /// Who is sent something urgent at once.
+    /// Random recipients of a message that can't wait for the next gossip period.
     pub fn urgent_targets(&self, rng: &mut fastrand::Rng) -> Vec<SocketAddr> {
-        let mut targets = self.near.choose(URGENT_NEAR, rng);
-        targets.extend(self.elsewhere.choose(URGENT_ELSEWHERE, rng));
+        let mut targets = self.local.choose(URGENT_LOCAL, rng);
+        targets.extend(self.remote.choose(URGENT_REMOTE, rng));
         targets
     }
 
-    /// Who gets a change from a router that got it from another one.
+    /// Recipients of a change that this router received from another router.
     pub fn flood_targets(&self, rng: &mut fastrand::Rng) -> Vec<SocketAddr> {
-        self.near.choose(FLOOD_NEAR, rng)
+        self.local.choose(FLOOD_LOCAL, rng)
     }
 
-    /// Who gets a change from the router that read it from the store.
+    /// Recipients, in all data centres, of a change that this router read from the store.
     pub fn flood_roots(&self, rng: &mut fastrand::Rng) -> Vec<SocketAddr> {
-        let mut by_centre: HashMap<&DataCentre, Vec<SocketAddr>> = HashMap::new();
+        let mut by_data_centre: HashMap<&DataCentre, Vec<SocketAddr>> = HashMap::new();
         for (_, router) in &self.ring {
             if let Some(member) = self.members.get(router) {
-                by_centre
+                by_data_centre
                     .entry(&member.data_centre)
                     .or_default()
                     .push(*router);
             }
         }
         let mut roots = Vec::new();
-        for (data_centre, routers) in by_centre {
+        for (data_centre, routers) in by_data_centre {
             let count = if *data_centre == self.own.data_centre {
-                FLOOD_NEAR
+                FLOOD_LOCAL
             } else {
-                FLOOD_ELSEWHERE
+                FLOOD_REMOTE
             };
             roots.extend(rng.choose_multiple(routers, count));
         }
--- a/crates/router/cloverpier_router_policy/src/membership/update.rs
+++ b/crates/router/cloverpier_router_policy/src/membership/update.rs
@@ -1,88 +1,92 @@
-//! What routers of a large fleet say of each other.
+//! Membership updates, and the inputs and results of processing a gossip message.
 //!
-//! Owns no state. Relies on nothing but the order of stamps, which a router raises with each change of
-//! its own state.
+//! Owns no state. Relies on the order of stamps: a router raises its stamp with each change of its own state.
 
 use crate::peers::PeerState;
 use cloverpier_core::DataCentre;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a router is said to be.
+/// The state of a router in a membership update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberState {
-    /// It runs, in this state.
+    /// The router runs and is in this state.
     Alive(PeerState),
-    /// It does not answer.
+    /// The router did not reply to probes.
     Dead,
 }
 
-/// What is said of one router.
+/// The state of one router, as routers report it to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// The router's address for peers.
+    /// The router's address for peers, which identifies the router.
     pub router: SocketAddr,
-    /// Where it serves callers.
+    /// The address at which the router serves callers.
     pub callers: SocketAddr,
-    /// Its data centre.
+    /// The data centre in which the router runs.
     pub data_centre: DataCentre,
-    /// What it is.
+    /// Whether the router is alive, and whether it accepts new callers.
     pub state: MemberState,
-    /// Orders what is said of this router.
+    /// Orders updates about this router: the highest stamp is the newest. With equal stamps, `Dead` overrides
+    /// `Alive`. The router raises its stamp with each change of its state, and to refute its death.
     pub stamp: u64,
 }
 
-/// A member that lives.
+/// A member that is recorded as alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LiveMember<'a> {
-    /// Its address for peers.
+    /// The member's address for peers.
     pub router: SocketAddr,
-    /// Where it serves callers.
+    /// The address at which the member serves callers.
     pub callers: SocketAddr,
-    /// Its data centre.
+    /// The data centre in which the member runs.
     pub data_centre: &'a DataCentre,
-    /// Whether it takes new callers.
+    /// Whether the member accepts new callers.
     pub state: PeerState,
 }
 
-/// The result of hearing something of a router.
+/// The effect of an update on a router's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
-    /// Nothing new.
-    Known,
-    /// It was not known, or it is something else than it was.
+pub enum UpdateOutcome {
+    /// The recorded state and address for callers stay the same, or the update was ignored.
+    Unchanged,
+    /// The router had no record, or its state or address for callers changed.
     Changed,
-    /// It says of itself that it runs, and it counts as dead here: it has to be informed.
-    TakenForDead,
+    /// The sender of a message is recorded as dead with a stamp at least as high as its own. It has to
+    /// receive that record, so that it refutes it with a higher stamp.
+    RecordedDead,
 }
 
-/// What a message of gossip says of members.
+/// The membership contents of a received gossip message.
 #[derive(Clone, Copy, Debug)]
-pub struct GossipSeen<'a> {
-    /// What the sender says of itself.
+pub struct ReceivedGossip<'a> {
+    /// The state that the sender reports for itself.
     pub sender: &'a MemberUpdate,
-    /// Whether it waits for a message.
+    /// Whether the sender requires a gossip message as a reply, because it probes this router or has just
+    /// started.
     pub wants_reply: bool,
-    /// How many members it knows.
+    /// Number of live members in the sender's record, without the sender.
     pub members: usize,
-    /// See [`Membership::digest`].
+    /// The digest of the sender's record; see [`Membership::digest`].
     pub digest: u64,
-    /// What is new of others.
+    /// Updates about other routers.
     pub updates: &'a [MemberUpdate],
 }
 
-/// What the sender of a message gets.
+/// The messages to send back to the sender of a gossip message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GossipReply {
-    /// Whether the sender was not known, starts, or is something else than it was.
-    pub is_newcomer: bool,
-    /// What it has to know of itself: that it counts as dead.
-    pub of_itself: Option<MemberUpdate>,
-    /// Whether it gets a message.
+    /// Whether the sender had no record, is starting, or changed its state or address for callers. It may
+    /// then lack facts that other routers received earlier.
+    pub is_new_or_changed: bool,
+    /// The record of the sender's death, which the sender has to refute; `None` if it is not recorded as dead.
+    pub dead_update: Option<MemberUpdate>,
+    /// Whether the sender is sent a gossip message.
     pub message: bool,
-    /// Members that go into that message, as it knows few.
+    /// Random members to add to that gossip message; empty unless the sender has fewer members than this
+    /// router.
     pub sample: Vec<MemberUpdate>,
-    /// Whether it is asked for all members, as it knows many more.
-    pub ask_members: bool,
+    /// Whether to request the sender's member list, because this router's record lacks members or updates.
+    pub request_members: bool,
 }
--- a/crates/router/cloverpier_router_policy/src/membership/update_queue.rs
+++ b/crates/router/cloverpier_router_policy/src/membership/update_queue.rs
@@ -1,26 +1,27 @@
-//! The updates that wait for the next messages.
+//! The queue of membership updates to be sent with the next gossip messages.
 //!
-//! Owns which routers there are updates of, and how often each is still to be sent: those that were sent
-//! least go first, so that something new does not wait for what all know soon. The updates themselves are
-//! those of the member when the message leaves.
+//! Owns the routers whose updates are to be sent, and how often each update was sent. Updates that were sent
+//! least often go first, so that a new update does not wait behind updates that most routers have. The queue
+//! holds addresses only; the content of an update is read from the member's record when a message is sent.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// Messages that each update goes into besides one for each doubling of the fleet: whoever learns it
-/// does the same, so a message that is lost costs nothing.
-const MORE_MESSAGES: u32 = 2;
+/// Messages that carry an update in addition to one for each doubling of the fleet size. Every router that
+/// receives the update sends it as often, so that the loss of single messages does not matter.
+const EXTRA_SENDS: u32 = 2;
 
-/// Routers of which there are updates.
+/// The routers whose updates are still to be sent.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UpdateQueue {
-    /// How often the update of a router was sent.
+    /// How often each router's update was sent.
     sent: HashMap<SocketAddr, u32>,
+    /// The same routers, those whose update was sent least often first.
     order: BTreeSet<(u32, SocketAddr)>,
 }
 
 impl UpdateQueue {
-    /// Has the update of a router sent, before those that were sent already.
+    /// Queues a router's update, ahead of all that were sent before.
     pub fn push(&mut self, router: SocketAddr) {
         if let Some(sent) = self.sent.insert(router, 0) {
             self.order.remove(&(sent, router));
@@ -28,17 +29,19 @@
         self.order.insert((0, router));
     }
 
-    /// Records that somebody else knows the update of a router: as many messages fewer are needed.
-    pub fn heard_again(&mut self, router: SocketAddr, routers: usize) {
+    /// Records that another router sent an update that this router has, too. It counts as one send, as it
+    /// shows that the update is spreading. `fleet_size` bounds the sends.
+    pub fn on_redundant_update(&mut self, router: SocketAddr, fleet_size: usize) {
         if let Some(sent) = self.sent.get(&router).copied() {
             self.order.remove(&(sent, router));
-            self.put_back(router, sent + 1, routers);
+            self.requeue(router, sent + 1, fleet_size);
         }
     }
 
-    fn put_back(&mut self, router: SocketAddr, sent: u32, routers: usize) {
-        let doublings = usize::BITS - routers.leading_zeros();
-        if sent >= doublings + MORE_MESSAGES {
+    /// Queues an update that was sent `sent` times, or removes it if that is enough for the fleet size.
+    fn requeue(&mut self, router: SocketAddr, sent: u32, fleet_size: usize) {
+        let log2_fleet_size = usize::BITS - fleet_size.leading_zeros();
+        if sent >= log2_fleet_size + EXTRA_SENDS {
             self.sent.remove(&router);
         } else {
             self.sent.insert(router, sent);
@@ -46,31 +49,32 @@
         }
     }
 
-    /// Whether there are none.
+    /// Whether no update is waiting to be sent.
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
-    /// Has the update of a router not sent.
-    pub fn forget(&mut self, router: SocketAddr) {
+    /// Removes a router's update from the queue without sending it.
+    pub fn remove(&mut self, router: SocketAddr) {
         if let Some(sent) = self.sent.remove(&router) {
             self.order.remove(&(sent, router));
         }
     }
 
-    /// Takes the updates of one message, in a fleet of `routers`.
-    pub fn take(&mut self, most: usize, routers: usize) -> Vec<SocketAddr> {
+    /// Returns the routers whose updates go into one message, and counts each update as sent once more. An
+    /// update stays in the queue until it was sent often enough for `fleet_size`.
+    pub fn take(&mut self, max_updates: usize, fleet_size: usize) -> Vec<SocketAddr> {
         let mut taken = Vec::new();
-        while taken.len() < most {
+        while taken.len() < max_updates {
             let Some((_, router)) = self.order.pop_first() else {
                 break;
             };
             taken.push(router);
         }
         for router in &taken {
-            // What is not there was never sent.
+            // Without an entry, the update was never sent.
             let sent = self.sent.get(router).copied().unwrap_or(0) + 1;
-            self.put_back(*router, sent, routers);
+            self.requeue(*router, sent, fleet_size);
         }
         taken
     }
--- a/crates/router/cloverpier_router_policy/src/peers.rs
+++ b/crates/router/cloverpier_router_policy/src/peers.rs
@@ -85,7 +85,7 @@
     }
 
     /// Whether a peer has sent a heartbeat or was mentioned.
-    pub fn knows(&self, peer: SocketAddr) -> bool {
+    pub fn contains(&self, peer: SocketAddr) -> bool {
         self.peers.contains_key(&peer) || self.mentioned.contains_key(&peer)
     }
 
@@ -133,7 +133,7 @@
 
     /// Number of routers that sent something within the last minute, did not say that they leave, and
     /// are silent; those that were mentioned, too, where none ever sent anything.
-    pub fn lost(&self, now: Instant, timeout: Duration) -> usize {
+    pub fn lost_count(&self, now: Instant, timeout: Duration) -> usize {
         if self.peers.is_empty() {
             return self.mentioned.len();
         }
@@ -166,7 +166,7 @@
         let ready = |peer: &&PeerEntry| peer.state == PeerState::Ready;
         let live = self.live(now, timeout).map(|(_, peer)| peer);
         let listed = live.filter(ready).map(|p| p.callers).collect();
-        listed_for_callers(own, listed, || {
+        directory_addresses(own, listed, || {
             let known = self.peers.values().filter(ready);
             known.map(|p| p.callers).collect()
         })
@@ -196,7 +196,7 @@
 
 /// The addresses that a caller gets: those of routers that are ready and alive, or where there are
 /// none all that `known` gives, and `own` if this one is ready.
-pub fn listed_for_callers(
+pub fn directory_addresses(
     own: Option<SocketAddr>,
     mut listed: Vec<SocketAddr>,
     known: impl FnOnce() -> Vec<SocketAddr>,
--- a/crates/router/cloverpier_router_policy/src/store_ping.rs
+++ b/crates/router/cloverpier_router_policy/src/store_ping.rs
@@ -15,14 +15,14 @@
 use std::time::Duration;
 
 /// How often a watcher pings the store while its watches wait: a ping costs a tenth of a call. With
-/// [`PING_DOUBT`] it bounds the time until a silent store is noticed.
+/// [`PING_SUSPICION_TIMEOUT`] it bounds the time until a silent store is noticed.
 pub const PING_PERIOD: Duration = Duration::from_millis(250);
 /// The same for a chosen watcher while its pings fail, so that a store that answers nobody is not
 /// called more often than one that answers.
 const FAILING_PING_PERIOD: Duration = Duration::from_millis(400);
 /// A ping without an answer for this long makes the watcher say that it does not reach the store; a
 /// healthy store answers in about 4 ms.
-pub const PING_DOUBT: Duration = Duration::from_millis(150);
+pub const PING_SUSPICION_TIMEOUT: Duration = Duration::from_millis(150);
 /// How long a ping waits for its answer.
 pub const PING_TIMEOUT: Duration = Duration::from_millis(500);
 /// Routers that step in spread their first pings over this time for each router, so that most see
--- a/crates/router/cloverpier_router_policy/src/store_watch.rs
+++ b/crates/router/cloverpier_router_policy/src/store_watch.rs
@@ -16,7 +16,7 @@
 //! as many as are missing, by rank, or all where no watcher is left. Whoever steps in pings the
 //! store first ([`crate::store_ping`]) and watches only if it is answered.
 
-use crate::heartbeat::reaches_all_peers;
+use crate::heartbeat::is_small_fleet;
 use cloverpier_core::{DataCentre, hash_of};
 use serde::Serialize;
 use std::collections::HashSet;
@@ -42,7 +42,7 @@
 /// How long a connection to the store or its answer may take, beyond the wait asked for.
 pub const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Changes of upstreams that come close together are read by one call.
-pub const GATHER_PERIOD: Duration = Duration::from_millis(300);
+pub const UPSTREAM_WATCH_PAUSE: Duration = Duration::from_millis(300);
 
 /// A router that has just learned configuration and upstreams watches the store only after this time:
 /// two heartbeats, by which it knows who else does. Until it is over nobody may watch, so changes
@@ -75,7 +75,7 @@
 
 /// This router, as the choice of watchers sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OwnStore {
+pub struct OwnWatcherState {
     /// Its address for peers.
     pub address: SocketAddr,
     /// Its data centre.
@@ -145,7 +145,7 @@
 }
 
 /// Decides whether a router watches the store, given its live and ready peers.
-pub fn watcher_role(own: &OwnStore, peers: &[ReadyPeer]) -> WatcherRole {
+pub fn watcher_role(own: &OwnWatcherState, peers: &[ReadyPeer]) -> WatcherRole {
     let before = peers_before(own, peers);
     if before.len() < WATCHERS {
         return WatcherRole::Chosen;
@@ -170,7 +170,7 @@
 
 /// The peers that are preferred to this router as watchers: first one of each data centre by
 /// rank, as a data centre may die or be cut off as a whole, then the others by rank.
-fn peers_before<'a>(own: &'a OwnStore, peers: &'a [ReadyPeer]) -> Vec<&'a ReadyPeer> {
+fn peers_before<'a>(own: &'a OwnWatcherState, peers: &'a [ReadyPeer]) -> Vec<&'a ReadyPeer> {
     struct Ranked<'a> {
         rank: (u64, SocketAddr),
         data_centre: &'a DataCentre,
@@ -199,7 +199,7 @@
 
 /// How long a watcher's last store call counts, among this many peers.
 fn fresh_for(peers: usize) -> Duration {
-    if reaches_all_peers(peers) {
+    if is_small_fleet(peers) {
         FRESH_FOR
     } else {
         FRESH_FOR_LARGE
@@ -208,7 +208,11 @@
 
 /// Whether one of `peers` peers says something else of the store than before, so that the roles are
 /// decided anew.
-pub fn changes_roles(former: Option<Duration>, present: Option<Duration>, peers: usize) -> bool {
+pub fn affects_watcher_roles(
+    former: Option<Duration>,
+    present: Option<Duration>,
+    peers: usize,
+) -> bool {
     let kind = |age: Option<Duration>| age.map(|age| age <= fresh_for(peers));
     kind(former) != kind(present)
 }
--- a/crates/router/cloverpier_router_policy/src/upstream_table/statements.rs
+++ b/crates/router/cloverpier_router_policy/src/upstream_table/statements.rs
@@ -4,7 +4,7 @@
 //! upstreams that are not known are remembered, too. Owns nothing besides the table's own.
 
 use super::UpstreamTable;
-use crate::dissemination::REPEATED_FOR;
+use crate::dissemination::REPEAT_WINDOW;
 use crate::leaving::LeavingReport;
 use crate::upstream::{Upstream, UpstreamKey, UpstreamState};
 use cloverpier_core::{ServiceName, UpstreamName, Wait};
@@ -69,7 +69,7 @@
 
     /// Reports that are sent to peers again.
     pub fn new_leavings(&self, now: Instant) -> Vec<LeavingReport> {
-        let new = self.leavings.known_for_less(REPEATED_FOR, now);
+        let new = self.leavings.known_for_less(REPEAT_WINDOW, now);
         self.leavings.reports(new, now)
     }
 
--- a/crates/router/cloverpier_router_policy/src/version_fetch.rs
+++ b/crates/router/cloverpier_router_policy/src/version_fetch.rs
@@ -13,7 +13,7 @@
 //!   see the same peers.
 //!
 //! Bytes between data centres are dear where many routers fetch: a peer of the own data centre is
-//! preferred, and where only others have a list of upstreams, they are asked after [`FAR_WAIT`].
+//! preferred, and where only others have a list of upstreams, they are asked after [`REMOTE_FETCH_DELAY`].
 //!
 //! Configuration and upstreams are fetched apart: a leaving upstream is a few bytes and must
 //! not wait for a configuration.
@@ -24,7 +24,7 @@
 
 /// A router that watches the store gives it this much time to deliver a version before it fetches
 /// it from a peer.
-pub const STORE_FIRST: Duration = Duration::from_millis(400);
+pub const STORE_HEAD_START: Duration = Duration::from_millis(400);
 /// A fetch is given up when nothing arrives for this long. Its whole time has no bound, which
 /// would keep a large configuration from ever arriving over a shared link.
 pub const STALL_TIMEOUT: Duration = Duration::from_millis(800);
@@ -32,7 +32,7 @@
 pub const COMPARE_PERIOD: Duration = Duration::from_millis(500);
 /// The same in a large fleet, where it takes a look at each peer, and messages say which versions their
 /// senders have.
-pub const LARGE_COMPARE_PERIOD: Duration = Duration::from_secs(2);
+pub const LARGE_FLEET_COMPARE_PERIOD: Duration = Duration::from_secs(2);
 /// Pause after a fetch that failed.
 pub const FAILURE_PAUSE: Duration = Duration::from_millis(100);
 /// A peer whose fetch failed is not asked again for this long while another one has a newer
@@ -43,11 +43,11 @@
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
 /// How long a router of a large fleet waits for a peer of its data centre to have newer upstreams.
-pub const FAR_WAIT: Duration = Duration::from_millis(200);
+pub const REMOTE_FETCH_DELAY: Duration = Duration::from_millis(200);
 
 /// A router of a large fleet fetches changes of upstreams once in this time at most: few changes are sent
 /// to all, and where there are many, each fetch would get a part of them.
-pub const GATHER_FETCHES: Duration = Duration::from_millis(500);
+pub const UPSTREAM_FETCH_PAUSE: Duration = Duration::from_millis(500);
 
 /// A live peer, and its version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,7 +57,7 @@
     /// What it reported.
     pub version: u64,
     /// Whether it is to be preferred, as in the own data centre.
-    pub is_near: bool,
+    pub is_local: bool,
 }
 
 /// What a router does next about newer versions.
@@ -66,7 +66,7 @@
     /// Nothing: no live peer has a newer version.
     UpToDate,
     /// Fetch from this peer.
-    Ask(SocketAddr),
+    Fetch(SocketAddr),
     /// Decide again after this time: all peers with the newest version are busy.
     Wait(Duration),
 }
@@ -85,7 +85,7 @@
 
 impl FetchSources {
     /// Sources of which those that are not near are asked after a wait.
-    pub fn with_far_wait(far_wait: Duration) -> Self {
+    pub fn with_remote_delay(far_wait: Duration) -> Self {
         Self {
             far_wait,
             ..Self::default()
@@ -114,14 +114,14 @@
         self.busy.retain(|_, until| *until > now);
         let peers = peers.into_iter();
         let newer: Vec<PeerVersion> = peers.filter(|p| p.version > known).collect();
-        let near: Vec<PeerVersion> = newer.iter().filter(|p| p.is_near).copied().collect();
+        let near: Vec<PeerVersion> = newer.iter().filter(|p| p.is_local).copied().collect();
         if let Some(wait) = self.wait_for_near(&newer, &near, now) {
             return FetchStep::Wait(wait);
         }
         let sources = self.newest(if near.is_empty() { &newer } else { &near });
         let free = sources.iter().filter(|peer| !self.busy.contains_key(peer));
         if let Some(peer) = rng.choice(free.copied().collect::<Vec<_>>()) {
-            return FetchStep::Ask(peer);
+            return FetchStep::Fetch(peer);
         }
         let free_at = sources.iter().filter_map(|peer| self.busy.get(peer)).min();
         free_at.map_or(FetchStep::UpToDate, |at| {
--- a/crates/router/cloverpier_router_policy/src/version_serving.rs
+++ b/crates/router/cloverpier_router_policy/src/version_serving.rs
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CopyStep {
     /// It gets one.
-    HandOut,
+    Send,
     /// It should ask again after this time, or ask another peer.
     Refuse(Duration),
 }
@@ -70,6 +70,6 @@
         }
         // A copy without end in sight blocks all others, as it should.
         self.carried_at = carried_at.checked_add(link.copy_time(bytes));
-        CopyStep::HandOut
+        CopyStep::Send
     }
 }
--- a/crates/router/cloverpier_router_policy/tests/configuration.rs
+++ b/crates/router/cloverpier_router_policy/tests/configuration.rs
@@ -60,9 +60,9 @@
 #[test]
 fn a_key_belongs_to_its_tenant() {
     let configuration = configuration();
-    assert!(configuration.needs_keys());
-    assert_eq!(configuration.account_of_key("key-2").unwrap().name, "lab");
-    assert!(configuration.account_of_key("key-3").is_none());
+    assert!(configuration.requires_keys());
+    assert_eq!(configuration.account_for_key("key-2").unwrap().name, "lab");
+    assert!(configuration.account_for_key("key-3").is_none());
 }
 
 #[test]
--- a/crates/router/cloverpier_router_policy/tests/crash_reports.rs
+++ b/crates/router/cloverpier_router_policy/tests/crash_reports.rs
@@ -4,7 +4,7 @@
 use cloverpier_crashes::prelude::*;
 use cloverpier_router_policy::crash_reports::{in_messages, is_told};
 use cloverpier_router_policy::dissemination::{
-    REPEATED_FOR, is_repeated, may_have_missed, sends_missed,
+    REPEAT_WINDOW, is_within_repeat_window, may_have_missed_facts, sends_missed_facts,
 };
 use cloverpier_router_policy::prelude::*;
 use std::time::{Duration, Instant};
@@ -44,12 +44,12 @@
     let now = Instant::now();
     let former = entry(9, now);
     let soon = now + Duration::from_millis(400);
-    let missed = |entry: &PeerEntry| may_have_missed(Some(&former), entry, timeout);
+    let missed = |entry: &PeerEntry| may_have_missed_facts(Some(&former), entry, timeout);
     assert!(!missed(&entry(9, soon)));
     assert!(!missed(&entry(10, soon)));
     assert!(missed(&entry(0, soon)));
     assert!(missed(&entry(9, now + timeout * 2)));
-    assert!(may_have_missed(None, &entry(9, now), timeout));
+    assert!(may_have_missed_facts(None, &entry(9, now), timeout));
 }
 
 #[test]
@@ -57,13 +57,17 @@
     let now = Instant::now();
     let (former, anew) = (entry(0, now), entry(0, now + Duration::from_millis(313)));
     let timeout = Duration::from_millis(1_100);
-    assert!(may_have_missed(Some(&former), &anew, timeout));
+    assert!(may_have_missed_facts(Some(&former), &anew, timeout));
 }
 
 #[test]
 fn of_many_peers_a_few_tell_and_of_few_all_do() {
     let mut rng = fastrand::Rng::with_seed(1);
-    let mut tellers = |peers: usize| (0..peers).filter(|_| sends_missed(peers, &mut rng)).count();
+    let mut tellers = |peers: usize| {
+        (0..peers)
+            .filter(|_| sends_missed_facts(peers, &mut rng))
+            .count()
+    };
     assert_eq!(tellers(7), 7);
     let told_by: Vec<usize> = (0..50).map(|_| tellers(295)).collect();
     assert!(
@@ -75,9 +79,9 @@
 #[test]
 fn news_are_told_again_for_a_while_only() {
     let now = Instant::now();
-    assert!(!is_repeated(None, now));
-    assert!(is_repeated(Some(now), now + REPEATED_FOR / 2));
-    assert!(!is_repeated(Some(now), now + REPEATED_FOR));
+    assert!(!is_within_repeat_window(None, now));
+    assert!(is_within_repeat_window(Some(now), now + REPEAT_WINDOW / 2));
+    assert!(!is_within_repeat_window(Some(now), now + REPEAT_WINDOW));
 }
 
 /// The content of a request, and as many ends as are kept of one.
--- a/crates/router/cloverpier_router_policy/tests/first_read.rs
+++ b/crates/router/cloverpier_router_policy/tests/first_read.rs
@@ -1,10 +1,10 @@
 //! Who reads the store at a start.
 
-use cloverpier_router_policy::first_read::{FirstRead, Starting, first_read};
+use cloverpier_router_policy::first_read::{FirstRead, StartupState, first_read};
 use std::time::Duration;
 
-fn starting(peers: usize, age_ms: u64) -> Starting {
-    Starting {
+fn starting(peers: usize, age_ms: u64) -> StartupState {
+    StartupState {
         is_seed: false,
         age: Duration::from_millis(age_ms),
         has_peers: peers > 0,
@@ -15,7 +15,7 @@
 
 #[test]
 fn a_seed_reads_at_once() {
-    let seed = Starting {
+    let seed = StartupState {
         is_seed: true,
         ..starting(0, 0)
     };
@@ -29,7 +29,7 @@
         panic!("{wait:?}");
     };
     assert!(age <= Duration::from_millis(250));
-    let then = Starting {
+    let then = StartupState {
         age,
         ..starting(0, 0)
     };
@@ -45,7 +45,7 @@
 #[test]
 fn routers_that_were_handed_nothing_do_not_all_read_together() {
     let reads_at = |random| {
-        let starting = Starting {
+        let starting = StartupState {
             random,
             ..starting(985, 0)
         };
@@ -161,7 +161,7 @@
 impl PlayedRouter {
     fn reads(&self, peers: usize, now: f64) -> bool {
         let has_peers = now >= self.heard_from;
-        let starting = Starting {
+        let starting = StartupState {
             is_seed: self.is_seed,
             age: Duration::from_secs_f64(now),
             has_peers,
--- a/crates/router/cloverpier_router_policy/tests/membership.rs
+++ b/crates/router/cloverpier_router_policy/tests/membership.rs
@@ -1,11 +1,11 @@
-//! Who lives in a large fleet, as one router knows it, and what the watchers of the store said.
+//! Membership and failure detection in a large fleet, and the reports of store watchers.
 
 use cloverpier_core::DataCentre;
 use cloverpier_router_policy::membership::{
-    GossipSeen, Heard, MemberState, MemberUpdate, Membership, SUCCESSORS,
+    MemberState, MemberUpdate, Membership, ReceivedGossip, SUCCESSORS, UpdateOutcome,
 };
 use cloverpier_router_policy::peers::PeerState;
-use cloverpier_router_policy::watcher_beats::{WatcherBeat, WatcherBeats};
+use cloverpier_router_policy::watcher_reports::{WatcherReport, WatcherReports};
 use quickcheck::quickcheck;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -26,8 +26,8 @@
     }
 }
 
-/// Router 0, which has heard of `others` routers.
-fn knowing(others: u16, now: Instant) -> Membership {
+/// The membership of router 0 after a message from each of the routers 1 to `others`.
+fn membership_with(others: u16, now: Instant) -> Membership {
     let mut membership = Membership::new(update(0, READY, 1));
     for number in 1..=others {
         membership.on_message(update(number, READY, 1), now);
@@ -35,9 +35,9 @@
     membership
 }
 
-/// Steps the ring each tenth of a second, with messages of all but one; returns whom it declared dead,
-/// and how many probes it sent before.
-fn play_silence(
+/// Checks the predecessors every 100 ms for 4 s, with messages from all routers except `silent`. Returns the
+/// routers declared dead, and the number of probes sent until then.
+fn simulate_silence(
     membership: &mut Membership,
     silent: u16,
     others: u16,
@@ -49,7 +49,7 @@
         for number in (1..=others).filter(|number| *number != silent) {
             membership.on_message(update(number, READY, 1), now);
         }
-        let step = membership.ring_step(false, now);
+        let step = membership.check_predecessors(false, now);
         probes += step.probe.len();
         if !step.dead.is_empty() {
             return (step.dead, probes);
@@ -59,10 +59,10 @@
 }
 
 #[test]
-fn a_silent_neighbour_is_probed_before_it_counts_as_dead() {
+fn a_silent_predecessor_is_probed_before_it_is_declared_dead() {
     let start = Instant::now();
-    let mut membership = knowing(2, start);
-    let (dead, probes) = play_silence(&mut membership, 1, 2, start);
+    let mut membership = membership_with(2, start);
+    let (dead, probes) = simulate_silence(&mut membership, 1, 2, start);
     assert_eq!(dead, [router(1)]);
     assert!(probes >= 3, "{probes}");
     assert!(membership.is_known_dead(router(1)));
@@ -70,93 +70,96 @@
 }
 
 #[test]
-fn a_router_that_hears_from_nobody_judges_nobody() {
+fn an_isolated_router_declares_no_router_dead() {
     let start = Instant::now();
-    let mut membership = knowing(2, start);
+    let mut membership = membership_with(2, start);
     let mut now = start;
     for _ in 0..100 {
         now += Duration::from_secs(3);
-        assert!(membership.ring_step(false, now).dead.is_empty());
+        assert!(membership.check_predecessors(false, now).dead.is_empty());
     }
-    assert!(membership.is_alone(now));
+    assert!(membership.is_isolated(now));
     assert_eq!(membership.live(now).count(), 0);
 }
 
 #[test]
-fn silence_during_an_own_pause_counts_for_nothing() {
+fn silence_during_a_pause_of_this_process_is_ignored() {
     let start = Instant::now();
-    let mut membership = knowing(2, start);
-    membership.ring_step(false, start);
+    let mut membership = membership_with(2, start);
+    membership.check_predecessors(false, start);
     let after = start + Duration::from_secs(2);
-    let step = membership.ring_step(true, after);
+    let step = membership.check_predecessors(true, after);
     assert!(step.probe.is_empty() && step.dead.is_empty(), "{step:?}");
 }
 
 #[test]
-fn a_router_that_is_taken_for_dead_says_that_it_is_not() {
+fn a_router_refutes_an_update_that_declares_it_dead() {
     let now = Instant::now();
-    let mut membership = knowing(2, now);
-    let heard = membership.on_update(update(0, MemberState::Dead, 1), now);
-    assert_eq!(heard, Heard::Changed);
+    let mut membership = membership_with(2, now);
+    let outcome = membership.on_update(update(0, MemberState::Dead, 1), now);
+    assert_eq!(outcome, UpdateOutcome::Changed);
     assert_eq!(membership.own().state, READY);
     assert!(membership.own().stamp > 1);
 
     let mut peer = Membership::new(update(9, READY, 1));
     peer.on_message(update(0, READY, 1), now);
     peer.on_update(update(0, MemberState::Dead, 1), now);
-    let heard = peer.on_message(update(0, READY, 1), now);
-    assert_eq!(heard, Heard::TakenForDead);
+    let outcome = peer.on_message(update(0, READY, 1), now);
+    assert_eq!(outcome, UpdateOutcome::RecordedDead);
     peer.on_message(membership.own().clone(), now);
     assert!(!peer.is_known_dead(router(0)));
 }
 
 #[test]
-fn others_are_told_once_of_a_router_that_ends_unless_it_is_back() {
+fn departures_are_reported_once_and_not_after_a_return() {
     let now = Instant::now();
-    let mut membership = knowing(3, now);
+    let mut membership = membership_with(3, now);
     let leaving = update(1, MemberState::Alive(PeerState::Leaving), 2);
     membership.on_update(leaving.clone(), now);
     membership.on_members(vec![update(2, MemberState::Dead, 1)], now);
     assert_eq!(
-        membership.take_ended(),
+        membership.take_departures(),
         [leaving, update(2, MemberState::Dead, 1)]
     );
-    assert!(!membership.has_ended());
+    assert!(!membership.has_departures());
     membership.on_update(update(3, MemberState::Dead, 1), now);
     membership.on_update(update(3, READY, 2), now);
-    assert!(!membership.has_ended());
+    assert!(!membership.has_departures());
 }
 
 #[test]
-fn a_router_that_knows_fewer_for_long_asks_for_all() {
+fn a_lasting_digest_mismatch_leads_to_one_member_list_request() {
     let start = Instant::now();
-    let mut membership = knowing(100, start);
+    let mut membership = membership_with(100, start);
     let mut rng = fastrand::Rng::with_seed(1);
     let sender = update(4, READY, 1);
-    let mut hears = |members, now| {
-        let seen = GossipSeen {
+    let mut requests_members = |members, now| {
+        let seen = ReceivedGossip {
             sender: &sender,
             wants_reply: false,
             members,
             digest: 1,
             updates: &[],
         };
-        membership.on_gossip(seen, &mut rng, now).ask_members
+        membership.on_gossip(seen, &mut rng, now).request_members
     };
-    assert!(!hears(102, start), "updates may be under way");
+    assert!(!requests_members(102, start), "updates may be in transit");
     let later = start + Duration::from_secs(3);
-    assert!(hears(102, later));
-    assert!(!hears(102, later), "it has asked just now");
+    assert!(requests_members(102, later));
+    assert!(
+        !requests_members(102, later),
+        "the previous request was just sent"
+    );
 }
 
 #[test]
-fn a_router_that_starts_anew_before_its_former_run_was_ready_counts_as_new() {
+fn a_router_that_restarts_before_it_was_ready_is_reported_as_new() {
     let now = Instant::now();
     let mut membership = Membership::new(update(0, READY, 1));
     let starting = MemberState::Alive(PeerState::Starting);
-    let mut is_newcomer = |stamp| {
+    let mut is_new_or_changed = |stamp| {
         let sender = update(1, starting, stamp);
-        let seen = GossipSeen {
+        let seen = ReceivedGossip {
             sender: &sender,
             wants_reply: true,
             members: 0,
@@ -164,27 +167,27 @@
             updates: &[],
         };
         let mut rng = fastrand::Rng::with_seed(1);
-        membership.on_gossip(seen, &mut rng, now).is_newcomer
+        membership.on_gossip(seen, &mut rng, now).is_new_or_changed
     };
-    assert!(is_newcomer(1));
-    assert!(is_newcomer(300));
+    assert!(is_new_or_changed(1));
+    assert!(is_new_or_changed(300));
 }
 
 #[test]
-fn a_message_without_a_stamp_brings_a_dead_router_back() {
+fn an_unstamped_message_revives_a_dead_router() {
     let now = Instant::now();
-    let mut membership = knowing(2, now);
+    let mut membership = membership_with(2, now);
     membership.on_update(update(1, MemberState::Dead, 1), now);
-    membership.on_plain_message(update(1, READY, 0), now);
+    membership.on_unstamped_message(update(1, READY, 0), now);
     assert!(!membership.is_known_dead(router(1)));
 }
 
 #[test]
-fn messages_go_to_few_however_many_there_are() {
+fn recipients_are_bounded_for_any_fleet_size() {
     let now = Instant::now();
     let mut rng = fastrand::Rng::with_seed(1);
     for others in [10, 100, 1_000] {
-        let mut membership = knowing(others, now);
+        let mut membership = membership_with(others, now);
         for _ in 0..20 {
             let targets = membership.targets(&mut rng);
             assert!(targets.len() <= SUCCESSORS + 3, "{targets:?}");
@@ -196,35 +199,35 @@
 }
 
 quickcheck! {
-    /// What is known in the end does not depend on the order in which it came, or on repeats.
-    fn news_in_any_order_lead_to_the_same(said: Vec<(u8, u8, bool)>, seed: u64) -> bool {
+    /// The resulting membership does not depend on the order in which updates arrive, or on repeats.
+    fn membership_does_not_depend_on_the_order_or_repetition_of_updates(received: Vec<(u8, u8, bool)>, seed: u64) -> bool {
         let now = Instant::now();
-        let said: Vec<MemberUpdate> = said
+        let received: Vec<MemberUpdate> = received
             .into_iter()
             .map(|(number, stamp, is_dead)| {
                 let state = if is_dead { MemberState::Dead } else { READY };
                 update(1 + u16::from(number % 5), state, u64::from(stamp % 4))
             })
             .collect();
-        let known = || knowing(5, now);
-        let mut one = known();
-        for update in &said {
+        let initial = || membership_with(5, now);
+        let mut one = initial();
+        for update in &received {
             one.on_update(update.clone(), now);
         }
-        let mut other = known();
+        let mut other = initial();
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut mixed = said.clone();
-        mixed.extend(said);
-        rng.shuffle(&mut mixed);
-        for update in mixed {
+        let mut shuffled = received.clone();
+        shuffled.extend(received);
+        rng.shuffle(&mut shuffled);
+        for update in shuffled {
             other.on_update(update, now);
         }
         one.digest() == other.digest() && one.count() == other.count()
     }
 }
 
-fn beat(number: u64, store_age_ms: u32) -> WatcherBeat {
-    WatcherBeat {
+fn watcher_report(number: u64, store_age_ms: u32) -> WatcherReport {
+    WatcherReport {
         router: router(1),
         number,
         store_age_ms,
@@ -232,18 +235,21 @@
 }
 
 #[test]
-fn what_a_watcher_said_ages_until_it_says_more() {
+fn a_watcher_report_ages_until_a_newer_one_arrives() {
     let start = Instant::now();
-    let mut beats = WatcherBeats::default();
-    assert!(beats.on_beat(beat(2, 100), start));
-    assert!(!beats.on_beat(beat(1, 0), start), "it said that before");
+    let mut reports = WatcherReports::default();
+    assert!(reports.on_report(watcher_report(2, 100), start));
+    assert!(
+        !reports.on_report(watcher_report(1, 0), start),
+        "an older report is ignored"
+    );
     let later = start + Duration::from_secs(1);
     assert_eq!(
-        beats.store_age(router(1), later),
+        reports.store_age(router(1), later),
         Some(Duration::from_millis(1_100))
     );
-    assert!(beats.on_beat(beat(3, 0), later));
-    assert_eq!(beats.store_age(router(1), later), Some(Duration::ZERO));
+    assert!(reports.on_report(watcher_report(3, 0), later));
+    assert_eq!(reports.store_age(router(1), later), Some(Duration::ZERO));
     let long_after = later + Duration::from_secs(60);
-    assert!(beats.watchers(long_after).is_empty());
+    assert!(reports.watchers(long_after).is_empty());
 }
--- a/crates/router/cloverpier_router_policy/tests/pace.rs
+++ b/crates/router/cloverpier_router_policy/tests/pace.rs
@@ -2,10 +2,12 @@
 
 use cloverpier_router_policy::connection_reuse::{MAX_KEPT, is_reusable, kept_limit};
 use cloverpier_router_policy::deadline::CallerLimit;
-use cloverpier_router_policy::first_read::{FirstRead, Starting, first_read};
-use cloverpier_router_policy::heartbeat::{HeartbeatTurn, change_peers, load_ttl, peer_timeout};
+use cloverpier_router_policy::first_read::{FirstRead, StartupState, first_read};
+use cloverpier_router_policy::heartbeat::{
+    HeartbeatRotation, change_recipients, load_ttl, peer_timeout,
+};
 use cloverpier_router_policy::lifecycle::{
-    StopStep, StreamDurations, holds_until, router_state, stop_step, takes_streams,
+    ShutdownStep, StreamDurations, accepts_streams, hold_deadline, router_state, shutdown_step,
 };
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::store_ping::PingPacing;
@@ -34,7 +36,7 @@
 
 #[test]
 fn heartbeats_reach_every_peer_in_turns() {
-    let mut turn = HeartbeatTurn::default();
+    let mut turn = HeartbeatRotation::default();
     let all = peers(64);
     let reached: HashSet<SocketAddr> = (0..4)
         .flat_map(|_| turn.next_peers(all.clone(), false))
@@ -47,8 +49,8 @@
 #[test]
 fn changes_reach_a_bounded_number_of_peers() {
     let mut rng = fastrand::Rng::with_seed(1);
-    assert_eq!(change_peers(peers(96), &mut rng).len(), 96);
-    assert_eq!(change_peers(peers(300), &mut rng).len(), 96);
+    assert_eq!(change_recipients(peers(96), &mut rng).len(), 96);
+    assert_eq!(change_recipients(peers(300), &mut rng).len(), 96);
 }
 
 /// After the loss of all routers callers came back while no router had its upstreams yet; turned
@@ -57,11 +59,11 @@
 fn a_router_that_starts_holds_requests_unless_the_store_fails() {
     let started = Instant::now();
     let arrived = started + ms(100);
-    let until = holds_until(started, false, arrived, CallerLimit::Absent).unwrap();
+    let until = hold_deadline(started, false, arrived, CallerLimit::Absent).unwrap();
     // 0.48 s after the start the last of 295 routers had its upstreams.
     assert!(until >= started + ms(500) && until <= started + ms(1_000));
     assert_eq!(
-        holds_until(started, true, arrived, CallerLimit::Absent),
+        hold_deadline(started, true, arrived, CallerLimit::Absent),
         None
     );
 }
@@ -72,11 +74,11 @@
     let started = Instant::now();
     let arrived = started + ms(50);
     let limit = CallerLimit::Within(ms(55));
-    let until = holds_until(started, false, arrived, limit).unwrap();
+    let until = hold_deadline(started, false, arrived, limit).unwrap();
     assert!(until < arrived + ms(55), "it gets its answer");
     for limit in [ms(25_000), Duration::MAX] {
         let patient = CallerLimit::Within(limit);
-        let until = holds_until(started, false, arrived, patient).unwrap();
+        let until = hold_deadline(started, false, arrived, patient).unwrap();
         assert!(until >= started + ms(500) && until <= started + ms(1_000));
     }
 }
@@ -143,14 +145,14 @@
 #[test]
 fn a_stopping_router_serves_a_while_and_exits_before_it_is_killed() {
     let grace = ms(8_000);
-    assert_eq!(stop_step(ms(3_499), 0, grace), StopStep::Serve);
-    assert_eq!(stop_step(ms(3_500), 0, grace), StopStep::Exit);
-    assert_eq!(stop_step(ms(7_699), 1, grace), StopStep::Serve);
-    assert_eq!(stop_step(ms(7_700), 1, grace), StopStep::Exit);
+    assert_eq!(shutdown_step(ms(3_499), 0, grace), ShutdownStep::Serve);
+    assert_eq!(shutdown_step(ms(3_500), 0, grace), ShutdownStep::Exit);
+    assert_eq!(shutdown_step(ms(7_699), 1, grace), ShutdownStep::Serve);
+    assert_eq!(shutdown_step(ms(7_700), 1, grace), ShutdownStep::Exit);
     let grace = ms(8_000);
-    assert!(takes_streams(None, Some(ms(20_000)), grace));
-    assert!(takes_streams(Some(ms(2_500)), None, grace));
-    assert!(!takes_streams(Some(ms(2_501)), None, grace));
+    assert!(accepts_streams(None, Some(ms(20_000)), grace));
+    assert!(accepts_streams(Some(ms(2_500)), None, grace));
+    assert!(!accepts_streams(Some(ms(2_501)), None, grace));
     assert_eq!(router_state(true, true), PeerState::Leaving);
     assert_eq!(router_state(false, true), PeerState::Ready);
     assert_eq!(router_state(false, false), PeerState::Starting);
@@ -167,17 +169,17 @@
     let expected = durations.expected();
     assert_eq!(expected, Some(ms(5_000)));
     let grace = ms(7_000);
-    assert!(takes_streams(Some(ms(1_700)), expected, grace));
-    assert!(!takes_streams(Some(ms(1_701)), expected, grace));
+    assert!(accepts_streams(Some(ms(1_700)), expected, grace));
+    assert!(!accepts_streams(Some(ms(1_701)), expected, grace));
     // Streams that take about the whole grace period are not taken at all, and short ones
     // not for longer than callers need for another address.
-    assert!(!takes_streams(Some(ms(1)), Some(ms(6_700)), grace));
-    assert!(takes_streams(Some(ms(2_500)), Some(ms(10)), grace));
-    assert!(!takes_streams(Some(ms(2_501)), Some(ms(10)), grace));
+    assert!(!accepts_streams(Some(ms(1)), Some(ms(6_700)), grace));
+    assert!(accepts_streams(Some(ms(2_500)), Some(ms(10)), grace));
+    assert!(!accepts_streams(Some(ms(2_501)), Some(ms(10)), grace));
 }
 
-fn starting(age: Duration, peers: usize) -> Starting {
-    Starting {
+fn starting(age: Duration, peers: usize) -> StartupState {
+    StartupState {
         is_seed: false,
         age,
         has_peers: peers > 0,
@@ -188,7 +190,7 @@
 
 #[test]
 fn seeds_read_at_once_and_routers_of_small_fleets_if_nothing_is_handed_on() {
-    let seed = Starting {
+    let seed = StartupState {
         is_seed: true,
         ..starting(ms(0), 985)
     };
@@ -212,7 +214,7 @@
 #[test]
 fn routers_of_a_large_fleet_wait_for_a_copy_and_few_read_if_none_comes() {
     let one = |random, age| {
-        first_read(&Starting {
+        first_read(&StartupState {
             random,
             ..starting(age, 1_024)
         })
--- a/crates/router/cloverpier_router_policy/tests/placement/world.rs
+++ b/crates/router/cloverpier_router_policy/tests/placement/world.rs
@@ -5,7 +5,7 @@
 };
 use cloverpier_core::{DataCentre, ServiceName, UpstreamName};
 use cloverpier_router_policy::heartbeat::{
-    HeartbeatTurn, change_peers, load_ttl, peer_timeout, reaches_all_peers,
+    HeartbeatRotation, change_recipients, is_small_fleet, load_ttl, peer_timeout,
 };
 use cloverpier_router_policy::load_query::engines_to_query;
 use cloverpier_router_policy::prelude::*;
@@ -61,7 +61,7 @@
 
 struct Router {
     table: UpstreamTable,
-    turn: HeartbeatTurn,
+    turn: HeartbeatRotation,
 }
 
 fn upstream(index: usize) -> Upstream {
@@ -108,7 +108,7 @@
             table.apply_list((0..ENGINES).map(upstream).collect(), 1, start);
             Router {
                 table,
-                turn: HeartbeatTurn::default(),
+                turn: HeartbeatRotation::default(),
             }
         };
         Self {
@@ -262,7 +262,7 @@
     fn report_change(&mut self, router: usize, engine: usize) {
         if self.knowledge == Knowledge::Asked {
             // Reports that cannot reach all are not sent.
-            assert!(!reaches_all_peers(ROUTERS - 1));
+            assert!(!is_small_fleet(ROUTERS - 1));
             return;
         }
         let name = upstream(engine).name;
@@ -271,7 +271,7 @@
         };
         let peers = (0..ROUTERS).filter(|r| *r != router).map(address).collect();
         let now = self.now();
-        for peer in change_peers(peers, &mut self.rng) {
+        for peer in change_recipients(peers, &mut self.rng) {
             let table = &mut self.routers[index_of(peer)].table;
             let key = UpstreamKey::of(&name);
             table.peer_load.on_change(address(router), key, load, now);
--- a/crates/router/cloverpier_router_policy/tests/routers.rs
+++ b/crates/router/cloverpier_router_policy/tests/routers.rs
@@ -2,12 +2,13 @@
 
 use cloverpier_core::DataCentre;
 use cloverpier_router_policy::heartbeat::{
-    MENTIONED_TO_NEW_PEER, greets_mentioned, reaches_all_peers,
+    MENTIONED_TO_NEW_PEER, contacts_mentioned_peers, is_small_fleet,
 };
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::prompt_search::search_timeout;
 use cloverpier_router_policy::store_watch::{
-    OwnStore, ReadyPeer, changes_roles, max_backoff, reported_store_age, watcher_role,
+    OwnWatcherState, ReadyPeer, affects_watcher_roles, max_backoff, reported_store_age,
+    watcher_role,
 };
 use std::collections::{HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -74,12 +75,12 @@
         known.retain(|peer| *peer != address(to));
         let mentioned = rng.choose_multiple(known, MENTIONED_TO_NEW_PEER);
         let table = &mut tables[usize::from(to)];
-        if !table.knows(address(from)) && reaches_all_peers(table.count()) {
+        if !table.contains(address(from)) && is_small_fleet(table.count()) {
             greetings.push_back((to, from));
         }
         table.on_heartbeat(address(from), entry(from, PeerState::Starting, now));
         for peer in mentioned {
-            if greets_mentioned(table.count()) && table.on_mentioned(peer, now) {
+            if contacts_mentioned_peers(table.count()) && table.on_mentioned(peer, now) {
                 greetings.push_back((to, peer.port()));
             }
         }
@@ -120,8 +121,8 @@
 }
 
 /// A router as the watchers' rules see it; the data centre goes by its port.
-fn own_store(address: SocketAddr, is_fresh: bool) -> OwnStore {
-    OwnStore {
+fn own_store(address: SocketAddr, is_fresh: bool) -> OwnWatcherState {
+    OwnWatcherState {
         address,
         data_centre: data_centre_of(address),
         is_fresh,
@@ -241,9 +242,9 @@
     assert_eq!(age(WatcherRole::Standby, true), None);
     let never = reported_store_age(WatcherRole::Chosen, None, false, 72, now);
     assert_eq!(never, FAILING);
-    assert!(changes_roles(FRESH, FAILING, 8));
-    assert!(changes_roles(FAILING, None, 8));
-    assert!(!changes_roles(FRESH, Some(Duration::ZERO), 8));
+    assert!(affects_watcher_roles(FRESH, FAILING, 8));
+    assert!(affects_watcher_roles(FAILING, None, 8));
+    assert!(!affects_watcher_roles(FRESH, Some(Duration::ZERO), 8));
 }
 
 #[test]
--- a/crates/router/cloverpier_router_policy/tests/versions.rs
+++ b/crates/router/cloverpier_router_policy/tests/versions.rs
@@ -14,13 +14,13 @@
     ([127, 0, 0, 1], port).into()
 }
 
-struct Fetch {
+struct FetchHarness {
     sources: FetchSources,
     rng: fastrand::Rng,
     now: Instant,
 }
 
-impl Fetch {
+impl FetchHarness {
     fn new() -> Self {
         Self {
             sources: FetchSources::default(),
@@ -37,10 +37,10 @@
     /// Where some of the peers are in the own data centre.
     fn step_of(&mut self, known: u64, versions: Vec<(u64, bool)>) -> FetchStep {
         let peers = (1..).map(peer).zip(versions);
-        let peers = peers.map(|(peer, (version, is_near))| PeerVersion {
+        let peers = peers.map(|(peer, (version, is_local))| PeerVersion {
             peer,
             version,
-            is_near,
+            is_local,
         });
         self.sources.step(known, peers, self.now, &mut self.rng)
     }
@@ -48,17 +48,17 @@
 
 #[test]
 fn versions_are_fetched_from_a_peer_with_the_newest() {
-    let mut fetch = Fetch::new();
-    assert_eq!(fetch.step(4, &[4, 7, 5]), FetchStep::Ask(peer(2)));
+    let mut fetch = FetchHarness::new();
+    assert_eq!(fetch.step(4, &[4, 7, 5]), FetchStep::Fetch(peer(2)));
     assert_eq!(fetch.step(7, &[4, 7, 5]), FetchStep::UpToDate);
     assert_eq!(fetch.step(0, &[]), FetchStep::UpToDate);
 }
 
 #[test]
 fn a_busy_peer_is_left_alone_for_as_long_as_it_says() {
-    let mut fetch = Fetch::new();
+    let mut fetch = FetchHarness::new();
     fetch.sources.on_busy(peer(1), ms(80), fetch.now);
-    assert_eq!(fetch.step(4, &[7, 7]), FetchStep::Ask(peer(2)));
+    assert_eq!(fetch.step(4, &[7, 7]), FetchStep::Fetch(peer(2)));
     // An older version is no substitute: the newest is a moment away.
     fetch.sources.on_busy(peer(2), ms(50), fetch.now);
     assert_eq!(fetch.step(4, &[7, 7, 6]), FetchStep::Wait(ms(50)));
@@ -66,17 +66,17 @@
     fetch.now += Duration::from_nanos(49_999_999);
     assert_eq!(fetch.step(4, &[7, 7, 6]), FetchStep::Wait(ms(1)));
     fetch.now += Duration::from_nanos(1);
-    assert_eq!(fetch.step(4, &[7, 7, 6]), FetchStep::Ask(peer(2)));
+    assert_eq!(fetch.step(4, &[7, 7, 6]), FetchStep::Fetch(peer(2)));
 }
 
 #[test]
 fn a_peer_that_failed_is_avoided_while_another_has_something_newer() {
-    let mut fetch = Fetch::new();
+    let mut fetch = FetchHarness::new();
     fetch.sources.on_failed(peer(1), fetch.now);
-    assert_eq!(fetch.step(4, &[7, 6]), FetchStep::Ask(peer(2)));
-    assert_eq!(fetch.step(4, &[7, 4]), FetchStep::Ask(peer(1)));
+    assert_eq!(fetch.step(4, &[7, 6]), FetchStep::Fetch(peer(2)));
+    assert_eq!(fetch.step(4, &[7, 4]), FetchStep::Fetch(peer(1)));
     fetch.now += ms(1_000);
-    assert_eq!(fetch.step(4, &[7, 6]), FetchStep::Ask(peer(1)));
+    assert_eq!(fetch.step(4, &[7, 6]), FetchStep::Fetch(peer(1)));
 }
 
 #[test]
@@ -87,13 +87,13 @@
     let now = Instant::now();
     let mut pacing = CopyPacing::default();
     let small = (0..70).map(|_| pacing.step(1_000, link, now));
-    let handed_out = small.filter(|step| *step == CopyStep::HandOut).count();
+    let handed_out = small.filter(|step| *step == CopyStep::Send).count();
     assert_eq!(handed_out, 32, "what passes in 50 ms, and one more");
     let mut pacing = CopyPacing::default();
-    assert_eq!(pacing.step(62_500, link, now), CopyStep::HandOut);
+    assert_eq!(pacing.step(62_500, link, now), CopyStep::Send);
     assert_eq!(pacing.step(62_500, link, now), CopyStep::Refuse(ms(50)));
     let later = now + ms(50);
-    assert_eq!(pacing.step(62_500, link, later), CopyStep::HandOut);
+    assert_eq!(pacing.step(62_500, link, later), CopyStep::Send);
     assert_eq!(pacing.step(62_500, link, later), CopyStep::Refuse(ms(100)));
 }
 
@@ -132,27 +132,27 @@
 
 #[test]
 fn a_peer_of_the_own_data_centre_is_preferred() {
-    let mut fetch = Fetch::new();
+    let mut fetch = FetchHarness::new();
     let versions = vec![(7, false), (6, true), (7, false)];
-    assert_eq!(fetch.step_of(4, versions), FetchStep::Ask(peer(2)));
+    assert_eq!(fetch.step_of(4, versions), FetchStep::Fetch(peer(2)));
     // Where no wait is set, others are asked at once.
     assert_eq!(
         fetch.step_of(4, vec![(7, false), (4, true)]),
-        FetchStep::Ask(peer(1))
+        FetchStep::Fetch(peer(1))
     );
 }
 
 #[test]
 fn peers_elsewhere_are_asked_after_a_wait() {
-    let mut fetch = Fetch::new();
-    fetch.sources = FetchSources::with_far_wait(ms(200));
+    let mut fetch = FetchHarness::new();
+    fetch.sources = FetchSources::with_remote_delay(ms(200));
     let far = || vec![(7, false), (4, true)];
     assert_eq!(fetch.step_of(4, far()), FetchStep::Wait(ms(200)));
     fetch.now += ms(150);
     assert_eq!(fetch.step_of(4, far()), FetchStep::Wait(ms(50)));
     fetch.now += ms(50);
-    assert_eq!(fetch.step_of(4, far()), FetchStep::Ask(peer(1)));
+    assert_eq!(fetch.step_of(4, far()), FetchStep::Fetch(peer(1)));
     // Once somebody near has it, the next wait is a whole one again.
-    assert_eq!(fetch.step_of(4, vec![(7, true)]), FetchStep::Ask(peer(1)));
+    assert_eq!(fetch.step_of(4, vec![(7, true)]), FetchStep::Fetch(peer(1)));
     assert_eq!(fetch.step_of(7, vec![(8, false)]), FetchStep::Wait(ms(200)));
 }
--- a/tools/src/crash_play/reports.rs
+++ b/tools/src/crash_play/reports.rs
@@ -5,7 +5,7 @@
 use cloverpier_crashes::prelude::*;
 use cloverpier_router::peer_messages::{CrashReports, PeerMessage, encode};
 use cloverpier_router_policy::crash_reports::{in_messages, is_told};
-use cloverpier_router_policy::dissemination::{is_repeated, sends_missed};
+use cloverpier_router_policy::dissemination::{is_within_repeat_window, sends_missed_facts};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -114,7 +114,7 @@
         self.schedule_in(HEARTBEAT, Event::Heartbeat { router });
         let now = self.instant();
         let state = &self.routers[router];
-        if state.is_up && is_repeated(state.last_report, now) {
+        if state.is_up && is_within_repeat_window(state.last_report, now) {
             let peer = self.rng.usize(..self.spec.routers);
             self.send_suspects(router, &[peer]);
         }
@@ -157,7 +157,7 @@
         self.routers[router].is_up = true;
         self.routers[router].in_touch_since = self.now;
         for peer in 0..self.spec.routers {
-            let tells = sends_missed(self.spec.routers - 1, &mut self.rng);
+            let tells = sends_missed_facts(self.spec.routers - 1, &mut self.rng);
             if tells && self.routers[peer].is_up {
                 self.send_suspects(peer, &[router]);
             }
@@ -175,7 +175,7 @@
         let all: Vec<usize> = (0..self.spec.routers).collect();
         for router in healed {
             self.on_started(router);
-            if sends_missed(self.spec.routers - 1, &mut self.rng) {
+            if sends_missed_facts(self.spec.routers - 1, &mut self.rng) {
                 self.send_suspects(router, &all);
             }
         }
--- a/tools/src/gossip_play/mod.rs
+++ b/tools/src/gossip_play/mod.rs
@@ -1,6 +1,6 @@
 //! Gossip of a large fleet, in simulated time: who knows what when, and what it costs each router.
 //!
-//! The rules are the routers' own (`membership`, `watcher_beats`), and so are the messages, which are
+//! The rules are the routers' own (`membership`, `watcher_reports`), and so are the messages, which are
 //! encoded to count their bytes. Routers are killed, start, lose datagrams; a change of upstreams is read
 //! by a watcher and passed on. Not modelled: processor time, links that are full, heartbeats of former
 //! releases, the store.
--- a/tools/src/gossip_play/world.rs
+++ b/tools/src/gossip_play/world.rs
@@ -4,10 +4,11 @@
 use cloverpier_core::DataCentre;
 use cloverpier_router::peer_messages::{Gossip, Members, PeerMessage, UpstreamUpdate, encode};
 use cloverpier_router_policy::membership::{
-    ENDED_PERIOD, GOSSIP_PERIOD, GossipReply, GossipSeen, MemberState, MemberUpdate, Membership,
+    DEPARTURE_REPORT_INTERVAL, GOSSIP_PERIOD, GossipReply, MemberState, MemberUpdate, Membership,
+    ReceivedGossip,
 };
 use cloverpier_router_policy::prelude::*;
-use cloverpier_router_policy::watcher_beats::{WatcherBeat, WatcherBeats};
+use cloverpier_router_policy::watcher_reports::{WatcherReport, WatcherReports};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
@@ -35,7 +36,7 @@
     run: u64,
     pub is_alive: bool,
     pub members: Membership,
-    pub beats: WatcherBeats,
+    pub beats: WatcherReports,
     pub revision: u64,
     /// The age of its last call to the store, as it says, if it watches.
     store_age: Duration,
@@ -48,12 +49,12 @@
 
 impl Router {
     /// Takes what watchers said; returns whether others are to be told at once.
-    fn take_beats(&mut self, beats: &[WatcherBeat], now: Instant) -> bool {
+    fn take_beats(&mut self, beats: &[WatcherReport], now: Instant) -> bool {
         let is_fresh = |age: Option<Duration>| age.map(|age| age <= FRESH_FOR);
         let mut is_urgent = false;
         for beat in beats {
             let former = self.beats.store_age(beat.router, now);
-            let is_new = self.beats.on_beat(*beat, now);
+            let is_new = self.beats.on_report(*beat, now);
             let present = self.beats.store_age(beat.router, now);
             is_urgent |= is_new && is_fresh(former) != is_fresh(present);
         }
@@ -86,7 +87,7 @@
             run: 0,
             is_alive: false,
             members: Membership::new(member(spec, index, 1)),
-            beats: WatcherBeats::default(),
+            beats: WatcherReports::default(),
             revision: 1,
             store_age: Duration::ZERO,
             rng: fastrand::Rng::with_seed(spec.seed ^ (index as u64) << 20),
@@ -136,7 +137,7 @@
         self.start(victim);
         outcome.restart = self.spread(|r| {
             r.members.own().router == address
-                || (r.members.knows(address) && !r.members.is_known_dead(address))
+                || (r.members.contains(address) && !r.members.is_known_dead(address))
         });
         self.run_for(Duration::from_secs(3));
         let count = (self.spec.routers as f64 * MANY).ceil() as usize;
@@ -224,7 +225,7 @@
         router.run += 1;
         router.is_alive = true;
         router.members = Membership::new(member(self.spec, index, stamp));
-        router.beats = WatcherBeats::default();
+        router.beats = WatcherReports::default();
         let run = router.run;
         let seeds = (0..SEEDS).filter(|seed| *seed != index).map(address);
         self.gossip(index, seeds.collect(), true);
@@ -242,7 +243,7 @@
         }
         let now = self.moment();
         let router = &mut self.routers[index];
-        let step = router.members.ring_step(false, now);
+        let step = router.members.check_predecessors(false, now);
         self.note_urgent(index);
         let router = &mut self.routers[index];
         let targets = router.members.targets(&mut router.rng);
@@ -259,12 +260,12 @@
 
     fn beat(&mut self, index: usize) {
         let (now, number) = (self.moment(), self.now.as_millis() as u64 + 1);
-        let beat = WatcherBeat {
+        let beat = WatcherReport {
             router: address(index),
             number,
             store_age_ms: self.routers[index].store_age.as_millis() as u32,
         };
-        self.routers[index].beats.on_beat(beat, now);
+        self.routers[index].beats.on_report(beat, now);
     }
 
     fn message(&mut self, index: usize, wants_reply: bool) -> Gossip {
@@ -315,7 +316,7 @@
         match message {
             PeerMessage::Gossip(gossip) => self.on_gossip(index, gossip),
             PeerMessage::AskMembers(peer) => {
-                for members in self.routers[index].members.on_asked(now) {
+                for members in self.routers[index].members.on_members_request(now) {
                     let sender = address(index);
                     let message = PeerMessage::Members(Members { sender, members });
                     self.send(index, message, vec![*peer]);
@@ -333,7 +334,7 @@
 
     fn on_gossip(&mut self, index: usize, gossip: &Gossip) {
         let now = self.moment();
-        let seen = GossipSeen {
+        let seen = ReceivedGossip {
             sender: &gossip.sender,
             wants_reply: gossip.wants_reply,
             members: gossip.members as usize,
@@ -357,7 +358,7 @@
     }
 
     fn reply(&mut self, index: usize, sender: SocketAddr, reply: GossipReply) {
-        if let Some(update) = reply.of_itself {
+        if let Some(update) = reply.dead_update {
             let members = Members {
                 sender: address(index),
                 members: vec![update],
@@ -369,7 +370,7 @@
             message.updates.extend(reply.sample);
             self.send(index, PeerMessage::Gossip(message), vec![sender]);
         }
-        if reply.ask_members {
+        if reply.request_members {
             let ask = PeerMessage::AskMembers(address(index));
             self.send(index, ask, vec![sender]);
         }
@@ -378,17 +379,17 @@
     /// Has updates of routers that end sent at once, or as soon as that may be.
     fn note_urgent(&mut self, index: usize) {
         let router = &mut self.routers[index];
-        if router.members.has_ended() && router.urgent_at <= self.now {
+        if router.members.has_departures() && router.urgent_at <= self.now {
             let at = self.now + Duration::from_millis(10);
-            router.urgent_at = at + ENDED_PERIOD;
+            router.urgent_at = at + DEPARTURE_REPORT_INTERVAL;
             self.schedule(at, Event::Urgent(index));
         }
     }
 
     fn send_urgent(&mut self, index: usize) {
         let router = &mut self.routers[index];
-        if router.is_alive && router.members.has_ended() {
-            let members = router.members.take_ended();
+        if router.is_alive && router.members.has_departures() {
+            let members = router.members.take_departures();
             let urgent = router.members.urgent_targets(&mut router.rng);
             let sender = address(index);
             self.send(
--- a/tools/src/limit_play/beliefs.rs
+++ b/tools/src/limit_play/beliefs.rs
@@ -3,7 +3,7 @@
 //! Owns the history of each router's states. Routers of a large fleet notice later.
 
 use cloverpier_core::DataCentre;
-use cloverpier_router_policy::heartbeat::{peer_timeout, reaches_all_peers};
+use cloverpier_router_policy::heartbeat::{is_small_fleet, peer_timeout};
 use cloverpier_router_policy::membership::{GOSSIP_PERIOD, MEMBER_TIMEOUT};
 use cloverpier_router_policy::permit::{LimiterMap, RouterPlace};
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
     }
 
     pub fn is_large(&self) -> bool {
-        !reaches_all_peers(self.routers - 1)
+        !is_small_fleet(self.routers - 1)
     }
 
     /// How often routers look at who lives.
--- a/tools/src/limit_play/messages.rs
+++ b/tools/src/limit_play/messages.rs
@@ -3,7 +3,7 @@
 use super::beliefs::{address_of, router_of};
 use super::requests::Sending;
 use super::world::{Event, PendingAsk, World};
-use cloverpier_router_policy::dissemination::{is_repeated, sends_missed};
+use cloverpier_router_policy::dissemination::{is_within_repeat_window, sends_missed_facts};
 use cloverpier_router_policy::limit::{LimitChange, LimitReport};
 use cloverpier_router_policy::permit::{ANSWER_TIMEOUT, PermitReply, PermitRequest, Want};
 use std::net::SocketAddr;
@@ -64,7 +64,7 @@
     pub(super) fn repeat(&mut self, router: usize) {
         let last = self.routers[router].last_change;
         let last = last.map(|at| self.instant_of(at));
-        if is_repeated(last, self.instant()) {
+        if is_within_repeat_window(last, self.instant()) {
             let to = self.rng.usize(..self.spec.routers);
             self.send_everything(router, to);
         }
@@ -73,7 +73,7 @@
     /// Some peers tell a router that has started what they know.
     pub(super) fn announce_start(&mut self, router: usize) {
         for peer in 0..self.spec.routers {
-            let tells = sends_missed(self.spec.routers, &mut self.rng);
+            let tells = sends_missed_facts(self.spec.routers, &mut self.rng);
             if tells && self.routers[peer].is_up {
                 self.send_everything(peer, router);
             }
--- a/tools/src/statement_play/reports.rs
+++ b/tools/src/statement_play/reports.rs
@@ -4,7 +4,7 @@
 use super::world::{Event, World};
 use cloverpier_core::UpstreamName;
 use cloverpier_router::peer_messages::{LeavingReports, PeerMessage, encode};
-use cloverpier_router_policy::dissemination::{is_repeated, sends_missed};
+use cloverpier_router_policy::dissemination::{is_within_repeat_window, sends_missed_facts};
 use cloverpier_router_policy::leaving::in_messages;
 use cloverpier_router_policy::prelude::*;
 use std::net::SocketAddr;
@@ -69,7 +69,7 @@
         self.schedule_in(HEARTBEAT, Event::Heartbeat { router });
         let now = self.instant();
         let state = &self.routers[router];
-        if state.is_up && is_repeated(state.last_report, now) {
+        if state.is_up && is_within_repeat_window(state.last_report, now) {
             let reports = state.table.new_leavings(now);
             let peer = self.rng.usize(..self.spec.routers);
             self.tell(router, &reports, &[peer]);
@@ -82,7 +82,7 @@
         let now = self.instant();
         let peers: Vec<usize> = (0..self.spec.routers).filter(|p| *p != router).collect();
         for peer in &peers {
-            let tells = sends_missed(peers.len(), &mut self.rng);
+            let tells = sends_missed_facts(peers.len(), &mut self.rng);
             if tells && self.routers[*peer].is_up {
                 let reports = self.routers[*peer].table.leavings(now);
                 self.tell(*peer, &reports, &[router]);
--- a/tools/src/version_spread.rs
+++ b/tools/src/version_spread.rs
@@ -10,7 +10,7 @@
 pub use model::{SpreadOutcome, SpreadSpec};
 
 use cloverpier_core::jitter;
-use cloverpier_router_policy::heartbeat::{MIN_SEND_PAUSE, version_peers};
+use cloverpier_router_policy::heartbeat::{MIN_SEND_PAUSE, version_recipients};
 use cloverpier_router_policy::version_fetch::{FetchStep, PeerVersion};
 use cloverpier_router_policy::version_serving::{CopyStep, LinkRate};
 use model::{Event, SimRouter};
@@ -158,7 +158,7 @@
         let peers = if is_regular {
             sender.turn.next_peers(peers, serves_peers)
         } else {
-            version_peers(peers, serves_peers, &mut self.rng)
+            version_recipients(peers, serves_peers, &mut self.rng)
         };
         for peer in peers {
             let heard = Event::Heard {
@@ -188,7 +188,7 @@
         let peers = at.peers.iter().map(|(peer, version)| PeerVersion {
             peer: *peer,
             version: *version,
-            is_near: true,
+            is_local: true,
         });
         let step = at.sources.step(at.version, peers, now, &mut self.rng);
         at.is_fetching = step != FetchStep::UpToDate;
@@ -198,7 +198,7 @@
                 let again = self.now + jitter(&mut self.rng, wait * 2);
                 self.schedule(again, Event::Step { router });
             }
-            FetchStep::Ask(peer) => {
+            FetchStep::Fetch(peer) => {
                 let source = self.index_of(peer);
                 self.schedule(self.now + LATENCY, Event::Asked { source, router });
             }
--- a/tools/src/version_spread/model.rs
+++ b/tools/src/version_spread/model.rs
@@ -3,7 +3,7 @@
 //!
 //! Owns no rule: the states that decide are the routers' own types.
 
-use cloverpier_router_policy::heartbeat::HeartbeatTurn;
+use cloverpier_router_policy::heartbeat::HeartbeatRotation;
 use cloverpier_router_policy::version_fetch::FetchSources;
 use cloverpier_router_policy::version_serving::CopyPacing;
 use std::collections::BTreeMap;
@@ -49,7 +49,7 @@
     /// When each version, or a newer one, came into force.
     pub in_force: Vec<Duration>,
     pub peers: BTreeMap<SocketAddr, u64>,
-    pub turn: HeartbeatTurn,
+    pub turn: HeartbeatRotation,
     pub sources: FetchSources,
     pub is_fetching: bool,
     pub pacing: CopyPacing,
@@ -66,7 +66,7 @@
             version: 0,
             in_force: Vec::new(),
             peers: peers.map(|peer| (peer, 0)).collect(),
-            turn: HeartbeatTurn::default(),
+            turn: HeartbeatRotation::default(),
             sources: FetchSources::default(),
             is_fetching: false,
             pacing: CopyPacing::default(),
