--- a/crates/router/cloverpier_router/src/configuration_copies.rs
+++ b/crates/router/cloverpier_router/src/configuration_copies.rs
@@ -82,8 +82,8 @@
         };
         let write = || {
             let index = Arc::clone(&self.index);
-            let size = estimated_bytes(index.parts());
-            run_in_background(size, move || write_copy(index.parts(), encoding))
+            let size = estimated_bytes(index.unindexed());
+            run_in_background(size, move || write_copy(index.unindexed(), encoding))
         };
         cell.get_or_try_init(write).await.cloned()
     }
--- a/crates/router/cloverpier_router/src/singleton/reports.rs
+++ b/crates/router/cloverpier_router/src/singleton/reports.rs
@@ -69,7 +69,7 @@
         return Vec::new();
     };
     let table = router.upstreams.borrow();
-    let services = configuration.parts().services.iter();
+    let services = configuration.unindexed().services.iter();
     let engines = services.filter(|service| service.engine.is_some());
     let loads = engines.map(|service| {
         let load = work::own_load(&table, &service.name);
--- a/crates/router/cloverpier_router/src/singleton/work.rs
+++ b/crates/router/cloverpier_router/src/singleton/work.rs
@@ -263,7 +263,7 @@
 
     fn engine_size(&self, service: &ServiceName) -> Option<EngineSize> {
         let configuration = self.router.store.configuration()?;
-        let mut services = configuration.parts().services.iter();
+        let mut services = configuration.unindexed().services.iter();
         let engine = services.find(|s| s.name == *service)?.engine?;
         let table = self.router.upstreams.borrow();
         let slots = table.of_service(service).map(|s| s.upstream.slots).max()?;
--- a/crates/router/cloverpier_router/src/store_events.rs
+++ b/crates/router/cloverpier_router/src/store_events.rs
@@ -15,7 +15,7 @@
 /// has it can hand it on.
 pub(crate) fn apply_configuration(router: &Router, held: HeldConfiguration, from: &str) {
     let version = held.configuration().version();
-    let services = held.configuration().parts().services.iter();
+    let services = held.configuration().unindexed().services.iter();
     let services = services.map(|s| s.name.clone()).collect();
     if router.store.set_configuration(held) {
         router.upstreams.borrow_mut().set_services(services);
--- a/crates/router/cloverpier_router_policy/src/configuration.rs
+++ b/crates/router/cloverpier_router_policy/src/configuration.rs
@@ -1,11 +1,12 @@
 //! The configuration in force: routes, services, client accounts and limits.
 //!
-//! [`Configuration`] is what the operator set, as it travels between routers: the order of
-//! its fields is on the wire. [`ConfigurationIndex`] is the same, indexed for requests.
-//! Which route a request takes is decided here: the longest prefix of its host's routes
-//! wins, and of the route's services one by weight, at random.
+//! [`Configuration`] holds what the operator set, in the form in which routers send it to each other without
+//! field names, so the order of its fields is part of the protocol. [`ConfigurationIndex`] holds the same
+//! with indexes for requests. This module matches requests to routes: of the routes for the request's host,
+//! the one with the longest matching path prefix is used, and one of the route's services is picked at random
+//! by weight.
 //!
-//! Relies on the adapter for the operator's format.
+//! Relies on the platform's adapter to read the operator's format.
 
 use crate::attempts::RetryRule;
 use cloverpier_core::ServiceName;
@@ -14,20 +15,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bounds on what a caller may send.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Bytes of a request's head at most.
+    /// Maximum size in bytes of a request's line and headers.
     pub header_bytes: usize,
-    /// Bytes of a request's body at most.
+    /// Maximum size in bytes of a request's body.
     pub body_bytes: usize,
-    /// Longest time for a request's head.
+    /// Timeout for receiving a request's line and headers.
     pub header_timeout: Duration,
-    /// Longest time that a connection may be idle.
+    /// How long a connection may be idle.
     pub idle_timeout: Duration,
 }
 
-// The bounds until a configuration is known, when requests are refused anyway.
+// These limits apply before the first configuration arrives, when all requests are refused anyway.
 const DEFAULT_HEADER_BYTES: usize = 16 * 1024;
 const DEFAULT_BODY_BYTES: usize = 4 * 1024 * 1024;
 const DEFAULT_HEADER_TIMEOUT: Duration = Duration::from_secs(3);
@@ -44,48 +45,49 @@
     }
 }
 
-/// A service that takes a part of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteTarget {
-    /// The service.
+    /// The name of the service.
     pub service: ServiceName,
-    /// Its weight among the route's targets.
+    /// The service's share of the route's requests, relative to the sum of all targets' weights. A negative
+    /// weight counts as 0.
     pub weight: f64,
 }
 
-/// A rule that takes requests of one host below one path to services.
+/// A rule that forwards requests with a given host and path prefix to services.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// The operator's name of the route.
     pub name: String,
-    /// Its host, in lower case.
+    /// The host that a request has to name, in lower case.
     pub host: String,
-    /// The path's beginning, with a slash at both ends.
+    /// The prefix of the request's path, with a slash at both ends.
     pub prefix: String,
-    /// Whether its answers are event streams.
+    /// Whether responses are event streams.
     pub streaming: bool,
-    /// Whether another upstream may continue its streams.
+    /// Whether another upstream may continue a stream after its last event.
     pub resumable: bool,
-    /// Whether its requests are idempotent.
+    /// Whether requests are idempotent, so that they may run more than once.
     pub safe: bool,
-    /// How long a request is held at most.
+    /// Maximum time for a request from its arrival; a caller may set a shorter one.
     pub timeout: Duration,
-    /// The time within which an answer (a stream's first event) is on time.
+    /// Target time for a response, or for the first event of a stream.
     pub objective: Duration,
-    /// The longest pause between events that is still on time.
+    /// Target for the longest pause between the events of a stream; `None` if the route has none.
     pub gap_objective: Option<Duration>,
-    /// Its rank, 0 the highest.
+    /// Priority of requests at upstreams, 0 the highest. A client account's own priority overrides it.
     pub priority: u8,
-    /// Most upstreams that one request is sent to.
+    /// Maximum number of attempts to send one request to upstreams.
     pub max_attempts: u32,
-    /// Whether it needs no key.
+    /// Whether requests need no key.
     pub public: bool,
-    /// Where its requests go.
+    /// The services that receive the requests, one of them for each request.
     pub targets: Vec<RouteTarget>,
 }
 
 impl Route {
-    /// Whether requests of this route may be retried.
+    /// Under what condition a request of this route that may have run is sent again.
     pub fn retry_rule(&self) -> RetryRule {
         match (self.streaming, self.safe, self.resumable) {
             (true, _, true) => RetryRule::Resumable,
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Picks one of the targets by weight.
+    /// Picks one of the targets at random by weight; `None` if the route has none.
     pub fn pick_target(&self, rng: &mut fastrand::Rng) -> Option<&ServiceName> {
         let total: f64 = self.targets.iter().map(|t| t.weight.max(0.0)).sum();
         let mut point = rng.f64() * total;
@@ -108,111 +110,112 @@
     }
 }
 
-/// Settings of a service whose upstreams are model engines.
+/// Settings of a service whose upstreams are model engines, which run language models.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineConfig {
-    /// Tokens that fit into an engine's KV cache.
+    /// Number of tokens that fit into one engine's KV cache.
     pub memory_tokens: u64,
-    /// Whether an engine can replicate a run's KV cache to another one as it grows.
+    /// Whether an engine can replicate a stream's KV cache to another engine while the stream runs.
     pub replicates_kv: bool,
 }
 
 /// Settings of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceConfig {
-    /// Its name.
+    /// The name by which routes and upstreams refer to the service.
     pub name: ServiceName,
-    /// Where its upstreams answer health checks.
+    /// The path at which the service's upstreams respond to health checks.
     pub health_path: String,
-    /// Connections that one upstream takes from all routers together; 0 where that is not said.
+    /// Maximum number of connections to one upstream from all routers together; 0 if the operator sets none.
     pub max_connections: u32,
-    /// Set where its upstreams are model engines.
+    /// Engine settings; `None` if the service's upstreams are not model engines.
     pub engine: Option<EngineConfig>,
 }
 
-/// A client account.
+/// A customer of the operator, identified by the keys in its requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClientAccount {
-    /// Its name.
+    /// The operator's name of the account, which upstreams receive with its requests.
     pub name: String,
-    /// Its rank, which goes before its routes' ranks.
+    /// Priority of the account's requests at upstreams, 0 the highest; `None` to use the route's.
     pub priority: Option<u8>,
-    /// Its keys.
+    /// The keys that identify requests of the account.
     pub keys: Vec<String>,
 }
 
-/// A configuration as it travels between routers.
+/// A whole configuration, in the form in which routers send it to each other.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Its version; later ones are higher.
+    /// Version number; a later configuration has a higher one, and 0 means none.
     pub version: u64,
-    /// All routes.
+    /// Routes of all hosts, in any order.
     pub routes: Vec<Route>,
-    /// All services.
+    /// The services that routes forward requests to.
     pub services: Vec<ServiceConfig>,
-    /// All client accounts; `None` where requests carry no keys.
+    /// All client accounts; `None` if requests carry no keys.
     pub accounts: Option<Vec<ClientAccount>>,
-    /// Bounds on clients.
+    /// Limits on requests and connections of callers.
     pub limits: Limits,
 }
 
-/// A configuration, indexed for requests.
+/// A configuration with indexes by host, key and service name.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationIndex {
-    parts: Configuration,
+    unindexed: Configuration,
     by_host: HashMap<String, Vec<Arc<Route>>>,
     by_key: HashMap<String, Arc<ClientAccount>>,
     services: HashMap<ServiceName, Arc<ServiceConfig>>,
 }
 
 impl ConfigurationIndex {
-    /// Indexes a configuration.
-    pub fn new(parts: Configuration) -> Self {
+    /// Builds the indexes for a configuration.
+    pub fn new(unindexed: Configuration) -> Self {
         Self {
-            by_host: index_routes(&parts.routes),
-            // Without a list of accounts there are no keys, and callers need none.
-            by_key: index_keys(parts.accounts.as_deref().unwrap_or_default()),
-            services: parts
+            by_host: index_routes(&unindexed.routes),
+            // Without a list of accounts, callers need no keys.
+            by_key: index_keys(unindexed.accounts.as_deref().unwrap_or_default()),
+            services: unindexed
                 .services
                 .iter()
                 .map(|s| (s.name.clone(), Arc::new(s.clone())))
                 .collect(),
-            parts,
+            unindexed,
         }
     }
 
-    /// The configuration as it travels.
-    pub fn parts(&self) -> &Configuration {
-        &self.parts
+    /// The configuration without indexes, as routers send it to each other.
+    pub fn unindexed(&self) -> &Configuration {
+        &self.unindexed
     }
 
-    /// Its version.
+    /// The configuration's version number; a later configuration has a higher one.
     pub fn version(&self) -> u64 {
-        self.parts.version
+        self.unindexed.version
     }
 
-    /// Bounds on clients.
+    /// Limits on requests and connections of callers.
     pub fn limits(&self) -> Limits {
-        self.parts.limits
+        self.unindexed.limits
     }
 
-    /// The route with the longest prefix that begins the path.
+    /// The route for a request: of the routes for `host`, which must be in lower case, the one with the longest
+    /// prefix of `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.by_host.get(host)?;
         routes.iter().find(|r| path.starts_with(&r.prefix))
     }
 
-    /// A service by its name.
+    /// Looks up a service by its name.
     pub fn service(&self, name: &ServiceName) -> Option<&Arc<ServiceConfig>> {
         self.services.get(name)
     }
 
-    /// Whether requests of routes that aren't public carry keys.
+    /// Whether requests of routes that aren't public must carry keys.
     pub fn requires_keys(&self) -> bool {
-        self.parts.accounts.is_some()
+        self.unindexed.accounts.is_some()
     }
 
-    /// The client account that holds a key.
+    /// The client account that a key belongs to.
     pub fn account_for_key(&self, key: &str) -> Option<&Arc<ClientAccount>> {
         self.by_key.get(key)
     }
@@ -221,8 +224,8 @@
 fn index_routes(routes: &[Route]) -> HashMap<String, Vec<Arc<Route>>> {
     let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
     for route in routes {
-        let of_host = by_host.entry(route.host.clone()).or_default();
-        of_host.push(Arc::new(route.clone()));
+        let host_routes = by_host.entry(route.host.clone()).or_default();
+        host_routes.push(Arc::new(route.clone()));
     }
     for routes in by_host.values_mut() {
         routes.sort_by_key(|r| std::cmp::Reverse(r.prefix.len()));
--- a/crates/router/cloverpier_router_policy/src/heartbeat.rs
+++ b/crates/router/cloverpier_router_policy/src/heartbeat.rs
@@ -1,121 +1,124 @@
-//! Which peers are sent what, and how long it counts.
+//! Recipients of heartbeats and changes, and the time for which a peer's heartbeat and load report are valid.
 //!
-//! - **Question.** Who gets this heartbeat or change, and after what silence is a peer not
-//!   considered alive any more?
-//! - **Inputs.** The heartbeat interval of the settings; the peers that are known; whether
-//!   peers rely on this router for the store.
-//! - **Answer.** Addresses; durations.
-//! - **Why.** Datagrams cost processor time and bytes, which must not grow with the fleet.
-//!   So a router sends each heartbeat to a bounded part of its peers, in turns, and a peer
-//!   counts as alive for as many turns as one heartbeat from it takes. A lost datagram costs
-//!   little: the next heartbeat repeats everything.
+//! - **Question.** Which peers receive this heartbeat or change, and after what silence is a peer no longer
+//!   considered alive?
+//! - **Inputs.** The heartbeat interval from the settings; the addresses of all peers; whether peers rely on
+//!   this router to watch the store.
+//! - **Answer.** Addresses of recipients; durations.
+//! - **Why.** Datagrams cost processor time and bandwidth, and the number that a router sends must not grow
+//!   with the fleet. So a router sends each heartbeat to a bounded number of peers in rotation, and the
+//!   timeout of a peer grows with the length of the rotation. The loss of a datagram matters little, because
+//!   the next heartbeat repeats the whole state.
 //!
-//! `cloverpierd`'s heartbeats find members to remove (`cloverpier_member::detector`); these only
-//! carry load, budgets and updates over datagrams, as nothing of safety depends on a peer here.
+//! The daemon `cloverpierd` has heartbeats of its own, which detect members to remove
+//! (`cloverpier_member::detector`). The router's heartbeats only carry load, budgets and versions, and no
+//! safety property depends on them.
 //!
-//! Owns the bounds of what one message holds. The messages themselves are the carrying-out
-//! crate's.
+//! Owns the bounds on the contents of one message. The crate `cloverpier_router` defines the messages.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Peers that get each heartbeat; with more of them they take turns.
-const PEERS_PER_TURN: usize = 16;
-/// Heartbeats of a peer that may be lost in a row.
-const MAX_LOST: u32 = 3;
-/// A peer is alive for at least this long after its last heartbeat, also where heartbeats are
-/// frequent: a VM may be paused.
+/// Number of peers that receive each heartbeat. In a fleet with more peers, recipients rotate.
+const PEERS_PER_HEARTBEAT: usize = 16;
+/// Number of intervals between a peer's heartbeats for which the peer is considered alive without a further
+/// one, so that single lost datagrams don't matter.
+const TIMEOUT_INTERVALS: u32 = 3;
+/// Minimum timeout of a peer, however frequent heartbeats are, as a paused VM sends none.
 const MIN_PEER_TIMEOUT: Duration = Duration::from_millis(1_100);
-/// A report of load counts for at least this long.
+/// Minimum time for which a peer's load report is valid.
 const MIN_LOAD_TTL: Duration = Duration::from_millis(1_500);
-/// Changes of load are sent while there are at most this many peers, so that they reach all; beyond
-/// it engines are asked ([`crate::load_query`]) and this many peers learn of suspicions alone.
+/// Maximum number of peers that receive a change at once, and the maximum number of peers in a small fleet.
+/// In a small fleet, load changes reach all peers. In a larger one, routers query the engines for their load
+/// ([`crate::load_query`]), and a change carries only suspicions, to this many random peers.
 const MAX_PEERS_PER_CHANGE: usize = 96;
 
-/// Peers that one heartbeat mentions, by which routers discover each other; an address takes 15
-/// bytes of some 250.
+/// Number of random peers that each heartbeat names, by which routers discover each other. An address takes
+/// 15 of the heartbeat's approximately 250 bytes.
 pub const MENTIONED_PEERS: usize = 3;
-/// Peers that the first heartbeat to a peer mentions.
+/// Number of random peers that the first heartbeat to a new peer names.
 pub const MENTIONED_TO_NEW_PEER: usize = 16;
-/// New peers that are sent a first heartbeat at the same time; the others follow after
-/// [`MIN_SEND_PAUSE`].
+/// Maximum number of new peers that are sent a first heartbeat in one round of sending. Further new peers
+/// follow after [`MIN_SEND_PAUSE`].
 pub const MAX_NEW_PEERS_PER_ROUND: usize = 32;
-/// Upstreams, suspects or prompts in one message; with 64 of each a message stays within
-/// [`MAX_DATAGRAM`].
+/// Maximum number of load reports, of suspected upstreams and of prompt locations in one message. With 64 of
+/// each, a message stays within [`MAX_DATAGRAM`].
 pub const MAX_ENTRIES: usize = 64;
-/// Bytes of the longest datagram that is read.
+/// Length in bytes of the longest datagram that a router accepts.
 pub const MAX_DATAGRAM: usize = 8_192;
-/// Least pause between two rounds of sending, so that a burst of changes is one message.
+/// Minimum pause between two rounds of sending, so that a burst of changes goes into one message.
 pub const MIN_SEND_PAUSE: Duration = Duration::from_millis(10);
-/// How often the seeds of the settings are taken up again, as all peers may have been forgotten.
+/// Interval at which the seeds from the settings are added to the peers again, because all peers may have
+/// been removed after a long silence.
 pub const SEED_PERIOD: Duration = Duration::from_secs(2);
 
-/// How long after its last heartbeat a peer is considered alive.
+/// How long after its last heartbeat a peer is considered alive in a small fleet.
 pub fn peer_timeout(heartbeat_interval: Duration, known_peers: usize) -> Duration {
-    let turns = u32::try_from(known_peers.div_ceil(PEERS_PER_TURN)).unwrap_or(u32::MAX);
-    let between_two = heartbeat_interval * turns.max(1);
-    (between_two * MAX_LOST).max(MIN_PEER_TIMEOUT)
+    let turns = u32::try_from(known_peers.div_ceil(PEERS_PER_HEARTBEAT)).unwrap_or(u32::MAX);
+    let interval_per_peer = heartbeat_interval * turns.max(1);
+    (interval_per_peer * TIMEOUT_INTERVALS).max(MIN_PEER_TIMEOUT)
 }
 
-/// How long a peer's report of load counts.
+/// How long a peer's load report is valid.
 pub fn load_ttl(peer_timeout: Duration) -> Duration {
     peer_timeout.max(MIN_LOAD_TTL)
 }
 
-/// Where the turns among peers have got to.
+/// The position in the rotation of heartbeats among peers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HeartbeatRotation {
     next: usize,
 }
 
 impl HeartbeatRotation {
-    /// The peers that get the next heartbeat: all, where peers rely on this router for the
-    /// store or are few; else those whose turn it is.
+    /// Returns the recipients of the next heartbeat, and advances the rotation. All peers receive it if there
+    /// are at most 16, or if they rely on this router to watch the store (`serves_peers`).
     pub fn next_peers(
         &mut self,
         mut peers: Vec<SocketAddr>,
         serves_peers: bool,
     ) -> Vec<SocketAddr> {
-        if peers.len() <= PEERS_PER_TURN || serves_peers {
+        if peers.len() <= PEERS_PER_HEARTBEAT || serves_peers {
             return peers;
         }
         peers.sort_unstable();
         let start = self.next % peers.len();
-        self.next = self.next.wrapping_add(PEERS_PER_TURN);
+        self.next = self.next.wrapping_add(PEERS_PER_HEARTBEAT);
         peers.rotate_left(start);
-        peers.truncate(PEERS_PER_TURN);
+        peers.truncate(PEERS_PER_HEARTBEAT);
         peers
     }
 }
 
-/// The peers that are notified at once that a version has changed: all, where peers rely on this
-/// router for the store or are few; else some picked at random, so that whoever looks for the
-/// version learns of many routers that have it. In turns, routers would notify the same peers at the
-/// same time.
+/// The peers to notify at once of a new version of the configuration or of the upstreams. All peers are
+/// notified if there are at most 16, or if they rely on this router to watch the store (`serves_peers`).
+/// Otherwise 16 random ones are, so that a router without the version receives notices from many routers that
+/// have it. With a rotation, routers would notify the same peers at the same time.
 pub fn version_recipients(
     peers: Vec<SocketAddr>,
     serves_peers: bool,
     rng: &mut fastrand::Rng,
 ) -> Vec<SocketAddr> {
-    if peers.len() <= PEERS_PER_TURN || serves_peers {
+    if peers.len() <= PEERS_PER_HEARTBEAT || serves_peers {
         return peers;
     }
-    rng.choose_multiple(peers, PEERS_PER_TURN)
+    rng.choose_multiple(peers, PEERS_PER_HEARTBEAT)
 }
 
-/// Whether a peer that is not known gets a first message because another one mentioned it. In a large
-/// fleet gossip names all members: 1,000 routers that greet each other are a million messages of
-/// 2 kB within two seconds.
+/// Whether a router sends a first heartbeat to a new peer that another peer's heartbeat named. It does not in
+/// a large fleet, where gossip delivers all members: if 1,000 routers all sent each other first heartbeats,
+/// that would be a million messages of 2 kB within two seconds.
 pub fn contacts_mentioned_peers(known_peers: usize) -> bool {
     is_small_fleet(known_peers)
 }
 
-/// Whether a change reaches all peers, so that their load is known exactly.
+/// Whether a fleet is small enough for each change to be sent to all peers, so that a router has the exact
+/// load that its peers put on each upstream. Large fleets use gossip and load queries instead.
 pub fn is_small_fleet(known_peers: usize) -> bool {
     known_peers <= MAX_PEERS_PER_CHANGE
 }
 
-/// The peers that get a change at once: all, or some picked at random where they are many.
+/// The peers that are sent a change at once: all of them in a small fleet, 96 random ones in a large one.
 pub fn change_recipients(peers: Vec<SocketAddr>, rng: &mut fastrand::Rng) -> Vec<SocketAddr> {
     if is_small_fleet(peers.len()) {
         return peers;
--- a/crates/router/cloverpier_router_policy/src/lifecycle.rs
+++ b/crates/router/cloverpier_router_policy/src/lifecycle.rs
@@ -1,48 +1,50 @@
-//! Readiness and the planned stop of a router.
+//! Readiness and graceful shutdown of a router.
 //!
-//! - **Question.** Does this router take callers, does it hold requests until it can serve them,
-//!   does it still take streams, and may it exit?
-//! - **Inputs.** Whether configuration and upstreams are known, and how long ago the process
-//!   started; when a request arrived, and its caller's limit; when the termination signal came;
-//!   requests in flight; the grace period in force.
-//! - **Answer.** A [`PeerState`], a moment and a [`ShutdownStep`].
-//! - **Why.** Callers keep a router's address for a while after it has left the directory,
-//!   so a stopping router goes on serving; and it must be gone before the platform kills
-//!   it, which would cut what is in flight.
+//! - **Question.** Does this router accept callers, does it hold requests until it can serve them, does it
+//!   still accept streams, and may it exit?
+//! - **Inputs.** Whether this router has configuration and upstreams, and when the process started; when a
+//!   request arrived, and its caller's time limit; how long ago the termination signal arrived; requests in
+//!   flight; the grace period in force.
+//! - **Answer.** A [`PeerState`], a deadline for holding a request, whether streams are accepted, and a
+//!   [`ShutdownStep`].
+//! - **Why.** Callers keep a router's address for a while after it has left the directory, so a router
+//!   continues to serve during its shutdown. It has to exit before the platform kills it, because the kill
+//!   would cut responses in flight.
+//!
+//! [`StreamDurations`] owns the durations of recent streams.
 
 use crate::deadline::CallerLimit;
 use crate::peers::PeerState;
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Longest time after its start for which a router without configuration or upstreams holds
-/// requests.
-const START_HOLD: Duration = Duration::from_millis(600);
-/// Part of the caller's limit for which its request is held; the rest is for the answer.
-const HELD_SHARE: f64 = 0.9;
-/// A stopping router serves at least this long, as callers keep its address for `directory_keep_s`
-/// (1 s by default) and longer if they don't ask anew.
-const MIN_STOP: Duration = Duration::from_millis(3_500);
-/// A stopping router takes new streams for this long at most: about 5 s of a grace period of 8 s
-/// are left then, and callers have asked for other addresses.
-const STREAMS_WHILE_STOPPING: Duration = Duration::from_millis(2_500);
-/// Streams whose durations are remembered.
-const REMEMBERED_STREAMS: usize = 20;
-/// A new stream is expected to last no longer than this many times the longest of them, so that none
-/// is cut that lasts a little longer than those seen.
-const LONGEST_FACTOR: f64 = 1.25;
-/// The process exits this long before the end of its grace period, as its last bytes have to leave
-/// before the kill.
-const KILL_MARGIN: Duration = Duration::from_millis(300);
-/// How often a stopping router checks whether it may exit.
+/// How long after its start a router without configuration or upstreams holds requests.
+const MAX_STARTUP_HOLD: Duration = Duration::from_millis(600);
+/// Fraction of the caller's time limit for which a request may be held; the rest is for the response.
+const HOLD_FRACTION: f64 = 0.9;
+/// How long a router at least continues to serve after its termination signal. Callers keep its address for
+/// `directory_keep_s` (1 s by default), and longer if they don't request the directory again.
+const MIN_SHUTDOWN: Duration = Duration::from_millis(3_500);
+/// How long a router at most accepts new streams after its termination signal. After that, about 5 s of a
+/// grace period of 8 s are left, and callers have requested other addresses.
+const STREAM_ACCEPTANCE_PERIOD: Duration = Duration::from_millis(2_500);
+/// Number of recent streams whose durations are kept.
+const RECENT_STREAMS: usize = 20;
+/// A new stream is expected to last at most this many times as long as the longest recent one, so that a stream
+/// that lasts slightly longer than those is not cut.
+const DURATION_MARGIN: f64 = 1.25;
+/// The process exits this long before the end of its grace period, so that its last bytes are sent before the
+/// platform kills it.
+const EXIT_MARGIN: Duration = Duration::from_millis(300);
+/// Interval at which a router checks during its shutdown whether it may exit.
 pub const SHUTDOWN_CHECK_PERIOD: Duration = Duration::from_millis(50);
 
-/// What a stopping router does next.
+/// The next action of a router that has received its termination signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownStep {
-    /// Go on serving and check again.
+    /// Continue to serve, and check again after [`SHUTDOWN_CHECK_PERIOD`].
     Serve,
-    /// Exit: nothing is in flight, or the grace period is over.
+    /// Exit: no request is in flight, or the grace period is nearly over.
     Exit,
 }
 
@@ -55,50 +57,51 @@
     }
 }
 
-/// Until when a router that started at a moment holds a request that it cannot serve yet, which
-/// arrived at another one; `None` where `store_fails`: then the router is not known to be ready
-/// soon, and the request is refused at once.
+/// Until when a router that cannot serve yet holds a request. `started` is the start of the process, `arrived`
+/// the arrival of the request, and `limit` its caller's time limit. `None` if `store_calls_fail`: the router
+/// may then not be ready soon, and the request is refused at once.
 pub fn hold_deadline(
     started: Instant,
-    store_fails: bool,
+    store_calls_fail: bool,
     arrived: Instant,
     limit: CallerLimit,
 ) -> Option<Instant> {
-    let until = started + START_HOLD;
-    let caller_until = match limit {
-        // A limit beyond all moments is none.
-        CallerLimit::Within(limit) => arrived.checked_add(limit.mul_f64(HELD_SHARE)),
+    let startup_deadline = started + MAX_STARTUP_HOLD;
+    let caller_deadline = match limit {
+        // A limit beyond what `Instant` can represent counts as absent.
+        CallerLimit::Within(limit) => arrived.checked_add(limit.mul_f64(HOLD_FRACTION)),
         CallerLimit::Absent | CallerLimit::Unreadable => None,
     };
-    (!store_fails).then_some(caller_until.map_or(until, |at| until.min(at)))
+    (!store_calls_fail)
+        .then_some(caller_deadline.map_or(startup_deadline, |at| startup_deadline.min(at)))
 }
 
-/// How long the streams lasted that ended last at this router.
+/// The durations of the streams that this router completed last.
 #[derive(Clone, Debug, Default)]
 pub struct StreamDurations {
-    last: VecDeque<Duration>,
+    recent: VecDeque<Duration>,
 }
 
 impl StreamDurations {
-    /// Records a stream that was served from its beginning to its end.
+    /// Records the duration of a stream that this router served from its request to its last event.
     pub fn on_completed(&mut self, duration: Duration) {
-        if self.last.len() == REMEMBERED_STREAMS {
-            self.last.pop_front();
+        if self.recent.len() == RECENT_STREAMS {
+            self.recent.pop_front();
         }
-        self.last.push_back(duration);
+        self.recent.push_back(duration);
     }
 
-    /// How long a new stream may be expected to last at most; `None` before any has ended.
+    /// The longest time that a new stream is expected to last; `None` before the first stream is complete.
     pub fn expected(&self) -> Option<Duration> {
-        let longest = self.last.iter().max()?;
-        Some(longest.mul_f64(LONGEST_FACTOR))
+        let longest = self.recent.iter().max()?;
+        Some(longest.mul_f64(DURATION_MARGIN))
     }
 }
 
-/// Whether a stream that begins this long after the termination signal is taken, which is so
-/// while it can be expected to end within the grace period; `stopping_for` is `None` where
-/// there was no signal. One that is refused is served by another router, one that is cut has
-/// to be resumed there.
+/// Whether a router accepts a new stream. During a shutdown it does while the stream can be expected to end
+/// within the grace period: another router serves a refused stream, but would have to resume one that is cut.
+/// `stopping_for` is the time since the termination signal, `None` before it; `expected` is the longest time
+/// that a new stream is expected to last, `None` if no stream has been completed yet.
 pub fn accepts_streams(
     stopping_for: Option<Duration>,
     expected: Option<Duration>,
@@ -107,15 +110,16 @@
     let Some(passed) = stopping_for else {
         return true;
     };
-    let left = grace.saturating_sub(KILL_MARGIN).saturating_sub(passed);
+    let left = grace.saturating_sub(EXIT_MARGIN).saturating_sub(passed);
     let ends_in_time = expected.is_none_or(|expected| expected <= left);
-    passed <= STREAMS_WHILE_STOPPING && ends_in_time
+    passed <= STREAM_ACCEPTANCE_PERIOD && ends_in_time
 }
 
-/// Whether a router that got its termination signal `stopping_for` ago may exit.
+/// Whether a router may exit that received its termination signal `stopping_for` ago. `in_flight` is the number
+/// of requests in flight.
 pub fn shutdown_step(stopping_for: Duration, in_flight: usize, grace: Duration) -> ShutdownStep {
-    let is_idle = in_flight == 0 && stopping_for >= MIN_STOP;
-    let is_over = stopping_for >= grace.saturating_sub(KILL_MARGIN);
+    let is_idle = in_flight == 0 && stopping_for >= MIN_SHUTDOWN;
+    let is_over = stopping_for >= grace.saturating_sub(EXIT_MARGIN);
     if is_idle || is_over {
         ShutdownStep::Exit
     } else {
--- a/crates/router/cloverpier_router_policy/src/peers.rs
+++ b/crates/router/cloverpier_router_policy/src/peers.rs
@@ -1,14 +1,14 @@
-//! The routers that a router knows, and which of them callers get.
+//! The table of peers, and the directory of routers for callers.
 //!
-//! - **Question.** Which addresses does a caller get that asks which router to use?
-//! - **Inputs.** What peers reported in their heartbeats and when; this router's own state.
+//! - **Question.** Which router addresses does a caller receive that requests the directory?
+//! - **Inputs.** The contents and arrival times of peers' heartbeats; this router's own state.
 //! - **Answer.** Addresses of routers that are ready and alive.
-//! - **Why.** An address that does not answer costs a caller a connection timeout, a missing
-//!   one costs only balance. But a router without a message from any peer is probably cut off
-//!   itself, and lists all of them.
+//! - **Why.** The address of a dead router costs a caller a connection timeout; a missing address only makes
+//!   the load less even. But a router without a live, ready peer is probably cut off itself, and lists all
+//!   peers whose last heartbeat reported that they are ready.
 //!
-//! [`PeerTable`] owns the last heartbeat of each peer. Nothing of safety depends on it.
-//! How long a peer may be silent is decided in [`crate::heartbeat`].
+//! [`PeerTable`] owns the last heartbeat of each peer. No safety property depends on it.
+//! [`crate::heartbeat`] decides after what silence a peer is no longer considered alive.
 
 use crate::budget::BudgetUse;
 use cloverpier_core::{DataCentre, ServiceName, hash_of};
@@ -17,43 +17,44 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Addresses in one answer to callers at most: the bound of the platform's protocol.
-const MAX_LISTED: usize = 64;
-/// A peer that was silent for this long is forgotten; until then it is still sent heartbeats, so
-/// that routers find each other again after a partition.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
+/// Maximum number of addresses in one directory response, which the platform's protocol sets.
+const MAX_DIRECTORY_ADDRESSES: usize = 64;
+/// A peer is removed after this long without a heartbeat from it. Until then it is still sent heartbeats, so
+/// that routers discover each other again after a partition.
+const PEER_TTL: Duration = Duration::from_secs(60);
 
-/// Whether a router takes new callers.
+/// Whether a router accepts new callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerState {
-    /// It does not know configuration or upstreams yet.
+    /// The router has no configuration or no list of upstreams yet.
     Starting,
-    /// It serves.
+    /// The router serves requests.
     Ready,
-    /// It is stopping.
+    /// The router has received its termination signal and accepts no new callers.
     Leaving,
 }
 
-/// What a peer reported in its last heartbeat.
+/// The contents of a peer's last heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerEntry {
-    /// Where it serves callers.
+    /// The address at which the peer serves callers.
     pub callers: SocketAddr,
-    /// Its data centre.
+    /// The data centre in which the peer runs.
     pub data_centre: DataCentre,
-    /// Whether it takes new callers.
+    /// Whether the peer accepts new callers.
     pub state: PeerState,
     /// When the heartbeat arrived.
     pub last_heartbeat: Instant,
-    /// Version of the configuration that it uses.
+    /// Version of the configuration in force at the peer; 0 before the first.
     pub configuration_version: u64,
-    /// Revision of its list of upstreams.
+    /// Revision of the peer's list of upstreams.
     pub upstreams_revision: u64,
-    /// Time since its last successful store call, when the heartbeat left, not fresh while its
-    /// calls fail; `None` if it does not watch the store.
+    /// Time between the peer's last successful call to the store and the sending of the heartbeat. While
+    /// the peer's calls fail, it is at least the age at which other routers replace the peer as a watcher.
+    /// `None` if the peer does not watch the store, or reports its age by gossip.
     pub store_age: Option<Duration>,
-    /// Its use of each service's retry budget.
+    /// Requests and retries that the peer counts against each service's retry budget.
     pub budget_use: Vec<(ServiceKey, BudgetUse)>,
 }
 
@@ -63,33 +64,34 @@
 pub struct ServiceKey(pub u64);
 
 impl ServiceKey {
-    /// The key of a service's name.
+    /// Hashes a service's name.
     pub fn of(name: &ServiceName) -> Self {
         Self(hash_of(name.as_str()))
     }
 }
 
-/// The routers that a router knows, by their addresses for peers.
+/// The last heartbeat of each peer, keyed by the peer's address for other routers.
 #[derive(Clone, Debug, Default)]
 pub struct PeerTable {
     peers: HashMap<SocketAddr, PeerEntry>,
-    /// Addresses that settings or peers mentioned and that sent no heartbeat yet.
+    /// Peers named by the settings or by another peer's heartbeat that have sent no heartbeat yet, and when
+    /// each was last named.
     mentioned: HashMap<SocketAddr, Instant>,
 }
 
 impl PeerTable {
-    /// Records a peer's heartbeat; returns the one before.
+    /// Records a peer's heartbeat; returns the peer's previous heartbeat.
     pub fn on_heartbeat(&mut self, peer: SocketAddr, entry: PeerEntry) -> Option<PeerEntry> {
         self.mentioned.remove(&peer);
         self.peers.insert(peer, entry)
     }
 
-    /// Whether a peer has sent a heartbeat or was mentioned.
+    /// Whether the table holds a peer, either by a heartbeat or only by a mention.
     pub fn contains(&self, peer: SocketAddr) -> bool {
         self.peers.contains_key(&peer) || self.mentioned.contains_key(&peer)
     }
 
-    /// Records a peer that settings or another peer mentioned; returns whether it is new.
+    /// Records a peer that the settings or another peer named; returns whether the table did not hold it.
     pub fn on_mentioned(&mut self, peer: SocketAddr, now: Instant) -> bool {
         if self.peers.contains_key(&peer) {
             return false;
@@ -97,19 +99,19 @@
         self.mentioned.insert(peer, now).is_none()
     }
 
-    /// Forgets peers that were silent for a minute.
+    /// Removes peers without a heartbeat, and mentions without a heartbeat or a new mention, for a minute.
     pub fn forget_old(&mut self, now: Instant) {
-        let is_recent = |at: &Instant| now.saturating_duration_since(*at) < FORGOTTEN_AFTER;
+        let is_recent = |at: &Instant| now.saturating_duration_since(*at) < PEER_TTL;
         self.peers.retain(|_, peer| is_recent(&peer.last_heartbeat));
         self.mentioned.retain(|_, at| is_recent(at));
     }
 
-    /// Number of peers, alive or not.
+    /// Number of peers in the table, alive or not.
     pub fn count(&self) -> usize {
         self.peers.len() + self.mentioned.len()
     }
 
-    /// The addresses of all peers, alive or not.
+    /// The addresses of all peers in the table, alive or not.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         let all = self.peers.keys().chain(self.mentioned.keys());
         all.copied().collect()
@@ -131,8 +133,8 @@
         1 + self.live(now, timeout).count()
     }
 
-    /// Number of routers that sent something within the last minute, did not say that they leave, and
-    /// are silent; those that were mentioned, too, where none ever sent anything.
+    /// Number of peers in the table that sent no heartbeat within `timeout`, without those that reported that
+    /// they are leaving. If no peer has sent a heartbeat, the number of mentioned peers.
     pub fn lost_count(&self, now: Instant, timeout: Duration) -> usize {
         if self.peers.is_empty() {
             return self.mentioned.len();
@@ -144,19 +146,19 @@
         self.peers.values().filter(is_lost).count()
     }
 
-    /// Use of a service's retry budget by all live peers together.
+    /// Total of a service's requests and retries that the live peers reported for its retry budget.
     pub fn budget_use(&self, service: ServiceKey, now: Instant, timeout: Duration) -> BudgetUse {
         let mut total = BudgetUse::default();
         let all = self.live(now, timeout).flat_map(|(_, p)| &p.budget_use);
-        for (_, part) in all.filter(|(key, _)| *key == service) {
-            total.requests = total.requests.saturating_add(part.requests);
-            total.retries = total.retries.saturating_add(part.retries);
+        for (_, reported) in all.filter(|(key, _)| *key == service) {
+            total.requests = total.requests.saturating_add(reported.requests);
+            total.retries = total.retries.saturating_add(reported.retries);
         }
         total
     }
 
-    /// The addresses that callers get: routers that are ready and alive, and `own` if
-    /// this one is ready.
+    /// The directory for callers: addresses of peers that are ready and alive, and `own`, which is this
+    /// router's address for callers, or `None` while this router is not ready.
     pub fn addresses_for_callers(
         &self,
         own: Option<SocketAddr>,
@@ -167,13 +169,13 @@
         let live = self.live(now, timeout).map(|(_, peer)| peer);
         let listed = live.filter(ready).map(|p| p.callers).collect();
         directory_addresses(own, listed, || {
-            let known = self.peers.values().filter(ready);
-            known.map(|p| p.callers).collect()
+            let all_ready = self.peers.values().filter(ready);
+            all_ready.map(|p| p.callers).collect()
         })
     }
 
-    /// Use of a service's retry budget by `live` peers, of whom only some reported within `window`:
-    /// the others are taken to be like them.
+    /// Estimated total of a service's requests and retries at `live` peers, of which only some reported
+    /// within `window`. The reported total is scaled up, as if the other peers had the same average.
     pub fn budget_estimate(
         &self,
         service: ServiceKey,
@@ -181,30 +183,30 @@
         now: Instant,
         window: Duration,
     ) -> BudgetUse {
-        let heard = self.live(now, window).count();
-        let use_of_heard = self.budget_use(service, now, window);
-        if heard == 0 {
-            return use_of_heard;
+        let reporting = self.live(now, window).count();
+        let reported_use = self.budget_use(service, now, window);
+        if reporting == 0 {
+            return reported_use;
         }
-        let scale = live as f64 / heard as f64;
+        let scale = live as f64 / reporting as f64;
         BudgetUse {
-            requests: (f64::from(use_of_heard.requests) * scale) as u32,
-            retries: (f64::from(use_of_heard.retries) * scale).ceil() as u32,
+            requests: (f64::from(reported_use.requests) * scale) as u32,
+            retries: (f64::from(reported_use.retries) * scale).ceil() as u32,
         }
     }
 }
 
-/// The addresses that a caller gets: those of routers that are ready and alive, or where there are
-/// none all that `known` gives, and `own` if this one is ready.
+/// The directory for callers: the addresses in `listed`, or those that `fallback` returns if `listed` is
+/// empty, and then `own`; cut to 64 addresses. `own` is `None` while this router is not ready.
 pub fn directory_addresses(
     own: Option<SocketAddr>,
     mut listed: Vec<SocketAddr>,
-    known: impl FnOnce() -> Vec<SocketAddr>,
+    fallback: impl FnOnce() -> Vec<SocketAddr>,
 ) -> Vec<SocketAddr> {
     if listed.is_empty() {
-        listed = known();
+        listed = fallback();
     }
     listed.extend(own);
-    listed.truncate(MAX_LISTED);
+    listed.truncate(MAX_DIRECTORY_ADDRESSES);
     listed
 }
--- a/crates/router/cloverpier_router_policy/src/store_watch.rs
+++ b/crates/router/cloverpier_router_policy/src/store_watch.rs
@@ -1,20 +1,20 @@
-//! Who watches the platform's store, and how often a store that fails is called.
+//! Selection of the routers that watch the platform's store, and backoff of calls to a store that fails.
 //!
-//! - **Question.** Does this router watch the store now? When does it call a store again
-//!   that did not answer?
-//! - **Inputs.** The live peers, their data centres and how long ago each of them last reached
-//!   the store; the same of this router; whether its calls fail at present.
-//! - **Answer.** A [`WatcherRole`]; what the loops that call and ping do next; the store age
-//!   that is reported to peers.
-//! - **Why.** Each call to the store has its price, and a waiting watch counts as a call: at
-//!   65 routers that all watched, calls were the largest price of a quiet day. So three
-//!   routers watch, and the others fetch versions from them. Nothing of safety depends on who
-//!   does: two groups of routers that cannot reach each other have watchers of their own.
+//! - **Question.** Does this router watch the store now? When does it call a store again that did not
+//!   respond?
+//! - **Inputs.** The live peers, their data centres, and how long ago each peer's last call to the store
+//!   succeeded; the same for this router; whether its calls fail at present.
+//! - **Answer.** A [`WatcherRole`]; whether the loops that watch and ping call the store; the store age that
+//!   is reported to peers.
+//! - **Why.** Each call to the store has a cost, and a pending watch counts as a call: if all of 65 routers
+//!   watched, calls would be the largest cost of an idle day. So three routers watch, and the others fetch
+//!   versions from them. No safety property depends on the selection: two groups of routers that can't reach
+//!   each other have watchers of their own.
 //!
-//! The store may turn the watchers away while it serves other routers. A watcher knows that at
-//! once and says so: its heartbeat then carries an age that is not fresh. The others step in,
-//! as many as are missing, by rank, or all where no watcher is left. Whoever steps in pings the
-//! store first ([`crate::store_ping`]) and watches only if it is answered.
+//! The store may refuse the watchers while it serves other routers. A watcher detects that at once and reports
+//! it: its heartbeat then carries an age that is not fresh. Other routers replace it by rank, as many as
+//! watchers are missing, or all if no watcher is left. A replacement pings the store first
+//! ([`crate::store_ping`]), and watches only if the store responds.
 
 use crate::heartbeat::is_small_fleet;
 use cloverpier_core::{DataCentre, hash_of};
@@ -23,64 +23,65 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Routers that watch at the same time: one may be dead and one cut off.
+/// Number of routers that watch the store at the same time: three, as one may be dead and one cut off.
 const WATCHERS: usize = 3;
-/// A watcher's last store call is fresh for this long: three pings and a heartbeat.
-const FRESH_FOR: Duration = Duration::from_millis(1_300);
-/// The same where what watchers say goes from router to router: some rounds of gossip longer.
-const FRESH_FOR_LARGE: Duration = Duration::from_secs(3);
-/// Longest pause between the calls of a chosen watcher to a store that does not answer it.
+/// How long a watcher's last successful call to the store counts as fresh: three pings and a heartbeat.
+const MAX_FRESH_AGE: Duration = Duration::from_millis(1_300);
+/// How long a watcher's last successful call counts as fresh in a large fleet. It is some gossip rounds longer
+/// than [`MAX_FRESH_AGE`], because routers forward the reports of watchers.
+const MAX_FRESH_AGE_LARGE_FLEET: Duration = Duration::from_secs(3);
+/// Maximum pause between the calls of a chosen watcher to a store that does not respond.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// All other routers together ping such a store about once in this time.
-const FALLBACK_SLOT: Duration = Duration::from_millis(100);
+/// Average interval between the pings of all other routers together to a store that does not respond.
+const FALLBACK_PING_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Pause after the first failed call; doubled up to [`max_backoff`].
+/// Pause after the first failed call to the store; each further failure doubles it, up to [`max_backoff`].
 pub const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// How long one watch waits at the store for changes. It bounds how long a watch that a silent
-/// store swallowed can hold up changes.
+/// How long one watch waits at the store for changes. It also bounds the delay of changes by a watch that a
+/// store accepted but will never complete.
 pub const WATCH_WAIT: Duration = Duration::from_secs(6);
-/// How long a connection to the store or its answer may take, beyond the wait asked for.
+/// Timeout for a connection to the store, and for the store's response beyond the wait that a watch requests.
 pub const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Changes of upstreams that come close together are read by one call.
+/// Pause after each read of upstreams, so that one call reads all changes that happen close together.
 pub const UPSTREAM_WATCH_PAUSE: Duration = Duration::from_millis(300);
 
-/// A router that has just learned configuration and upstreams watches the store only after this time:
-/// two heartbeats, by which it knows who else does. Until it is over nobody may watch, so changes
-/// reach all that much later after the loss of all routers; the least bound on a change is 2 s (the
-/// platform's settings).
-const SETTLE: Duration = Duration::from_millis(500);
+/// How long a router waits after it first received configuration and upstreams before it may watch the store:
+/// two heartbeats, by which it receives the other watchers' reports. If all routers restart at once, none
+/// watches until then, and changes reach them that much later; the strictest limit for the time of a change in
+/// the platform's settings is 2 s.
+const WATCH_DELAY: Duration = Duration::from_millis(500);
 
-/// A live and ready peer, and what it said of the store.
+/// A live and ready peer, with its last report as a watcher of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadyPeer {
-    /// The peer.
+    /// The peer's address for other routers.
     pub peer: SocketAddr,
-    /// Its data centre.
+    /// The data centre in which the peer runs.
     pub data_centre: DataCentre,
-    /// Time since its last successful store call; `None` when it does not watch the store. One
-    /// that is not fresh means that it tries and does not reach the store.
+    /// Time since the peer's last successful call to the store; `None` if the peer does not watch the store.
+    /// An age that is not fresh means that the peer tries to watch but does not reach the store.
     pub store_age: Option<Duration>,
 }
 
 impl ReadyPeer {
-    fn is_fresh(&self, fresh_for: Duration) -> bool {
-        self.store_age.is_some_and(|age| age <= fresh_for)
+    fn is_fresh(&self, max_fresh_age: Duration) -> bool {
+        self.store_age.is_some_and(|age| age <= max_fresh_age)
     }
 
-    /// Whether it does not call the store, so that it may step in.
+    /// Whether the peer does not call the store, and so may replace a watcher.
     fn is_idle(&self) -> bool {
         self.store_age.is_none()
     }
 }
 
-/// This router, as the choice of watchers sees it.
+/// This router's inputs to the selection of watchers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnWatcherState {
-    /// Its address for peers.
+    /// This router's address for peers.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// The data centre in which this router runs.
     pub data_centre: DataCentre,
-    /// Whether it reached the store just now, and its calls do not fail.
+    /// Whether a recent call of this router to the store succeeded ([`is_fresh`]) and none fails at present.
     pub is_fresh: bool,
 }
 
@@ -88,24 +89,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WatcherRole {
-    /// It watches, as it is among the first by rank.
+    /// The router watches the store, because it is one of the first by rank.
     Chosen,
-    /// It replaces a chosen one that does not reach the store: it pings, and watches if it
-    /// is answered.
+    /// The router replaces a watcher that does not reach the store: it pings the store, and watches if the
+    /// store responds.
     #[serde(rename = "nobody-else")]
     Fallback,
-    /// It does not watch; others do.
+    /// The router does not watch the store, because other routers do.
     #[serde(rename = "left-to-others")]
     Standby,
 }
 
 impl WatcherRole {
-    /// Whether the store is watched, or would be if it answered.
+    /// Whether a router with this role watches the store, or will once the store responds.
     pub fn watches(self) -> bool {
         self != Self::Standby
     }
 
-    /// Whether peers rely on this router for versions: they are then sent every heartbeat.
+    /// Whether peers rely on this router for new versions, and so all receive each of its heartbeats. For a
+    /// fallback that is so after a recent successful call; `last_success` is `None` before the first.
     pub fn serves_peers(self, last_success: Option<Instant>, now: Instant) -> bool {
         match self {
             Self::Chosen => true,
@@ -115,62 +117,62 @@
     }
 }
 
-/// Whether a store call that succeeded at `at` still counts.
+/// Whether a call to the store that succeeded at `at` still counts as fresh for the router that made it.
 pub fn is_fresh(now: Instant, at: Instant) -> bool {
-    now.saturating_duration_since(at) <= FRESH_FOR
+    now.saturating_duration_since(at) <= MAX_FRESH_AGE
 }
 
-/// The store age that is reported to peers: the time since the last successful call, and one that is
-/// not fresh to any of `peers` peers while calls fail, so that others step in at once and not when it
-/// has grown old.
-/// `None` for a router that does not watch.
+/// The store age that a router reports to its peers: the time since its last successful call, or `None` if it
+/// does not watch the store. While calls fail (`calls_fail`) or before the first success, the age is at least
+/// twice the freshness limit for a fleet with `peers` peers, so that other routers replace this one at once.
 pub fn reported_store_age(
     role: WatcherRole,
     last_success: Option<Instant>,
-    fails: bool,
+    calls_fail: bool,
     peers: usize,
     now: Instant,
 ) -> Option<Duration> {
     if !role.watches() {
         return None;
     }
-    let stale = fresh_for(peers) * 2;
+    let stale = max_fresh_age(peers) * 2;
     let age = last_success.map(|at| now.saturating_duration_since(at));
     match age {
-        Some(age) if fails => Some(age.max(stale)),
+        Some(age) if calls_fail => Some(age.max(stale)),
         Some(age) => Some(age),
-        // It has not reached the store since its start.
+        // No call has succeeded since the start.
         None => Some(stale),
     }
 }
 
-/// Decides whether a router watches the store, given its live and ready peers.
+/// Decides this router's role as a watcher of the store. `peers` are its live and ready peers.
 pub fn watcher_role(own: &OwnWatcherState, peers: &[ReadyPeer]) -> WatcherRole {
-    let before = peers_before(own, peers);
-    if before.len() < WATCHERS {
+    let preferred = preferred_peers(own, peers);
+    if preferred.len() < WATCHERS {
         return WatcherRole::Chosen;
     }
-    let fresh_for = fresh_for(peers.len());
-    let is_fresh = |peer: &ReadyPeer| peer.is_fresh(fresh_for);
-    let steps_in = if own.is_fresh {
-        // It replaces one already; it leaves that to others once there are enough of them.
-        before.iter().filter(|peer| is_fresh(peer)).count() < WATCHERS
+    let max_fresh_age = max_fresh_age(peers.len());
+    let is_fresh = |peer: &ReadyPeer| peer.is_fresh(max_fresh_age);
+    let replaces_watcher = if own.is_fresh {
+        // This router watches as a replacement already, and stops once enough routers with a higher rank are
+        // fresh.
+        preferred.iter().filter(|peer| is_fresh(peer)).count() < WATCHERS
     } else {
         let fresh = peers.iter().filter(|peer| is_fresh(peer)).count();
         let missing = WATCHERS.saturating_sub(fresh);
-        let idle = before.iter().filter(|peer| peer.is_idle()).count();
+        let idle = preferred.iter().filter(|peer| peer.is_idle()).count();
         missing == WATCHERS || idle < missing
     };
-    if steps_in {
+    if replaces_watcher {
         WatcherRole::Fallback
     } else {
         WatcherRole::Standby
     }
 }
 
-/// The peers that are preferred to this router as watchers: first one of each data centre by
-/// rank, as a data centre may die or be cut off as a whole, then the others by rank.
-fn peers_before<'a>(own: &'a OwnWatcherState, peers: &'a [ReadyPeer]) -> Vec<&'a ReadyPeer> {
+/// The peers that are preferred to this router as watchers. The first router by rank in each data centre comes
+/// first, as a whole data centre may fail or be cut off; the other routers follow by rank.
+fn preferred_peers<'a>(own: &'a OwnWatcherState, peers: &'a [ReadyPeer]) -> Vec<&'a ReadyPeer> {
     struct Ranked<'a> {
         rank: (u64, SocketAddr),
         data_centre: &'a DataCentre,
@@ -178,12 +180,12 @@
         peer: Option<&'a ReadyPeer>,
     }
     let others = peers.iter().map(|peer| Ranked {
-        rank: rank_of(peer.peer),
+        rank: watcher_rank(peer.peer),
         data_centre: &peer.data_centre,
         peer: Some(peer),
     });
     let this = Ranked {
-        rank: rank_of(own.address),
+        rank: watcher_rank(own.address),
         data_centre: &own.data_centre,
         peer: None,
     };
@@ -197,42 +199,42 @@
     in_order.map_while(|router| router.peer).collect()
 }
 
-/// How long a watcher's last store call counts, among this many peers.
-fn fresh_for(peers: usize) -> Duration {
+/// How long a watcher's last successful call counts as fresh in a fleet with this many peers.
+fn max_fresh_age(peers: usize) -> Duration {
     if is_small_fleet(peers) {
-        FRESH_FOR
+        MAX_FRESH_AGE
     } else {
-        FRESH_FOR_LARGE
+        MAX_FRESH_AGE_LARGE_FLEET
     }
 }
 
-/// Whether one of `peers` peers says something else of the store than before, so that the roles are
-/// decided anew.
+/// Whether a peer's new store age (`current`) requires a new decision on the watcher roles: the peer began or
+/// stopped to watch the store, or its age became fresh or stale. `peers` is the number of all peers.
 pub fn affects_watcher_roles(
-    former: Option<Duration>,
-    present: Option<Duration>,
+    previous: Option<Duration>,
+    current: Option<Duration>,
     peers: usize,
 ) -> bool {
-    let kind = |age: Option<Duration>| age.map(|age| age <= fresh_for(peers));
-    kind(former) != kind(present)
+    let kind = |age: Option<Duration>| age.map(|age| age <= max_fresh_age(peers));
+    kind(previous) != kind(current)
 }
 
-/// The longest pause between a router's calls to a store that does not answer it.
+/// Maximum pause between a router's calls to a store that does not respond.
 ///
-/// Failed calls have their price, too, and a store that is down for one router mostly is
-/// for all. So those that are not chosen spread their pings over time; whoever succeeds
-/// serves the others.
+/// Failed calls have a cost, too, and a store that is down for one router is mostly down for all. So routers
+/// that are not chosen watchers spread their pings over time, and the first one that succeeds serves the
+/// others.
 pub fn max_backoff(role: WatcherRole, live_routers: usize) -> Duration {
     if role == WatcherRole::Chosen {
         return MAX_BACKOFF;
     }
     let routers = u32::try_from(live_routers).unwrap_or(u32::MAX);
-    (FALLBACK_SLOT * routers).max(MAX_BACKOFF)
+    (FALLBACK_PING_INTERVAL * routers).max(MAX_BACKOFF)
 }
 
-/// Whether a loop that watches the store calls it now.
+/// Whether the loops that watch the store may call it now.
 ///
-/// A fallback that has not been answered leaves the store to its pings.
+/// A fallback watches only while its own calls or pings succeed (`own_is_fresh`).
 pub fn may_call(role: WatcherRole, own_is_fresh: bool) -> bool {
     match role {
         WatcherRole::Chosen => true,
@@ -241,13 +243,13 @@
     }
 }
 
-/// When a router that serves since a moment may begin to watch.
+/// When a router that has served requests since `serving_since` may begin to watch the store.
 pub fn watches_from(serving_since: Instant) -> Instant {
-    serving_since + SETTLE
+    serving_since + WATCH_DELAY
 }
 
-/// The order in which routers are chosen: by hash, so that neighbours in the address space,
-/// which may share a rack, are not chosen together.
-fn rank_of(router: SocketAddr) -> (u64, SocketAddr) {
+/// Orders routers for the selection of watchers by the hash of their address, so that routers with adjacent
+/// addresses, which may share a rack, are not selected together.
+fn watcher_rank(router: SocketAddr) -> (u64, SocketAddr) {
     (hash_of(&router.to_string()), router)
 }
--- a/crates/router/cloverpier_router_policy/src/version_fetch.rs
+++ b/crates/router/cloverpier_router_policy/src/version_fetch.rs
@@ -1,111 +1,118 @@
-//! From which peer newer versions are fetched.
+//! Choice of the peer from which a newer version is fetched.
 //!
-//! - **Question.** Does a live peer have a newer configuration or list of upstreams, and
-//!   which one is asked for it, now or later?
-//! - **Inputs.** The version in force here; the versions that live peers reported; which
-//!   peers failed or were busy when they were asked last.
+//! - **Question.** Does a live peer have a newer configuration or list of upstreams, and from which peer is
+//!   it fetched, now or later?
+//! - **Inputs.** The version in force here; the versions that live peers reported; the peers at which the
+//!   last fetch failed or that were busy.
 //! - **Answer.** A [`FetchStep`].
-//! - **Why.** Most routers do not watch the store, so this is how versions reach them. Right
-//!   after a change only the watchers have it, and all others ask at the same moment, over
-//!   links that carry a large configuration a few times a second
-//!   ([`crate::version_serving`]). So a busy peer is not asked again before the time that
-//!   it named, one that failed is avoided, and among the rest chance decides, since all routers
-//!   see the same peers.
+//! - **Why.** Most routers do not watch the store, and receive versions from peers. Right after a change only
+//!   the watchers have the new version, and all other routers request it at the same moment, over links that
+//!   carry a large configuration a few times a second ([`crate::version_serving`]). So a router sends no
+//!   request to a busy peer before the time that this peer gave, avoids peers at which a fetch failed, and
+//!   picks one of the remaining peers at random, because all routers have the same peers.
 //!
-//! Bytes between data centres are dear where many routers fetch: a peer of the own data centre is
-//! preferred, and where only others have a list of upstreams, they are asked after [`REMOTE_FETCH_DELAY`].
+//! Traffic between data centres is expensive in a large fleet. So a router prefers peers in its own data
+//! centre. It fetches a list of upstreams from another data centre only after [`REMOTE_FETCH_DELAY`].
 //!
-//! Configuration and upstreams are fetched apart: a leaving upstream is a few bytes and must
-//! not wait for a configuration.
+//! Configuration and upstreams are fetched separately: the change of a leaving upstream is a few bytes and
+//! must not wait for a configuration.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A router that watches the store gives it this much time to deliver a version before it fetches
-/// it from a peer.
+/// How long a router that watches the store waits for the store to deliver a version before it fetches the
+/// version from a peer.
 pub const STORE_HEAD_START: Duration = Duration::from_millis(400);
-/// A fetch is given up when nothing arrives for this long. Its whole time has no bound, which
-/// would keep a large configuration from ever arriving over a shared link.
+/// A fetch fails when no bytes arrive for this long. Its total time is not bounded, because such a bound
+/// could keep a large configuration from ever arriving over a shared link.
 pub const STALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// Versions are compared at least this often, also without a heartbeat that shows a newer one.
+/// Interval at which a router of a small fleet compares its versions with those of its peers, even if no
+/// heartbeat reported a newer one.
 pub const COMPARE_PERIOD: Duration = Duration::from_millis(500);
-/// The same in a large fleet, where it takes a look at each peer, and messages say which versions their
-/// senders have.
+/// Interval at which a router of a large fleet compares its versions with those of its peers. It is longer
+/// than [`COMPARE_PERIOD`], because the comparison goes over all peers, and because gossip messages report
+/// their senders' versions and start a comparison when one is newer.
 pub const LARGE_FLEET_COMPARE_PERIOD: Duration = Duration::from_secs(2);
 /// Pause after a fetch that failed.
 pub const FAILURE_PAUSE: Duration = Duration::from_millis(100);
-/// A peer whose fetch failed is not asked again for this long while another one has a newer
-/// version: about the time after which a dead peer is missed.
-const AVOID_FAILED: Duration = Duration::from_secs(1);
-/// The least wait for a busy peer.  It is the resolution of the timers (1 ms), below which a
-/// router would ask again without a pause.
+/// How long a peer is avoided after a failed fetch from it, while another peer has a newer version. It is
+/// about the time after which a dead peer is detected.
+const FAILED_PEER_BACKOFF: Duration = Duration::from_secs(1);
+/// Minimum wait for a busy peer, which is the resolution of the timers (1 ms). With a shorter wait, a router
+/// would send requests without a pause.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// How long a router of a large fleet waits for a peer of its data centre to have newer upstreams.
+/// How long a router of a large fleet waits for a peer in its data centre to have newer upstreams before it
+/// fetches them from another data centre.
 pub const REMOTE_FETCH_DELAY: Duration = Duration::from_millis(200);
 
-/// A router of a large fleet fetches changes of upstreams once in this time at most: few changes are sent
-/// to all, and where there are many, each fetch would get a part of them.
+/// Pause of a router of a large fleet after each fetch of upstreams. Peers forward a few changes without a
+/// fetch; while many upstreams change, fetches without a pause would each return only a few of the changes.
 pub const UPSTREAM_FETCH_PAUSE: Duration = Duration::from_millis(500);
 
-/// A live peer, and its version.
+/// A live peer, and the version of the configuration or of the upstreams that it reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerVersion {
-    /// The peer.
+    /// The peer's address for other routers.
     pub peer: SocketAddr,
-    /// What it reported.
+    /// The version that the peer last reported; higher is newer.
     pub version: u64,
-    /// Whether it is to be preferred, as in the own data centre.
+    /// Whether the peer is preferred, because it is in this router's data centre. In a small fleet the caller
+    /// sets this for all peers.
     pub is_local: bool,
 }
 
-/// What a router does next about newer versions.
+/// What a router does next to get newer versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FetchStep {
-    /// Nothing: no live peer has a newer version.
+    /// No live peer has a newer version.
     UpToDate,
     /// Fetch from this peer.
     Fetch(SocketAddr),
-    /// Decide again after this time: all peers with the newest version are busy.
+    /// Decide again after this time: all peers with the newest version are busy, or only peers in other data
+    /// centres have it and [`REMOTE_FETCH_DELAY`] has not passed.
     Wait(Duration),
 }
 
-/// The peers that versions of one kind are fetched from, and how that went.
+/// The peers at which fetches of one kind of version failed or that were busy.
 #[derive(Clone, Debug, Default)]
 pub struct FetchSources {
-    /// Until when a peer whose fetch failed is avoided.
+    /// Until when each peer at which a fetch failed is avoided.
     failed: HashMap<SocketAddr, Instant>,
-    /// Until when a peer asked not to be asked.
+    /// Until when each peer that was busy accepts no new request.
     busy: HashMap<SocketAddr, Instant>,
-    /// How long peers that are not near are waited with, and since when only they have something newer.
-    far_wait: Duration,
-    only_far_since: Option<Instant>,
+    /// How long a newer version has to be available only from other data centres before it is fetched there.
+    remote_delay: Duration,
+    /// Since when only peers in other data centres have a newer version.
+    only_remote_since: Option<Instant>,
 }
 
 impl FetchSources {
-    /// Sources of which those that are not near are asked after a wait.
-    pub fn with_remote_delay(far_wait: Duration) -> Self {
+    /// Creates sources that fetch from peers in other data centres only after a delay. The default has no
+    /// delay.
+    pub fn with_remote_delay(remote_delay: Duration) -> Self {
         Self {
-            far_wait,
+            remote_delay,
             ..Self::default()
         }
     }
 
-    /// Records that a fetch from a peer failed.
+    /// Records a failed fetch from a peer, which is then avoided for a second.
     pub fn on_failed(&mut self, peer: SocketAddr, now: Instant) {
-        self.failed.insert(peer, now + AVOID_FAILED);
+        self.failed.insert(peer, now + FAILED_PEER_BACKOFF);
     }
 
-    /// Records that a peer is busy for `wait`.
+    /// Records that a peer refused a fetch because it is busy, and accepts requests again after `wait`.
     pub fn on_busy(&mut self, peer: SocketAddr, wait: Duration, now: Instant) {
         self.busy.insert(peer, now + wait);
     }
 
-    /// Decides whether, and from whom, to fetch, where `peers` have reported these versions.
+    /// Decides whether to fetch, and from which peer. `current_version` is the version in force at this
+    /// router, and `peers` are the live peers.
     pub fn step(
         &mut self,
-        known: u64,
+        current_version: u64,
         peers: impl IntoIterator<Item = PeerVersion>,
         now: Instant,
         rng: &mut fastrand::Rng,
@@ -113,42 +120,44 @@
         self.failed.retain(|_, until| *until > now);
         self.busy.retain(|_, until| *until > now);
         let peers = peers.into_iter();
-        let newer: Vec<PeerVersion> = peers.filter(|p| p.version > known).collect();
-        let near: Vec<PeerVersion> = newer.iter().filter(|p| p.is_local).copied().collect();
-        if let Some(wait) = self.wait_for_near(&newer, &near, now) {
+        let newer: Vec<PeerVersion> = peers.filter(|p| p.version > current_version).collect();
+        let local: Vec<PeerVersion> = newer.iter().filter(|p| p.is_local).copied().collect();
+        if let Some(wait) = self.wait_for_local(&newer, &local, now) {
             return FetchStep::Wait(wait);
         }
-        let sources = self.newest(if near.is_empty() { &newer } else { &near });
-        let free = sources.iter().filter(|peer| !self.busy.contains_key(peer));
-        if let Some(peer) = rng.choice(free.copied().collect::<Vec<_>>()) {
+        let sources = self.newest(if local.is_empty() { &newer } else { &local });
+        let idle = sources.iter().filter(|peer| !self.busy.contains_key(peer));
+        if let Some(peer) = rng.choice(idle.copied().collect::<Vec<_>>()) {
             return FetchStep::Fetch(peer);
         }
-        let free_at = sources.iter().filter_map(|peer| self.busy.get(peer)).min();
-        free_at.map_or(FetchStep::UpToDate, |at| {
+        let idle_at = sources.iter().filter_map(|peer| self.busy.get(peer)).min();
+        idle_at.map_or(FetchStep::UpToDate, |at| {
             FetchStep::Wait((*at - now).max(MIN_WAIT))
         })
     }
 
-    /// How long to wait where only peers that are not near have something newer.
-    fn wait_for_near(
+    /// The rest of the delay during which only peers in other data centres have a newer version; `None` once
+    /// the delay is over, if a peer in this data centre has one, or if no peer has.
+    fn wait_for_local(
         &mut self,
         newer: &[PeerVersion],
-        near: &[PeerVersion],
+        local: &[PeerVersion],
         now: Instant,
     ) -> Option<Duration> {
-        if newer.is_empty() || !near.is_empty() {
-            self.only_far_since = None;
+        if newer.is_empty() || !local.is_empty() {
+            self.only_remote_since = None;
             return None;
         }
-        let since = *self.only_far_since.get_or_insert(now);
-        let left = (since + self.far_wait).saturating_duration_since(now);
+        let since = *self.only_remote_since.get_or_insert(now);
+        let left = (since + self.remote_delay).saturating_duration_since(now);
         (!left.is_zero()).then(|| left.max(MIN_WAIT))
     }
 
-    /// The peers with the newest version; those that failed count only if there is no other.
+    /// The peers in `newer` with the newest version. Peers at which a fetch failed are included only if it
+    /// failed at all of them.
     fn newest(&self, newer: &[PeerVersion]) -> Vec<SocketAddr> {
-        let sound = newer.iter().filter(|p| !self.failed.contains_key(&p.peer));
-        let mut candidates: Vec<PeerVersion> = sound.copied().collect();
+        let not_failed = newer.iter().filter(|p| !self.failed.contains_key(&p.peer));
+        let mut candidates: Vec<PeerVersion> = not_failed.copied().collect();
         if candidates.is_empty() {
             candidates = newer.to_vec();
         }
--- a/crates/router/cloverpier_router_policy/src/version_serving.rs
+++ b/crates/router/cloverpier_router_policy/src/version_serving.rs
@@ -1,75 +1,77 @@
-//! Whether a router hands out another copy of its configuration now.
+//! Pacing of the copies of the configuration that a router sends to its peers.
 //!
-//! - **Question.** A peer asks for the configuration: does it get a copy now, or when should
-//!   it ask again?
-//! - **Inputs.** Bytes of the copy; what the VM's link carries; the copies that were handed
-//!   out before.
+//! - **Question.** A peer requests the configuration. Does it receive a copy now, or after what time should
+//!   it send the request again?
+//! - **Inputs.** Size of the copy; bandwidth of the VM's link; the copies sent before.
 //! - **Answer.** A [`CopyStep`].
-//! - **Why.** Right after a change three routers have the configuration and all others ask
-//!   them. Handed out to all at once, 23 copies of 150 kB hold a link of 10 Mbit/s for 2.8 s:
-//!   none of them is whole before that, and heartbeats, readiness answers and callers wait
-//!   behind them. One after the other, the first copies are whole after milliseconds and
-//!   serve the next peers: those that have it double with each copy's time.
+//! - **Why.** Right after a change, three routers have the configuration and all others request it from them.
+//!   If a router sent 23 copies of 150 kB at once over a link of 10 Mbit/s, they would occupy the link for
+//!   2.8 s: no copy would be complete before, and heartbeats, readiness responses and callers would wait
+//!   behind them. If copies are sent one after the other, the first ones are complete after milliseconds, and
+//!   their recipients serve further peers: the number of routers with the configuration doubles with the time
+//!   of each copy.
 //!
-//! Relies on [`crate::version_fetch`] for what a peer does with the answer.
+//! Relies on [`crate::version_fetch`], which follows a refusal with a request to another peer or a wait.
 
 use std::time::{Duration, Instant};
 
-/// The part of the link that copies may take; the rest is for callers, heartbeats and readiness
-/// answers.
-const LINK_SHARE: f64 = 0.5;
-/// Copies may be handed out this far ahead of the link, so that small ones need no pacing: it is 31
-/// kB at 10 Mbit/s, and what waits behind it waits half as long.
+/// The fraction of the link's bandwidth that copies may use; the rest is for callers, heartbeats and
+/// readiness responses.
+const COPY_LINK_SHARE: f64 = 0.5;
+/// Maximum time that copies already sent may still need at their share of the link when a further one is
+/// sent, so that small copies need no pacing. At 10 Mbit/s it is 31 kB. Other traffic waits half as long behind
+/// them, because they then use the whole link.
 const MAX_BACKLOG: Duration = Duration::from_millis(50);
 
-/// What a VM's link carries.
+/// Bandwidth of a VM's network link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkRate {
     bytes_per_s: f64,
 }
 
 impl LinkRate {
-    /// A link of this many megabits a second.
+    /// Converts a bandwidth in megabits per second.
     pub fn from_mbps(mbps: f64) -> Self {
         Self {
             bytes_per_s: mbps * 1e6 / 8.0,
         }
     }
 
-    /// How long copies of this many bytes take with their share of the link.
+    /// How long a copy of this many bytes takes at the share of the link that copies may use.
     pub fn copy_time(self, bytes: usize) -> Duration {
-        let seconds = bytes as f64 / (self.bytes_per_s * LINK_SHARE);
-        // Longer than any time that can be stated: such a copy blocks all that follow.
+        let seconds = bytes as f64 / (self.bytes_per_s * COPY_LINK_SHARE);
+        // `Duration` can't represent the time for a link with almost no bandwidth.
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 }
 
-/// Whether a peer gets a copy now.
+/// Whether a peer receives a copy now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CopyStep {
-    /// It gets one.
+    /// Send the copy now.
     Send,
-    /// It should ask again after this time, or ask another peer.
+    /// Refuse the request: the peer should repeat it after this time, or send it to another peer.
     Refuse(Duration),
 }
 
-/// The copies that the link still carries.
+/// Tracks when the link will have transmitted the copies sent so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CopyPacing {
-    /// When those handed out have passed the link.
-    carried_at: Option<Instant>,
+    /// When the copies sent so far are transmitted, at their share of the link; `None` before the first one.
+    link_free_at: Option<Instant>,
 }
 
 impl CopyPacing {
-    /// Decides on a copy of this many bytes, and counts it if it is handed out.
+    /// Decides whether to send a copy of this many bytes, and records a copy that is sent.
     pub fn step(&mut self, bytes: usize, link: LinkRate, now: Instant) -> CopyStep {
-        let carried_at = self.carried_at.map_or(now, |at| at.max(now));
-        let backlog = carried_at - now;
+        let link_free_at = self.link_free_at.map_or(now, |at| at.max(now));
+        let backlog = link_free_at - now;
         if backlog > MAX_BACKLOG {
             return CopyStep::Refuse(backlog - MAX_BACKLOG);
         }
-        // A copy without end in sight blocks all others, as it should.
-        self.carried_at = carried_at.checked_add(link.copy_time(bytes));
+        // If `Instant` can't represent the end of the transmission, no time is recorded, and this copy does
+        // not delay the next one.
+        self.link_free_at = link_free_at.checked_add(link.copy_time(bytes));
         CopyStep::Send
     }
 }
