--- a/crates/router/cloverpier_router_policy/tests/configuration.rs
+++ b/crates/router/cloverpier_router_policy/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Routes and keys.
+//! Matching of requests to routes, keys of client accounts, weights of targets, and retry rules.
 
 use cloverpier_core::ServiceName;
 use cloverpier_router_policy::prelude::*;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_longest_prefix_wins() {
+fn the_route_with_the_longest_prefix_is_used() {
     let configuration = configuration();
     let name = |path| {
         configuration
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_key_belongs_to_its_tenant() {
+fn a_key_identifies_its_client_account() {
     let configuration = configuration();
     assert!(configuration.requires_keys());
     assert_eq!(configuration.account_for_key("key-2").unwrap().name, "lab");
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn targets_get_requests_by_weight() {
+fn targets_receive_requests_by_weight() {
     let split = route(
         "split",
         "/",
--- a/crates/router/cloverpier_router_policy/tests/versions.rs
+++ b/crates/router/cloverpier_router_policy/tests/versions.rs
@@ -1,4 +1,4 @@
-//! From whom newer versions are fetched, and how many copies a router hands out.
+//! Fetching newer versions from peers, pacing of configuration copies, and changes between two lists of upstreams.
 
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::version_fetch::{FetchSources, FetchStep, PeerVersion};
@@ -30,12 +30,12 @@
     }
 
     fn step(&mut self, known: u64, versions: &[u64]) -> FetchStep {
-        let all_near = versions.iter().map(|version| (*version, true));
-        self.step_of(known, all_near.collect())
+        let all_local = versions.iter().map(|version| (*version, true));
+        self.step_with_locality(known, all_local.collect())
     }
 
-    /// Where some of the peers are in the own data centre.
-    fn step_of(&mut self, known: u64, versions: Vec<(u64, bool)>) -> FetchStep {
+    /// Decides a step with one peer for each entry of `versions`: the version, and whether the peer is local.
+    fn step_with_locality(&mut self, known: u64, versions: Vec<(u64, bool)>) -> FetchStep {
         let peers = (1..).map(peer).zip(versions);
         let peers = peers.map(|(peer, (version, is_local))| PeerVersion {
             peer,
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn versions_are_fetched_from_a_peer_with_the_newest() {
+fn the_newest_version_is_fetched() {
     let mut fetch = FetchHarness::new();
     assert_eq!(fetch.step(4, &[4, 7, 5]), FetchStep::Fetch(peer(2)));
     assert_eq!(fetch.step(7, &[4, 7, 5]), FetchStep::UpToDate);
@@ -55,14 +55,14 @@
 }
 
 #[test]
-fn a_busy_peer_is_left_alone_for_as_long_as_it_says() {
+fn a_busy_peer_is_not_used_before_the_time_that_it_gave() {
     let mut fetch = FetchHarness::new();
     fetch.sources.on_busy(peer(1), ms(80), fetch.now);
     assert_eq!(fetch.step(4, &[7, 7]), FetchStep::Fetch(peer(2)));
-    // An older version is no substitute: the newest is a moment away.
+    // While the peers with the newest version are busy, no older version is fetched.
     fetch.sources.on_busy(peer(2), ms(50), fetch.now);
     assert_eq!(fetch.step(4, &[7, 7, 6]), FetchStep::Wait(ms(50)));
-    // Never without a pause.
+    // A wait is never shorter than 1 ms, the resolution of the timers.
     fetch.now += Duration::from_nanos(49_999_999);
     assert_eq!(fetch.step(4, &[7, 7, 6]), FetchStep::Wait(ms(1)));
     fetch.now += Duration::from_nanos(1);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_peer_that_failed_is_avoided_while_another_has_something_newer() {
+fn a_peer_that_failed_is_avoided_while_another_has_a_newer_version() {
     let mut fetch = FetchHarness::new();
     fetch.sources.on_failed(peer(1), fetch.now);
     assert_eq!(fetch.step(4, &[7, 6]), FetchStep::Fetch(peer(2)));
@@ -80,15 +80,18 @@
 }
 
 #[test]
-fn small_copies_are_handed_out_at_once_and_large_ones_in_turn() {
+fn small_copies_are_sent_at_once_and_large_ones_one_after_the_other() {
     let link = LinkRate::from_mbps(10.0);
-    // Half of 1.25 MB/s.
+    // Copies may use half of the bandwidth of 1.25 MB/s.
     assert_eq!(link.copy_time(62_500), ms(100));
     let now = Instant::now();
     let mut pacing = CopyPacing::default();
-    let small = (0..70).map(|_| pacing.step(1_000, link, now));
-    let handed_out = small.filter(|step| *step == CopyStep::Send).count();
-    assert_eq!(handed_out, 32, "what passes in 50 ms, and one more");
+    let small_copies = (0..70).map(|_| pacing.step(1_000, link, now));
+    let sent = small_copies.filter(|step| *step == CopyStep::Send).count();
+    assert_eq!(
+        sent, 32,
+        "the copies that the link transmits in 50 ms, and one more"
+    );
     let mut pacing = CopyPacing::default();
     assert_eq!(pacing.step(62_500, link, now), CopyStep::Send);
     assert_eq!(pacing.step(62_500, link, now), CopyStep::Refuse(ms(50)));
@@ -98,7 +101,7 @@
 }
 
 #[test]
-fn a_list_that_is_read_again_reaches_peers_as_changes() {
+fn a_second_list_is_available_to_peers_as_changes() {
     let upstream = |name: &str, port: u16| Upstream {
         name: cloverpier_core::UpstreamName::new(name),
         service: cloverpier_core::ServiceName::new("drafts"),
@@ -110,20 +113,24 @@
     };
     let now = Instant::now();
     let mut table = UpstreamTable::default();
-    let first = vec![upstream("one", 1), upstream("two", 2), upstream("three", 3)];
-    table.apply_list(first, 10, now);
+    let first_list = vec![upstream("one", 1), upstream("two", 2), upstream("three", 3)];
+    table.apply_list(first_list, 10, now);
     assert_eq!(
         table.changes_after(9),
         None,
-        "nothing is known of the time before"
+        "there is no record of changes before the first list"
     );
-    let mut drains = upstream("one", 1);
-    drains.draining = true;
-    let again = vec![drains.clone(), upstream("three", 3), upstream("four", 4)];
-    table.apply_list(again, 20, now);
+    let mut draining_upstream = upstream("one", 1);
+    draining_upstream.draining = true;
+    let second_list = vec![
+        draining_upstream.clone(),
+        upstream("three", 3),
+        upstream("four", 4),
+    ];
+    table.apply_list(second_list, 20, now);
     let expected = vec![
         UpstreamChange::Gone(upstream("two", 2).name),
-        UpstreamChange::Listed(drains),
+        UpstreamChange::Listed(draining_upstream),
         UpstreamChange::Listed(upstream("four", 4)),
     ];
     assert_eq!(table.changes_after(10), Some(expected));
@@ -131,28 +138,46 @@
 }
 
 #[test]
-fn a_peer_of_the_own_data_centre_is_preferred() {
+fn a_peer_in_the_same_data_centre_is_preferred() {
     let mut fetch = FetchHarness::new();
     let versions = vec![(7, false), (6, true), (7, false)];
-    assert_eq!(fetch.step_of(4, versions), FetchStep::Fetch(peer(2)));
-    // Where no wait is set, others are asked at once.
     assert_eq!(
-        fetch.step_of(4, vec![(7, false), (4, true)]),
+        fetch.step_with_locality(4, versions),
+        FetchStep::Fetch(peer(2))
+    );
+    // Without a delay, a version that only remote peers have is fetched at once.
+    assert_eq!(
+        fetch.step_with_locality(4, vec![(7, false), (4, true)]),
         FetchStep::Fetch(peer(1))
     );
 }
 
 #[test]
-fn peers_elsewhere_are_asked_after_a_wait() {
+fn peers_in_other_data_centres_are_used_after_a_delay() {
     let mut fetch = FetchHarness::new();
     fetch.sources = FetchSources::with_remote_delay(ms(200));
-    let far = || vec![(7, false), (4, true)];
-    assert_eq!(fetch.step_of(4, far()), FetchStep::Wait(ms(200)));
+    let only_remote = || vec![(7, false), (4, true)];
+    assert_eq!(
+        fetch.step_with_locality(4, only_remote()),
+        FetchStep::Wait(ms(200))
+    );
     fetch.now += ms(150);
-    assert_eq!(fetch.step_of(4, far()), FetchStep::Wait(ms(50)));
+    assert_eq!(
+        fetch.step_with_locality(4, only_remote()),
+        FetchStep::Wait(ms(50))
+    );
     fetch.now += ms(50);
-    assert_eq!(fetch.step_of(4, far()), FetchStep::Fetch(peer(1)));
-    // Once somebody near has it, the next wait is a whole one again.
-    assert_eq!(fetch.step_of(4, vec![(7, true)]), FetchStep::Fetch(peer(1)));
-    assert_eq!(fetch.step_of(7, vec![(8, false)]), FetchStep::Wait(ms(200)));
+    assert_eq!(
+        fetch.step_with_locality(4, only_remote()),
+        FetchStep::Fetch(peer(1))
+    );
+    // After a local peer had a newer version, the delay starts again.
+    assert_eq!(
+        fetch.step_with_locality(4, vec![(7, true)]),
+        FetchStep::Fetch(peer(1))
+    );
+    assert_eq!(
+        fetch.step_with_locality(7, vec![(8, false)]),
+        FetchStep::Wait(ms(200))
+    );
 }
