--- a/crates/router/cloverpier_router/src/peers.rs
+++ b/crates/router/cloverpier_router/src/peers.rs
@@ -340,7 +340,7 @@
         let timeout = if is_large { HEARD_FOR } else { timeout };
         let members = self.members.borrow();
         let live = table.live(now, timeout);
-        let live = live.filter(|(peer, _)| !members.is_known_dead(**peer));
+        let live = live.filter(|(peer, _)| !members.is_recorded_dead(**peer));
         let versions = live.map(|(peer, entry)| PeerVersion {
             peer: *peer,
             version: version(entry),
--- a/crates/router/cloverpier_router_policy/src/membership.rs
+++ b/crates/router/cloverpier_router_policy/src/membership.rs
@@ -174,7 +174,7 @@
     }
 
     /// Whether a router is recorded as dead.
-    pub fn is_known_dead(&self, router: SocketAddr) -> bool {
+    pub fn is_recorded_dead(&self, router: SocketAddr) -> bool {
         self.members.get(&router).is_some_and(Member::is_dead)
     }
 
--- a/crates/router/cloverpier_router_policy/tests/membership.rs
+++ b/crates/router/cloverpier_router_policy/tests/membership.rs
@@ -65,7 +65,7 @@
     let (dead, probes) = simulate_silence(&mut membership, 1, 2, start);
     assert_eq!(dead, [router(1)]);
     assert!(probes >= 3, "{probes}");
-    assert!(membership.is_known_dead(router(1)));
+    assert!(membership.is_recorded_dead(router(1)));
     assert_eq!(membership.count(), 1);
 }
 
@@ -107,7 +107,7 @@
     let outcome = peer.on_message(update(0, READY, 1), now);
     assert_eq!(outcome, UpdateOutcome::RecordedDead);
     peer.on_message(membership.own().clone(), now);
-    assert!(!peer.is_known_dead(router(0)));
+    assert!(!peer.is_recorded_dead(router(0)));
 }
 
 #[test]
@@ -179,7 +179,7 @@
     let mut membership = membership_with(2, now);
     membership.on_update(update(1, MemberState::Dead, 1), now);
     membership.on_unstamped_message(update(1, READY, 0), now);
-    assert!(!membership.is_known_dead(router(1)));
+    assert!(!membership.is_recorded_dead(router(1)));
 }
 
 #[test]
--- a/tools/src/gossip_play/measure.rs
+++ b/tools/src/gossip_play/measure.rs
@@ -62,7 +62,7 @@
             .collect();
         let taken = |router: &&SocketAddr| {
             let mut others = self.routers.iter().filter(|r| r.is_alive);
-            others.any(|r| r.members.is_known_dead(**router))
+            others.any(|r| r.members.is_recorded_dead(**router))
         };
         alive.iter().filter(taken).count()
     }
--- a/tools/src/gossip_play/world.rs
+++ b/tools/src/gossip_play/world.rs
@@ -132,12 +132,12 @@
         let victim = self.spec.routers / 2;
         let address = address(victim);
         self.routers[victim].is_alive = false;
-        outcome.death = self.spread(|r| r.members.is_known_dead(address));
+        outcome.death = self.spread(|r| r.members.is_recorded_dead(address));
         self.run_for(Duration::from_secs(1));
         self.start(victim);
         outcome.restart = self.spread(|r| {
             r.members.own().router == address
-                || (r.members.contains(address) && !r.members.is_known_dead(address))
+                || (r.members.contains(address) && !r.members.is_recorded_dead(address))
         });
         self.run_for(Duration::from_secs(3));
         let count = (self.spec.routers as f64 * MANY).ceil() as usize;
@@ -148,8 +148,10 @@
             self.routers[*victim].is_alive = false;
         }
         let dead: Vec<SocketAddr> = victims.iter().map(|v| self::address(*v)).collect();
-        outcome.many_deaths =
-            self.spread(|r| dead.iter().all(|victim| r.members.is_known_dead(*victim)));
+        outcome.many_deaths = self.spread(|r| {
+            dead.iter()
+                .all(|victim| r.members.is_recorded_dead(*victim))
+        });
         self.run_for(Duration::from_secs(3));
         outcome.deaths_cost = self.cost(self.now - killed);
     }
