--- a/crates/router/cloverpier_router/src/gossip.rs
+++ b/crates/router/cloverpier_router/src/gossip.rs
@@ -203,7 +203,7 @@
             members: vec![update],
         }));
     }
-    if reply.message {
+    if reply.send_gossip {
         let mut message = gossip(router, false, now);
         message.updates.extend(reply.sample);
         send(PeerMessage::Gossip(message));
--- a/crates/router/cloverpier_router_policy/src/membership.rs
+++ b/crates/router/cloverpier_router_policy/src/membership.rs
@@ -1,12 +1,13 @@
-//! Gossip membership and failure detection for router fleets too large for heartbeats to every peer.
+//! Gossip membership and failure detection for large fleets, in which heartbeats between all routers would cost
+//! too much.
 //!
 //! - **Question.** Which routers are alive? Which routers receive the next gossip message, which are
 //!   probed, and which updates about other routers does the message carry?
 //! - **Inputs.** Gossip messages, which carry the sender's own state and updates about other routers; the
 //!   current time.
 //! - **Answer.** The [`MemberUpdate`]s to send, their recipients, and the live members.
-//! - **Why.** The messages that a router sends and receives, and the time that an update takes, must not
-//!   grow in proportion to the fleet. The routers form a ring, ordered by the hashes of their addresses. Each
+//! - **Why.** The number of messages that a router sends and receives, and the time until an update reaches
+//!   all routers, must not grow in proportion to the fleet. The routers form a ring, ordered by the hashes of their addresses. Each
 //!   router sends every gossip message to its next [`SUCCESSORS`] routers on the ring, which detect its
 //!   silence, and to a few random routers. A successor probes a silent router and declares the router dead if
 //!   no message arrives. Gossip messages carry each update several times, so that an update reaches all
@@ -22,7 +23,7 @@
 //! which routers are recorded as alive.
 //!
 //! [`Membership`] owns the last update of each member, the ring, the queue of updates to send, and the
-//! pending probes. Small fleets send heartbeats to all peers instead ([`crate::heartbeat`]).
+//! pending probes. Small fleets use heartbeats instead ([`crate::heartbeat`]).
 
 mod exchange;
 mod ring;
@@ -63,7 +64,7 @@
 /// name has 20 bytes.
 pub const UPDATES_PER_MESSAGE: usize = 24;
 
-/// The last update of another router, and when its messages arrived.
+/// The last update about another router, and when that router last sent a message.
 #[derive(Clone, Debug)]
 struct Member {
     callers: SocketAddr,
@@ -87,16 +88,16 @@
 pub struct Membership {
     own: MemberUpdate,
     members: HashMap<SocketAddr, Member>,
-    /// This router and all members that are not dead, ordered by the hashes of their addresses.
+    /// This router and all live members, ordered by the hashes of their addresses.
     ring: BTreeSet<(u64, SocketAddr)>,
-    /// Members in this router's data centre that are not dead.
+    /// Live members in this router's data centre.
     local: RouterSet,
-    /// Members in other data centres that are not dead.
+    /// Live members in other data centres.
     remote: RouterSet,
     dead: RouterSet,
     updates: UpdateQueue,
     probes: HashMap<SocketAddr, Probe>,
-    /// When any router's message last arrived.
+    /// When the last message from any other router arrived; `None` before the first.
     last_received_at: Option<Instant>,
     /// Leaving and dead routers, to be reported without waiting for the next gossip period.
     departures: BTreeSet<SocketAddr>,
--- a/crates/router/cloverpier_router_policy/src/membership/exchange.rs
+++ b/crates/router/cloverpier_router_policy/src/membership/exchange.rs
@@ -44,7 +44,7 @@
             // ended while it was starting, too.
             is_new_or_changed: starts || outcome == UpdateOutcome::Changed,
             dead_update: is_recorded_dead.then(|| self.update_of(sender)).flatten(),
-            message: gossip.wants_reply,
+            send_gossip: gossip.wants_reply,
             sample: if sends_sample {
                 self.sample(rng)
             } else {
--- a/crates/router/cloverpier_router_policy/src/membership/ring.rs
+++ b/crates/router/cloverpier_router_policy/src/membership/ring.rs
@@ -22,9 +22,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Probe {
     /// When the silence began: at the predecessor's last message, or when this router began to watch it.
-    since: Instant,
-    sent: u32,
-    last: Option<Instant>,
+    silent_since: Instant,
+    probes_sent: u32,
+    last_probe_at: Option<Instant>,
 }
 
 /// The result of one check of the predecessors' silence.
@@ -90,30 +90,30 @@
             .get(&router)
             .and_then(|member| member.last_message_at);
         let probe = self.probes.entry(router).or_insert(Probe {
-            since: now,
-            sent: 0,
-            last: None,
+            silent_since: now,
+            probes_sent: 0,
+            last_probe_at: None,
         });
-        if let Some(last_message_at) = last_message_at.filter(|at| *at > probe.since) {
+        if let Some(last_message_at) = last_message_at.filter(|at| *at > probe.silent_since) {
             *probe = Probe {
-                since: last_message_at,
-                sent: 0,
-                last: None,
+                silent_since: last_message_at,
+                probes_sent: 0,
+                last_probe_at: None,
             };
         }
         let passed = |at: Instant| now.saturating_duration_since(at);
-        let is_due = match probe.last {
-            None => passed(probe.since) >= PROBE_AFTER_SILENCE,
-            Some(last) => passed(last) >= PROBE_INTERVAL,
+        let is_due = match probe.last_probe_at {
+            None => passed(probe.silent_since) >= PROBE_AFTER_SILENCE,
+            Some(last_probe_at) => passed(last_probe_at) >= PROBE_INTERVAL,
         };
         if !is_due {
             return ProbeDecision::Wait;
         }
-        if probe.sent == MAX_UNANSWERED_PROBES {
+        if probe.probes_sent == MAX_UNANSWERED_PROBES {
             return ProbeDecision::DeclareDead;
         }
-        probe.sent += 1;
-        probe.last = Some(now);
+        probe.probes_sent += 1;
+        probe.last_probe_at = Some(now);
         ProbeDecision::Probe
     }
 
--- a/crates/router/cloverpier_router_policy/src/membership/targets.rs
+++ b/crates/router/cloverpier_router_policy/src/membership/targets.rs
@@ -8,20 +8,20 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Random recipients of each gossip message in this router's data centre, which spread updates beyond the
-/// successors.
+/// Number of random recipients of each gossip message in this router's data centre, which spread updates beyond
+/// the successors.
 const RANDOM_LOCAL: usize = 1;
-/// Random recipients of each gossip message in other data centres.
+/// Number of random recipients of each gossip message in other data centres.
 const RANDOM_REMOTE: usize = 1;
-/// Random recipients of an urgent message in this router's data centre.
+/// Number of random recipients of an urgent message in this router's data centre.
 const URGENT_LOCAL: usize = 6;
-/// Random recipients of an urgent message in other data centres.
+/// Number of random recipients of an urgent message in other data centres.
 const URGENT_REMOTE: usize = 2;
-/// Routers in its data centre to which a router forwards a change when it receives the change for the first
-/// time. If each of 1,000 routers picks 4, the change reaches 98% of them, and the others fetch it when a
-/// gossip message reports a newer revision.
+/// Number of routers in its data centre to which a router forwards a change that it receives for the first time.
+/// If each of 1,000 routers picks 4, the change reaches 98% of them, and the others fetch it when a gossip
+/// message reports a newer revision.
 const FLOOD_LOCAL: usize = 4;
-/// Routers in each other data centre to which a change is sent by the router that read it from the store.
+/// Number of routers in each other data centre to which a router sends a change that it read from the store.
 const FLOOD_REMOTE: usize = 3;
 /// One gossip round out of this many also has a dead router as a recipient.
 const ROUNDS_PER_DEAD_TARGET: u32 = 10;
--- a/crates/router/cloverpier_router_policy/src/membership/update.rs
+++ b/crates/router/cloverpier_router_policy/src/membership/update.rs
@@ -83,7 +83,7 @@
     /// The record of the sender's death, which the sender has to refute; `None` if it is not recorded as dead.
     pub dead_update: Option<MemberUpdate>,
     /// Whether the sender is sent a gossip message.
-    pub message: bool,
+    pub send_gossip: bool,
     /// Random members to add to that gossip message; empty unless the sender has fewer members than this
     /// router.
     pub sample: Vec<MemberUpdate>,
--- a/crates/router/cloverpier_router_policy/src/membership/update_queue.rs
+++ b/crates/router/cloverpier_router_policy/src/membership/update_queue.rs
@@ -7,8 +7,9 @@
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// Messages that carry an update in addition to one for each doubling of the fleet size. Every router that
-/// receives the update sends it as often, so that the loss of single messages does not matter.
+/// Number of messages in which a router sends each update, in addition to one for each doubling of the fleet
+/// size. Every router that receives the update sends it as often, so the loss of single messages does not
+/// matter.
 const EXTRA_SENDS: u32 = 2;
 
 /// The routers whose updates are still to be sent.
--- a/tools/src/gossip_play/world.rs
+++ b/tools/src/gossip_play/world.rs
@@ -367,7 +367,7 @@
             };
             self.send(index, PeerMessage::Members(members), vec![sender]);
         }
-        if reply.message {
+        if reply.send_gossip {
             let mut message = self.message(index, false);
             message.updates.extend(reply.sample);
             self.send(index, PeerMessage::Gossip(message), vec![sender]);
