--- a/crates/router/cloverpier_router/src/peers.rs
+++ b/crates/router/cloverpier_router/src/peers.rs
@@ -173,9 +173,9 @@
 
     /// Forgets peers that were silent for long.
     pub fn forget_old(&self, now: Instant) {
-        self.table.borrow_mut().forget_old(now);
-        self.members.borrow_mut().forget_old(now);
-        self.beats.borrow_mut().forget_old(now);
+        self.table.borrow_mut().remove_expired(now);
+        self.members.borrow_mut().remove_expired(now);
+        self.beats.borrow_mut().remove_expired(now);
         let is_recent = |at: Instant| now.saturating_duration_since(at) < HEARD_FOR;
         self.plain_peers.borrow_mut().retain(|_, at| is_recent(*at));
         let heard = self.heard_size.get().filter(|(_, at)| is_recent(*at));
--- a/crates/router/cloverpier_router_policy/src/dissemination.rs
+++ b/crates/router/cloverpier_router_policy/src/dissemination.rs
@@ -4,7 +4,7 @@
 //!   to which peers?
 //! - **Inputs.** When this router received the last new fact; a peer's heartbeat and the previous one; the
 //!   number of peers.
-//! - **Answer.** Yes or no.
+//! - **Result.** Yes or no.
 //! - **Why.** Datagrams are lost, and routers are partitioned and restarted. So new facts are repeated to
 //!   random peers for [`REPEAT_WINDOW`], and a peer that may have missed facts is sent all of them. Without
 //!   new facts, nothing is sent.
@@ -41,14 +41,14 @@
     })
 }
 
-/// Whether this router sends a peer the facts that it may have missed, drawn at random so that about
-/// `EXPECTED_SENDERS` of `peers` routers do.
+/// Whether this router sends another router the facts that it may have missed. The decision is random, so that
+/// about 16 of the other router's peers do; `peers` is the number of this router's peers.
 pub fn sends_missed_facts(peers: usize, rng: &mut fastrand::Rng) -> bool {
     peers <= EXPECTED_SENDERS || rng.usize(..peers) < EXPECTED_SENDERS
 }
 
-/// Whether facts are still repeated: the last new one arrived less than [`REPEAT_WINDOW`] ago. `last_report`
-/// is `None` if this router has received no fact.
+/// Whether facts are still repeated, because the last new one arrived less than [`REPEAT_WINDOW`] ago.
+/// `last_report` is the time of its arrival, `None` if this router has received no fact.
 pub fn is_within_repeat_window(last_report: Option<Instant>, now: Instant) -> bool {
     last_report.is_some_and(|at| now.saturating_duration_since(at) < REPEAT_WINDOW)
 }
--- a/crates/router/cloverpier_router_policy/src/first_read.rs
+++ b/crates/router/cloverpier_router_policy/src/first_read.rs
@@ -4,7 +4,7 @@
 //!   or does it wait until a peer delivers them?
 //! - **Inputs.** Whether the router is a seed; how long ago it started; whether it has received messages from
 //!   a peer; the size of the fleet as peers report it.
-//! - **Answer.** A [`FirstRead`].
+//! - **Result.** A [`FirstRead`].
 //! - **Why.** The size of a read grows with the client accounts and upstreams, and the number of reads with
 //!   the routers. If 1,000 routers with 10,000 upstreams started at once and all read, the store would send
 //!   2 GB of upstreams, which occupy its link for 16 s, and 1,000 configurations of 200 kB, which take 1.6 s.
--- a/crates/router/cloverpier_router_policy/src/heartbeat.rs
+++ b/crates/router/cloverpier_router_policy/src/heartbeat.rs
@@ -4,7 +4,7 @@
 //!   considered alive?
 //! - **Inputs.** The heartbeat interval from the settings; the addresses of all peers; whether peers rely on
 //!   this router to watch the store.
-//! - **Answer.** Addresses of recipients; durations.
+//! - **Result.** Addresses of recipients; durations.
 //! - **Why.** Datagrams cost processor time and bandwidth, and the number that a router sends must not grow
 //!   with the fleet. So a router sends each heartbeat to a bounded number of peers in rotation, and the
 //!   timeout of a peer grows with the length of the rotation. The loss of a datagram matters little, because
@@ -52,14 +52,16 @@
 /// been removed after a long silence.
 pub const SEED_PERIOD: Duration = Duration::from_secs(2);
 
-/// How long after its last heartbeat a peer is considered alive in a small fleet.
+/// How long after its last heartbeat a peer is considered alive in a small fleet. Large fleets use
+/// [`crate::membership::MEMBER_TIMEOUT`].
 pub fn peer_timeout(heartbeat_interval: Duration, known_peers: usize) -> Duration {
     let turns = u32::try_from(known_peers.div_ceil(PEERS_PER_HEARTBEAT)).unwrap_or(u32::MAX);
     let interval_per_peer = heartbeat_interval * turns.max(1);
     (interval_per_peer * TIMEOUT_INTERVALS).max(MIN_PEER_TIMEOUT)
 }
 
-/// How long a peer's load report is valid.
+/// How long a peer's load report is valid: as long as the peer is considered alive after a heartbeat, but at least
+/// 1.5 s.
 pub fn load_ttl(peer_timeout: Duration) -> Duration {
     peer_timeout.max(MIN_LOAD_TTL)
 }
--- a/crates/router/cloverpier_router_policy/src/lifecycle.rs
+++ b/crates/router/cloverpier_router_policy/src/lifecycle.rs
@@ -5,7 +5,7 @@
 //! - **Inputs.** Whether this router has configuration and upstreams, and when the process started; when a
 //!   request arrived, and its caller's time limit; how long ago the termination signal arrived; requests in
 //!   flight; the grace period in force.
-//! - **Answer.** A [`PeerState`], a deadline for holding a request, whether streams are accepted, and a
+//! - **Result.** A [`PeerState`], a deadline for holding a request, whether streams are accepted, and a
 //!   [`ShutdownStep`].
 //! - **Why.** Callers keep a router's address for a while after it has left the directory, so a router
 //!   continues to serve during its shutdown. It has to exit before the platform kills it, because the kill
@@ -22,10 +22,10 @@
 const MAX_STARTUP_HOLD: Duration = Duration::from_millis(600);
 /// Fraction of the caller's time limit for which a request may be held; the rest is for the response.
 const HOLD_FRACTION: f64 = 0.9;
-/// How long a router at least continues to serve after its termination signal. Callers keep its address for
-/// `directory_keep_s` (1 s by default), and longer if they don't request the directory again.
+/// Minimum time for which a router continues to serve after its termination signal. Callers keep the router's
+/// address for `directory_keep_s` (1 s by default), and longer if they don't request the directory again.
 const MIN_SHUTDOWN: Duration = Duration::from_millis(3_500);
-/// How long a router at most accepts new streams after its termination signal. After that, about 5 s of a
+/// Maximum time after its termination signal during which a router accepts new streams. After it, about 5 s of a
 /// grace period of 8 s are left, and callers have requested other addresses.
 const STREAM_ACCEPTANCE_PERIOD: Duration = Duration::from_millis(2_500);
 /// Number of recent streams whose durations are kept.
@@ -48,7 +48,8 @@
     Exit,
 }
 
-/// The state that a router reports to peers, to the platform and to callers.
+/// The state that a router reports to peers, to the platform and to callers. `is_stopping` is true after the
+/// termination signal, `is_serving` once the router has configuration and upstreams.
 pub fn router_state(is_stopping: bool, is_serving: bool) -> PeerState {
     match (is_stopping, is_serving) {
         (true, _) => PeerState::Leaving,
--- a/crates/router/cloverpier_router_policy/src/membership.rs
+++ b/crates/router/cloverpier_router_policy/src/membership.rs
@@ -5,11 +5,11 @@
 //!   probed, and which updates about other routers does the message carry?
 //! - **Inputs.** Gossip messages, which carry the sender's own state and updates about other routers; the
 //!   current time.
-//! - **Answer.** The [`MemberUpdate`]s to send, their recipients, and the live members.
+//! - **Result.** The [`MemberUpdate`]s to send, their recipients, and the live members.
 //! - **Why.** The number of messages that a router sends and receives, and the time until an update reaches
-//!   all routers, must not grow in proportion to the fleet. The routers form a ring, ordered by the hashes of their addresses. Each
-//!   router sends every gossip message to its next [`SUCCESSORS`] routers on the ring, which detect its
-//!   silence, and to a few random routers. A successor probes a silent router and declares the router dead if
+//!   all routers, must not grow in proportion to the fleet. The routers form a ring, ordered by the hashes of
+//!   their addresses. Each router sends every gossip message to its next [`SUCCESSORS`] routers on the ring,
+//!   which detect its silence, and to a few random routers. A successor probes a silent router and declares the router dead if
 //!   no message arrives. Gossip messages carry each update several times, so that an update reaches all
 //!   routers after a number of rounds that grows with the logarithm of the fleet size. A router that
 //!   receives an update that declares it dead refutes the update with a higher stamp.
@@ -352,7 +352,7 @@
     }
 
     /// Removes members that have been recorded as dead for a minute.
-    pub fn forget_old(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         let is_kept = |member: &Member| {
             !member.is_dead() || now.saturating_duration_since(member.updated_at) < DEAD_MEMBER_TTL
         };
--- a/crates/router/cloverpier_router_policy/src/membership/exchange.rs
+++ b/crates/router/cloverpier_router_policy/src/membership/exchange.rs
@@ -12,11 +12,11 @@
 
 /// Maximum number of members in one message of a member list or of urgent departures.
 pub const MEMBERS_PER_MESSAGE: usize = 48;
-/// Minimum interval between two requests for a member list, and between two lists sent. The list of a fleet
-/// of 1,000 routers takes about 50 kB.
+/// Minimum interval between two requests of a router for a member list, and between two lists that it sends. The
+/// list of a fleet of 1,000 routers takes about 50 kB.
 const MEMBER_LIST_INTERVAL: Duration = Duration::from_millis(200);
 /// A router whose digest has differed for this long from all digests received in its data centre may have
-/// missed updates and requests a member list. It is also the minimum interval between such requests.
+/// missed updates and requests a member list. Such requests are also at least this far apart.
 const DIGEST_MISMATCH_TIMEOUT: Duration = Duration::from_secs(2);
 /// A router with fewer members than this fraction of the sender's requests a member list at once.
 const MIN_MEMBER_FRACTION: f64 = 0.9;
@@ -108,7 +108,8 @@
         chunks.map(<[MemberUpdate]>::to_vec).collect()
     }
 
-    /// Random live members, for a sender with fewer members than this router.
+    /// Random live members, at most `UPDATES_PER_MESSAGE`, for a sender with fewer members than
+    /// this router.
     fn sample(&self, rng: &mut fastrand::Rng) -> Vec<MemberUpdate> {
         let routers = self.ring.iter().map(|(_, router)| *router);
         let chosen = rng.choose_multiple(routers, UPDATES_PER_MESSAGE);
--- a/crates/router/cloverpier_router_policy/src/membership/ring.rs
+++ b/crates/router/cloverpier_router_policy/src/membership/ring.rs
@@ -1,27 +1,28 @@
 //! The ring of routers, and failure detection of a router's predecessors on it.
 //!
 //! Defines the pending probes, which [`Membership`] holds. A router that was paused, or that receives no
-//! messages, declares no router dead, because the silence may be its own fault.
+//! messages, declares no other router dead, because its own pause or lost connection may explain the silence.
 
 use super::{MemberState, MemberUpdate, Membership};
 use cloverpier_core::hash_of;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How many successors on the ring receive each gossip message of a router and detect its silence. Two, as
-/// one of them may be dead, too.
+/// Number of successors on the ring that receive each gossip message of a router and detect its silence. There
+/// are two, because one of them may be dead, too.
 pub const SUCCESSORS: usize = 2;
 /// Silence of a predecessor after which it is probed: two and a half gossip periods.
 const PROBE_AFTER_SILENCE: Duration = Duration::from_millis(1_000);
 /// Interval between probes of one router.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
-/// Unanswered probes after which a router is declared dead, one interval after the last.
+/// Number of unanswered probes after which a router is declared dead, one interval after the last probe.
 const MAX_UNANSWERED_PROBES: u32 = 3;
 
 /// The silence of one predecessor, and the probes sent because of it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Probe {
-    /// When the silence began: at the predecessor's last message, or when this router began to watch it.
+    /// When the silence began: at the predecessor's last message, or when this router began to check the
+    /// predecessor.
     silent_since: Instant,
     probes_sent: u32,
     last_probe_at: Option<Instant>,
--- a/crates/router/cloverpier_router_policy/src/membership/update.rs
+++ b/crates/router/cloverpier_router_policy/src/membership/update.rs
@@ -26,7 +26,7 @@
     pub callers: SocketAddr,
     /// The data centre in which the router runs.
     pub data_centre: DataCentre,
-    /// Whether the router is alive, and whether it accepts new callers.
+    /// Whether the router is alive, and if so, its state between its start and its shutdown.
     pub state: MemberState,
     /// Orders updates about this router: the highest stamp is the newest. With equal stamps, `Dead` overrides
     /// `Alive`. The router raises its stamp with each change of its state, and to refute its death.
@@ -42,7 +42,7 @@
     pub callers: SocketAddr,
     /// The data centre in which the member runs.
     pub data_centre: &'a DataCentre,
-    /// Whether the member accepts new callers.
+    /// The member's state between its start and its shutdown.
     pub state: PeerState,
 }
 
@@ -51,10 +51,10 @@
 pub enum UpdateOutcome {
     /// The recorded state and address for callers stay the same, or the update was ignored.
     Unchanged,
-    /// The router had no record, or its state or address for callers changed.
+    /// The update's router had no record here, or its recorded state or address for callers changed.
     Changed,
-    /// The sender of a message is recorded as dead with a stamp at least as high as its own. It has to
-    /// receive that record, so that it refutes it with a higher stamp.
+    /// The sender of a message is recorded as dead with a stamp at least as high as its own. The sender has to
+    /// receive that record, and then refutes it with a higher stamp.
     RecordedDead,
 }
 
@@ -68,7 +68,7 @@
     pub wants_reply: bool,
     /// Number of live members in the sender's record, without the sender.
     pub members: usize,
-    /// The digest of the sender's record; see [`Membership::digest`].
+    /// The digest of the sender's record; see [`super::Membership::digest`].
     pub digest: u64,
     /// Updates about other routers.
     pub updates: &'a [MemberUpdate],
@@ -77,15 +77,16 @@
 /// The messages to send back to the sender of a gossip message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GossipReply {
-    /// Whether the sender had no record, is starting, or changed its state or address for callers. It may
-    /// then lack facts that other routers received earlier.
+    /// Whether the sender had no record here, is starting, or changed its state or address for callers. The
+    /// sender may then lack facts that other routers received earlier.
     pub is_new_or_changed: bool,
-    /// The record of the sender's death, which the sender has to refute; `None` if it is not recorded as dead.
+    /// This router's record of the sender as dead, which the sender has to refute; `None` if the sender is not
+    /// recorded as dead, or if its message already refuted the record.
     pub dead_update: Option<MemberUpdate>,
     /// Whether the sender is sent a gossip message.
     pub send_gossip: bool,
-    /// Random members to add to that gossip message; empty unless the sender has fewer members than this
-    /// router.
+    /// Random members to add to the gossip message for the sender; empty unless the sender requires a reply and
+    /// has fewer members than this router.
     pub sample: Vec<MemberUpdate>,
     /// Whether to request the sender's member list, because this router's record lacks members or updates.
     pub request_members: bool,
--- a/crates/router/cloverpier_router_policy/src/membership/update_queue.rs
+++ b/crates/router/cloverpier_router_policy/src/membership/update_queue.rs
@@ -30,8 +30,8 @@
         self.order.insert((0, router));
     }
 
-    /// Records that another router sent an update that this router has, too. It counts as one send, as it
-    /// shows that the update is spreading. `fleet_size` bounds the sends.
+    /// Records that another router sent an update that this router already has. That counts as one send by this
+    /// router, because it shows that the update is spreading. `fleet_size` bounds the number of sends.
     pub fn on_redundant_update(&mut self, router: SocketAddr, fleet_size: usize) {
         if let Some(sent) = self.sent.get(&router).copied() {
             self.order.remove(&(sent, router));
@@ -73,7 +73,7 @@
             taken.push(router);
         }
         for router in &taken {
-            // Without an entry, the update was never sent.
+            // A router without an entry has an update that was never sent.
             let sent = self.sent.get(router).copied().unwrap_or(0) + 1;
             self.requeue(*router, sent, fleet_size);
         }
--- a/crates/router/cloverpier_router_policy/src/peers.rs
+++ b/crates/router/cloverpier_router_policy/src/peers.rs
@@ -2,7 +2,7 @@
 //!
 //! - **Question.** Which router addresses does a caller receive that requests the directory?
 //! - **Inputs.** The contents and arrival times of peers' heartbeats; this router's own state.
-//! - **Answer.** Addresses of routers that are ready and alive.
+//! - **Result.** Addresses of routers that are ready and alive.
 //! - **Why.** The address of a dead router costs a caller a connection timeout; a missing address only makes
 //!   the load less even. But a router without a live, ready peer is probably cut off itself, and lists all
 //!   peers whose last heartbeat reported that they are ready.
@@ -23,7 +23,7 @@
 /// that routers discover each other again after a partition.
 const PEER_TTL: Duration = Duration::from_secs(60);
 
-/// Whether a router accepts new callers.
+/// The state of a router between its start and its shutdown. The directory for callers lists ready routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerState {
@@ -31,18 +31,18 @@
     Starting,
     /// The router serves requests.
     Ready,
-    /// The router has received its termination signal and accepts no new callers.
+    /// The router has received its termination signal. It still serves callers, but is not listed for new ones.
     Leaving,
 }
 
 /// The contents of a peer's last heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerEntry {
-    /// The address at which the peer serves callers.
+    /// The peer's address for callers.
     pub callers: SocketAddr,
     /// The data centre in which the peer runs.
     pub data_centre: DataCentre,
-    /// Whether the peer accepts new callers.
+    /// The peer's state between its start and its shutdown.
     pub state: PeerState,
     /// When the heartbeat arrived.
     pub last_heartbeat: Instant,
@@ -64,7 +64,7 @@
 pub struct ServiceKey(pub u64);
 
 impl ServiceKey {
-    /// Hashes a service's name.
+    /// The key of the service with this name: a hash that is the same in all routers.
     pub fn of(name: &ServiceName) -> Self {
         Self(hash_of(name.as_str()))
     }
@@ -99,8 +99,9 @@
         self.mentioned.insert(peer, now).is_none()
     }
 
-    /// Removes peers without a heartbeat, and mentions without a heartbeat or a new mention, for a minute.
-    pub fn forget_old(&mut self, now: Instant) {
+    /// Removes peers that have sent no heartbeat for a minute, and peers without any heartbeat that were last
+    /// mentioned more than a minute ago.
+    pub fn remove_expired(&mut self, now: Instant) {
         let is_recent = |at: &Instant| now.saturating_duration_since(*at) < PEER_TTL;
         self.peers.retain(|_, peer| is_recent(&peer.last_heartbeat));
         self.mentioned.retain(|_, at| is_recent(at));
--- a/crates/router/cloverpier_router_policy/src/store_ping.rs
+++ b/crates/router/cloverpier_router_policy/src/store_ping.rs
@@ -3,7 +3,7 @@
 //! - **Question.** When is the next ping, if any?
 //! - **Inputs.** The router's role as a watcher ([`crate::store_watch`]); the number of live routers; the
 //!   results of the last pings.
-//! - **Answer.** A pause, or none for a router that leaves the store to other watchers.
+//! - **Result.** A pause, or none for a router that leaves the store to other watchers.
 //! - **Why.** A ping costs a tenth of a call. A watcher's pings detect a store that stopped responding while
 //!   the watches are still waiting. A router that replaces a watcher pings before it watches. So a store that
 //!   is down for all routers receives only pings, spread over time, and if the store serves a few routers,
@@ -73,8 +73,8 @@
     }
 
     /// Records a ping's result. Each failed ping multiplies the pause by four, up to [`max_backoff`].
-    pub fn on_result(&mut self, is_answered: bool, role: WatcherRole, live_routers: usize) {
-        self.pause = if is_answered {
+    pub fn on_result(&mut self, has_succeeded: bool, role: WatcherRole, live_routers: usize) {
+        self.pause = if has_succeeded {
             None
         } else {
             let max_pause = max_backoff(role, live_routers);
--- a/crates/router/cloverpier_router_policy/src/store_watch.rs
+++ b/crates/router/cloverpier_router_policy/src/store_watch.rs
@@ -4,7 +4,7 @@
 //!   respond?
 //! - **Inputs.** The live peers, their data centres, and how long ago each peer's last call to the store
 //!   succeeded; the same for this router; whether its calls fail at present.
-//! - **Answer.** A [`WatcherRole`]; whether the loops that watch and ping call the store; the store age that
+//! - **Result.** A [`WatcherRole`]; whether the loops that watch and ping call the store; the store age that
 //!   is reported to peers.
 //! - **Why.** Each call to the store has a cost, and a pending watch counts as a call: if all of 65 routers
 //!   watched, calls would be the largest cost of an idle day. So three routers watch, and the others fetch
@@ -89,7 +89,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WatcherRole {
-    /// The router watches the store, because it is one of the first by rank.
+    /// The router watches the store, because it is one of the three preferred by rank and data centre.
     Chosen,
     /// The router replaces a watcher that does not reach the store: it pings the store, and watches if the
     /// store responds.
@@ -176,7 +176,7 @@
     struct Ranked<'a> {
         rank: (u64, SocketAddr),
         data_centre: &'a DataCentre,
-        /// `None` for this router.
+        /// The router's report as a peer; `None` for this router.
         peer: Option<&'a ReadyPeer>,
     }
     let others = peers.iter().map(|peer| Ranked {
--- a/crates/router/cloverpier_router_policy/src/version_fetch.rs
+++ b/crates/router/cloverpier_router_policy/src/version_fetch.rs
@@ -4,7 +4,7 @@
 //!   it fetched, now or later?
 //! - **Inputs.** The version in force here; the versions that live peers reported; the peers at which the
 //!   last fetch failed or that were busy.
-//! - **Answer.** A [`FetchStep`].
+//! - **Result.** A [`FetchStep`].
 //! - **Why.** Most routers do not watch the store, and receive versions from peers. Right after a change only
 //!   the watchers have the new version, and all other routers request it at the same moment, over links that
 //!   carry a large configuration a few times a second ([`crate::version_serving`]). So a router sends no
@@ -34,7 +34,7 @@
 /// than [`COMPARE_PERIOD`], because the comparison goes over all peers, and because gossip messages report
 /// their senders' versions and start a comparison when one is newer.
 pub const LARGE_FLEET_COMPARE_PERIOD: Duration = Duration::from_secs(2);
-/// Pause after a fetch that failed.
+/// Pause of a router between a failed fetch and its next one.
 pub const FAILURE_PAUSE: Duration = Duration::from_millis(100);
 /// How long a peer is avoided after a failed fetch from it, while another peer has a newer version. It is
 /// about the time after which a dead peer is detected.
--- a/crates/router/cloverpier_router_policy/src/version_serving.rs
+++ b/crates/router/cloverpier_router_policy/src/version_serving.rs
@@ -3,7 +3,7 @@
 //! - **Question.** A peer requests the configuration. Does it receive a copy now, or after what time should
 //!   it send the request again?
 //! - **Inputs.** Size of the copy; bandwidth of the VM's link; the copies sent before.
-//! - **Answer.** A [`CopyStep`].
+//! - **Result.** A [`CopyStep`].
 //! - **Why.** Right after a change, three routers have the configuration and all others request it from them.
 //!   If a router sent 23 copies of 150 kB at once over a link of 10 Mbit/s, they would occupy the link for
 //!   2.8 s: no copy would be complete before, and heartbeats, readiness responses and callers would wait
@@ -19,8 +19,8 @@
 /// readiness responses.
 const COPY_LINK_SHARE: f64 = 0.5;
 /// Maximum time that copies already sent may still need at their share of the link when a further one is
-/// sent, so that small copies need no pacing. At 10 Mbit/s it is 31 kB. Other traffic waits half as long behind
-/// them, because they then use the whole link.
+/// sent, so that small copies need no pacing. At 10 Mbit/s, copies of 31 kB take this time. Other traffic waits
+/// half as long behind these copies, because they can use the whole link while they are transmitted.
 const MAX_BACKLOG: Duration = Duration::from_millis(50);
 
 /// Bandwidth of a VM's network link.
@@ -57,7 +57,7 @@
 /// Tracks when the link will have transmitted the copies sent so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CopyPacing {
-    /// When the copies sent so far are transmitted, at their share of the link; `None` before the first one.
+    /// When the link will have transmitted the copies sent so far; `None` before the first copy.
     link_free_at: Option<Instant>,
 }
 
--- a/crates/router/cloverpier_router_policy/src/watcher_reports.rs
+++ b/crates/router/cloverpier_router_policy/src/watcher_reports.rs
@@ -2,7 +2,7 @@
 //!
 //! - **Question.** How long ago did each watcher's last call to the store succeed?
 //! - **Inputs.** The reports of watchers, as other routers forwarded them; the current time.
-//! - **Answer.** The age of each watcher's last successful call; the reports for the next gossip message.
+//! - **Result.** The age of each watcher's last successful call; the reports for the next gossip message.
 //! - **Why.** Routers that don't watch the store rely on the watchers ([`crate::store_watch`]), and replace
 //!   watchers that don't reach the store. In a large fleet a watcher does not send to all routers. Instead,
 //!   gossip messages carry the last report of each watcher, and each router that forwards a report adds the
@@ -77,7 +77,7 @@
             .map(|entry| entry.store_age(now))
     }
 
-    /// The routers whose reports are recent, which watch the store or try to.
+    /// The routers that watch the store or try to, as their recent reports show.
     pub fn watchers(&self, now: Instant) -> Vec<SocketAddr> {
         self.recent_reports(now)
             .map(|entry| entry.report.router)
@@ -98,7 +98,7 @@
     }
 
     /// Removes expired reports.
-    pub fn forget_old(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         let is_recent =
             |entry: &ReceivedReport| now.saturating_duration_since(entry.received_at) <= REPORT_TTL;
         self.reports.retain(|_, entry| is_recent(entry));
--- a/crates/router/cloverpier_router_policy/tests/routers.rs
+++ b/crates/router/cloverpier_router_policy/tests/routers.rs
@@ -121,7 +121,7 @@
     assert_eq!(directory.addresses(), [address(1)]);
     directory.on_heartbeat(address(1), entry(11, PeerState::Ready, start));
     assert_eq!(directory.addresses(), [address(1)]);
-    directory.forget_old(start + Duration::from_secs(90));
+    directory.remove_expired(start + Duration::from_secs(90));
     assert!(directory.addresses().is_empty());
 }
 
