--- a/crates/router/cloverpier_router_policy/src/configuration.rs
+++ b/crates/router/cloverpier_router_policy/src/configuration.rs
@@ -18,13 +18,14 @@
 /// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Maximum size in bytes of a request's line and headers.
+    /// Maximum size in bytes of a request's line and headers; at least the minimum of the HTTP library.
     pub header_bytes: usize,
     /// Maximum size in bytes of a request's body.
     pub body_bytes: usize,
-    /// Timeout for receiving a request's line and headers.
+    /// Timeout for receiving a request's line and headers. As one timer covers this and idle connections, the
+    /// router applies the larger of this and `idle_timeout`.
     pub header_timeout: Duration,
-    /// How long a connection may be idle.
+    /// How long a connection may be idle between requests; see `header_timeout`.
     pub idle_timeout: Duration,
 }
 
--- a/crates/router/cloverpier_router_policy/src/membership.rs
+++ b/crates/router/cloverpier_router_policy/src/membership.rs
@@ -9,10 +9,10 @@
 //! - **Why.** The number of messages that a router sends and receives, and the time until an update reaches
 //!   all routers, must not grow in proportion to the fleet. The routers form a ring, ordered by the hashes of
 //!   their addresses. Each router sends every gossip message to its next [`SUCCESSORS`] routers on the ring,
-//!   which detect its silence, and to a few random routers. A successor probes a silent router and declares the router dead if
-//!   no message arrives. Gossip messages carry each update several times, so that an update reaches all
-//!   routers after a number of rounds that grows with the logarithm of the fleet size. A router that
-//!   receives an update that declares it dead refutes the update with a higher stamp.
+//!   which detect its silence, and to a few random routers. A successor probes a silent router and declares
+//!   the router dead if no message arrives. A router sends each update with several gossip messages, so that
+//!   the update reaches all routers after a number of rounds that grows with the logarithm of the fleet size.
+//!   A router that receives an update that declares it dead refutes the update with a higher stamp.
 //!
 //! The protocol is SWIM (Das, Gupta, Motivala, 2002): probes, and updates piggybacked on other messages.
 //! Unlike in SWIM, gossip messages also go to fixed neighbours, so that silence is detected without a probe
