--- a/crates/router/cloverpier_router_policy/src/upstream_table/statements.rs
+++ b/crates/router/cloverpier_router_policy/src/upstream_table/statements.rs
@@ -6,7 +6,7 @@
 //! Owns no state besides that of [`UpstreamTable`].
 
 use super::UpstreamTable;
-use crate::dissemination::REPEATED_FOR;
+use crate::dissemination::REPEAT_WINDOW;
 use crate::leaving::LeavingReport;
 use crate::upstream::{Upstream, UpstreamKey, UpstreamState};
 use cloverpier_core::{ServiceName, UpstreamName, Wait};
@@ -93,7 +93,7 @@
     /// Reports of upstreams that have been known to leave for less than
     /// [`REPEATED_FOR`], which are sent to peers repeatedly.
     pub fn recent_leaving_reports(&self, now: Instant) -> Vec<LeavingReport> {
-        let new = self.leaving_upstreams.reported_within(REPEATED_FOR, now);
+        let new = self.leaving_upstreams.reported_within(REPEAT_WINDOW, now);
         self.leaving_upstreams.reports(new, now)
     }
 
--- a/crates/router/cloverpier_router_policy/tests/crash_reports.rs
+++ b/crates/router/cloverpier_router_policy/tests/crash_reports.rs
@@ -5,7 +5,7 @@
 use cloverpier_crashes::prelude::*;
 use cloverpier_router_policy::crash_reports::{is_reported, split_into_messages};
 use cloverpier_router_policy::dissemination::{
-    REPEATED_FOR, is_repeated, may_have_missed, sends_missed,
+    REPEAT_WINDOW, is_within_repeat_window, may_have_missed_facts, sends_missed_facts,
 };
 use cloverpier_router_policy::prelude::*;
 use std::time::{Duration, Instant};
@@ -49,12 +49,12 @@
     let now = Instant::now();
     let previous = entry(9, now);
     let soon = now + Duration::from_millis(400);
-    let missed = |entry: &PeerEntry| may_have_missed(Some(&previous), entry, timeout);
+    let missed = |entry: &PeerEntry| may_have_missed_facts(Some(&previous), entry, timeout);
     assert!(!missed(&entry(9, soon)));
     assert!(!missed(&entry(10, soon)));
     assert!(missed(&entry(0, soon)));
     assert!(missed(&entry(9, now + timeout * 2)));
-    assert!(may_have_missed(None, &entry(9, now), timeout));
+    assert!(may_have_missed_facts(None, &entry(9, now), timeout));
 }
 
 #[test]
@@ -62,13 +62,17 @@
     let now = Instant::now();
     let (previous, restarted) = (entry(0, now), entry(0, now + Duration::from_millis(313)));
     let timeout = Duration::from_millis(1_100);
-    assert!(may_have_missed(Some(&previous), &restarted, timeout));
+    assert!(may_have_missed_facts(Some(&previous), &restarted, timeout));
 }
 
 #[test]
 fn in_a_large_fleet_only_some_peers_send_missed_facts() {
     let mut rng = fastrand::Rng::with_seed(1);
-    let mut senders = |peers: usize| (0..peers).filter(|_| sends_missed(peers, &mut rng)).count();
+    let mut senders = |peers: usize| {
+        (0..peers)
+            .filter(|_| sends_missed_facts(peers, &mut rng))
+            .count()
+    };
     assert_eq!(senders(7), 7);
     let sender_counts: Vec<usize> = (0..50).map(|_| senders(295)).collect();
     assert!(
@@ -80,9 +84,9 @@
 #[test]
 fn facts_are_repeated_for_a_limited_time() {
     let now = Instant::now();
-    assert!(!is_repeated(None, now));
-    assert!(is_repeated(Some(now), now + REPEATED_FOR / 2));
-    assert!(!is_repeated(Some(now), now + REPEATED_FOR));
+    assert!(!is_within_repeat_window(None, now));
+    assert!(is_within_repeat_window(Some(now), now + REPEAT_WINDOW / 2));
+    assert!(!is_within_repeat_window(Some(now), now + REPEAT_WINDOW));
 }
 
 /// A report with the maximum number of crashes that are kept for one content, each of the maximum size.
