--- a/crates/router/cloverpier_router/src/rollout_store.rs
+++ b/crates/router/cloverpier_router/src/rollout_store.rs
@@ -13,7 +13,7 @@
 };
 use cloverpier_core::ServiceName;
 use cloverpier_router_policy::prelude::*;
-use cloverpier_router_policy::rollout::book::new_view;
+use cloverpier_router_policy::rollout::registry::new_view;
 use cloverpier_router_policy::rollout::schedule::Step;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/crates/router/cloverpier_router/src/rollouts.rs
+++ b/crates/router/cloverpier_router/src/rollouts.rs
@@ -14,10 +14,10 @@
 use cloverpier_router_policy::attempt_failure::AttemptFailure;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::rollout::OrderId;
+use cloverpier_router_policy::rollout::assessment::Objection;
 use cloverpier_router_policy::rollout::evidence::{
     EvidenceReport, Measure, Observed, OpenId, OwnEvidence, RouteKey,
 };
-use cloverpier_router_policy::rollout::judgement::Objection;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Instant;
--- a/crates/router/cloverpier_router_policy/src/rollout/judgement.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/assessment.rs
@@ -23,7 +23,7 @@
 //! Owns no state.
 
 use super::evidence::{AnswerCounts, Arm, Evidence, EvidenceKey, Measure, RouteKey};
-use super::times::TimeSize;
+use super::time_histogram::TimeSize;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/router/cloverpier_router_policy/src/rollout/evidence.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/evidence.rs
@@ -15,7 +15,7 @@
 pub use fleet::FleetEvidence;
 pub use own::{Observed, OpenId, OwnEvidence};
 
-use super::times::TimeCounts;
+use super::time_histogram::TimeCounts;
 use super::{OrderId, Stage};
 use cloverpier_core::hash_of;
 use serde::{Deserialize, Serialize};
--- a/crates/router/cloverpier_router_policy/src/rollout/mod.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/mod.rs
@@ -17,19 +17,19 @@
 //! | concern | module |
 //! | --- | --- |
 //! | which versions an attempt may go to | [`versions`] |
-//! | how attempts went, at this router and at all | [`evidence`], [`times`] |
-//! | is the new version worse | [`judgement`] |
+//! | how attempts went, at this router and at all | [`evidence`], [`time_histogram`] |
+//! | is the new version worse | [`assessment`] |
 //! | which stage comes next, and when | [`schedule`] |
-//! | the orders that a router knows | [`book`] |
+//! | the orders that a router knows | [`registry`] |
 //!
 //! Any router can decide; those that watch the store do, as the others report to them.
 //! Two of them that disagree for a moment converge: a [`Progress`] only grows ([`Progress::join`]).
 
-pub mod book;
+pub mod assessment;
 pub mod evidence;
-pub mod judgement;
+pub mod registry;
 pub mod schedule;
-pub mod times;
+pub mod time_histogram;
 pub mod versions;
 
 use cloverpier_core::{ServiceName, SoftwareVersion, hash_of};
@@ -37,7 +37,7 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-pub use book::{OrderUpdate, RolloutBook};
+pub use registry::{OrderUpdate, RolloutBook};
 pub use versions::{CanarySet, VersionRule};
 
 /// Identifies an order: the same service, version and time ordered again is another one.
--- a/crates/router/cloverpier_router_policy/src/rollout/schedule.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/schedule.rs
@@ -16,8 +16,8 @@
 //!
 //! Owns no state.
 
+use super::assessment::{Judgement, Objection, doubt, judge};
 use super::evidence::{Arm, FleetEvidence, Measure, SentCounts};
-use super::judgement::{Judgement, Objection, doubt, judge};
 use super::{Permille, Progress, Stage};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/crates/router/cloverpier_router_policy/src/rollout/versions.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/versions.rs
@@ -1,6 +1,6 @@
 //! Which versions an attempt may go to.
 //!
-//! Relies on [`super::book`] for the stage; draws nothing itself but the set of upstreams that are
+//! Relies on [`super::registry`] for the stage; draws nothing itself but the set of upstreams that are
 //! tried first, which is the same at all routers that know the same list. Owns no state.
 
 use crate::upstream::UpstreamState;
--- a/crates/router/cloverpier_router_policy/tests/rollout.rs
+++ b/crates/router/cloverpier_router_policy/tests/rollout.rs
@@ -3,12 +3,12 @@
 use cloverpier_core::{ServiceName, SoftwareVersion, UpstreamName};
 use cloverpier_router_policy::attempt_failure::AttemptFailure;
 use cloverpier_router_policy::prelude::*;
-use cloverpier_router_policy::rollout::book::{UNORDERED_HOLD, new_view};
+use cloverpier_router_policy::rollout::assessment::{Fault, Judgement, judge};
 use cloverpier_router_policy::rollout::evidence::{
     AnswerCounts, Arm, Evidence, EvidenceKey, EvidenceReport, FleetEvidence, Measure, Observed,
     OwnEvidence, RouteKey, SentCounts,
 };
-use cloverpier_router_policy::rollout::judgement::{Fault, Judgement, judge};
+use cloverpier_router_policy::rollout::registry::{UNORDERED_HOLD, new_view};
 use cloverpier_router_policy::rollout::schedule::{
     ExposureBounds, Situation, Step, first_progress, step,
 };
--- a/tools/src/rollout_play/routers.rs
+++ b/tools/src/rollout_play/routers.rs
@@ -4,7 +4,7 @@
 use super::world::{Event, ORDER_AT, World};
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::rollout::RolloutBook;
-use cloverpier_router_policy::rollout::book::new_view;
+use cloverpier_router_policy::rollout::registry::new_view;
 use cloverpier_router_policy::rollout::schedule::{ExposureBounds, Situation, Step, step};
 use std::net::SocketAddr;
 use std::time::Duration;
