--- a/crates/router/cloverpier_router/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -195,7 +195,7 @@
 
     async fn attempt(&mut self, upstream: &Upstream) -> Result<Reply, AttemptFailure> {
         rollouts::on_sent(self.router, self.request, upstream);
-        let measuring = rollouts::measure(self.router, self.request, upstream, Measure::Answer);
+        let measuring = rollouts::measure(self.router, self.request, upstream, Measure::Response);
         let load = LoadGuard::begin(self.router, &upstream.name, self.request.load());
         let sent_at = self.router.now();
         let mut liveness = Liveness::new(self.bounds(), sent_at);
--- a/crates/router/cloverpier_router/src/rollout_state.rs
+++ b/crates/router/cloverpier_router/src/rollout_state.rs
@@ -4,7 +4,7 @@
 use crate::source::StoredRollout;
 use cloverpier_core::ServiceName;
 use cloverpier_router_policy::prelude::*;
-use cloverpier_router_policy::rollout::RolloutBook;
+use cloverpier_router_policy::rollout::RolloutRegistry;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use tokio::sync::Notify;
@@ -12,7 +12,7 @@
 /// The orders that this router knows.
 #[derive(Debug, Default)]
 pub(crate) struct Rollouts {
-    pub book: RefCell<RolloutBook>,
+    pub book: RefCell<RolloutRegistry>,
     /// Orders as the store holds them, by service, at routers that read it.
     pub stored: RefCell<HashMap<ServiceName, StoredRollout>>,
     /// Wakes the loop that takes the steps.
--- a/crates/router/cloverpier_router/src/rollout_steps.rs
+++ b/crates/router/cloverpier_router/src/rollout_steps.rs
@@ -13,7 +13,7 @@
 use cloverpier_core::ServiceName;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::rollout::evidence::EvidenceReport;
-use cloverpier_router_policy::rollout::schedule::{Situation, Step, step};
+use cloverpier_router_policy::rollout::schedule::{Step, StepInput, step};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -30,7 +30,7 @@
     let mut turns = WriteTurns::default();
     loop {
         let now = router.now();
-        let is_quiet = router.rollouts.book.borrow().told_views(now).is_empty();
+        let is_quiet = router.rollouts.book.borrow().views_to_send(now).is_empty();
         if is_quiet {
             router.rollouts.changed().await;
         } else {
@@ -125,7 +125,7 @@
     };
     match step {
         Step::Stay | Step::Complete => {}
-        Step::Go(next) => on_decided(router, service, next, None, now),
+        Step::Update(next) => on_decided(router, service, next, None, now),
         Step::RollBack(objection) => {
             let next = Progress {
                 stage: Stage::RolledBack,
@@ -147,10 +147,10 @@
     let table = router.upstreams.borrow();
     let mut book = router.rollouts.book.borrow_mut();
     let rollout = book.get_mut(service)?;
-    rollout.fleet.remember(now);
+    rollout.fleet.take_snapshot(now);
     let order = rollout.active()?;
     let progress = rollout.view.progress;
-    let step = step(&Situation {
+    let step = step(&StepInput {
         now,
         known_since: rollout.known_since,
         stage_since: rollout.stage_since,
--- a/crates/router/cloverpier_router/src/rollouts.rs
+++ b/crates/router/cloverpier_router/src/rollouts.rs
@@ -14,9 +14,9 @@
 use cloverpier_router_policy::attempt_failure::AttemptFailure;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::rollout::OrderId;
-use cloverpier_router_policy::rollout::assessment::Objection;
+use cloverpier_router_policy::rollout::assessment::Regression;
 use cloverpier_router_policy::rollout::evidence::{
-    EvidenceReport, Measure, Observed, OpenId, OwnEvidence, RouteKey,
+    EvidenceReport, Measure, MeasurementId, ObservedAttempt, OwnEvidence, RouteKey,
 };
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -43,9 +43,9 @@
     for view in views {
         let service = view.service.clone();
         let update = router.rollouts.book.borrow_mut().on_view(view, now);
-        has_update |= update != OrderUpdate::Nothing;
+        has_update |= update != OrderUpdate::Unchanged;
         match update {
-            OrderUpdate::Nothing => {}
+            OrderUpdate::Unchanged => {}
             OrderUpdate::Ordered => log_order(router, &service, from),
             OrderUpdate::Withdrawn => {
                 log_order(router, &service, from);
@@ -65,7 +65,7 @@
     router: &Router,
     service: &ServiceName,
     progress: Progress,
-    objection: Option<&Objection>,
+    objection: Option<&Regression>,
     now: Instant,
 ) {
     let mut book = router.rollouts.book.borrow_mut();
@@ -80,7 +80,7 @@
 
 /// Sends peers the orders that are under way, and those that ended recently.
 pub(crate) fn notify_peers(router: &Router, to: Recipients, now: Instant) {
-    let views = router.rollouts.book.borrow().told_views(now);
+    let views = router.rollouts.book.borrow().views_to_send(now);
     if views.is_empty() {
         return;
     }
@@ -109,7 +109,12 @@
     router.log.info("rollout.ordered", &line);
 }
 
-fn log_progress(router: &Router, service: &ServiceName, from: &str, objection: Option<&Objection>) {
+fn log_progress(
+    router: &Router,
+    service: &ServiceName,
+    from: &str,
+    objection: Option<&Regression>,
+) {
     let book = router.rollouts.book.borrow();
     let Some(rollout) = book.get(service) else {
         return;
@@ -122,17 +127,17 @@
         service: service.as_str(),
         target: order.map(|order| order.target.as_str()),
         stage: progress.stage,
-        share: progress.share.part(),
+        share: progress.share.as_fraction(),
         round: progress.round,
         is_confirmed: progress.is_confirmed,
         sent_to_target: sent.target,
         sent_to_former: sent.former,
-        fault: objection.map(|o| format!("{:?}", o.fault)),
+        fault: objection.map(|o| format!("{:?}", o.kind)),
         route: objection.and_then(|o| o.route),
         bad: objection.map(|o| o.bad),
-        answers: objection.map(|o| o.answers),
-        former_part: objection.map(|o| o.former_part),
-        ratio: objection.map(|o| o.ratio),
+        answers: objection.map(|o| o.responses),
+        former_part: objection.map(|o| o.former_bad_share),
+        ratio: objection.map(|o| o.likelihood_ratio),
         from,
     };
     router.log.info("rollout.progressed", &line);
@@ -181,8 +186,8 @@
         })
     }
 
-    fn observed(&self) -> Observed<'_> {
-        Observed {
+    fn observed(&self) -> ObservedAttempt<'_> {
+        ObservedAttempt {
             upstream: &self.upstream,
             start: self.start,
             is_target: self.is_target,
@@ -204,7 +209,7 @@
 pub(crate) struct Measuring {
     router: Rc<Router>,
     subject: Subject,
-    id: OpenId,
+    id: MeasurementId,
 }
 
 impl Measuring {
@@ -213,14 +218,15 @@
         let now = self.router.now();
         let (id, observed) = (self.id, self.subject.observed());
         self.subject
-            .record(&self.router, |own| own.on_answer(id, observed, now));
+            .record(&self.router, |own| own.on_response(id, observed, now));
     }
 }
 
 impl Drop for Measuring {
     fn drop(&mut self) {
         let id = self.id;
-        self.subject.record(&self.router, |own| own.on_end(id));
+        self.subject
+            .record(&self.router, |own| own.cancel_timing(id));
     }
 }
 
@@ -240,7 +246,9 @@
 ) -> Option<Measuring> {
     let subject = Subject::of(router, request, upstream)?;
     let now = router.now();
-    let id = subject.record(router, |own| own.begin(subject.observed(), measure, now))?;
+    let id = subject.record(router, |own| {
+        own.start_timing(subject.observed(), measure, now)
+    })?;
     Some(Measuring {
         router: Rc::clone(router),
         subject,
--- a/crates/router/cloverpier_router/src/stream/measured.rs
+++ b/crates/router/cloverpier_router/src/stream/measured.rs
@@ -29,7 +29,7 @@
             return Measured::Nothing;
         }
         let (router, request) = (&self.router, &self.request);
-        match rollouts::measure(router, request, upstream, Measure::Answer) {
+        match rollouts::measure(router, request, upstream, Measure::Response) {
             Some(measuring) => Measured::First(measuring),
             None => Measured::Nothing,
         }
--- a/crates/router/cloverpier_router/tests/peer_messages.rs
+++ b/crates/router/cloverpier_router/tests/peer_messages.rs
@@ -10,7 +10,7 @@
 use cloverpier_router_policy::leaving::in_messages;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::rollout::evidence::{
-    AnswerCounts, Arm, EvidenceKey, EvidenceReport, Measure, RouteKey, SentCounts,
+    Arm, EvidenceKey, EvidenceReport, Measure, ResponseCounts, RouteKey, SentCounts,
 };
 use cloverpier_router_policy::rollout::{OrderId, Permille};
 use serde::Serialize;
@@ -194,7 +194,7 @@
         }),
         progress: Progress {
             stage: Stage::Load,
-            share: Permille::of(0.25),
+            share: Permille::from_fraction(0.25),
             round: 3,
             is_confirmed: false,
         },
@@ -212,15 +212,15 @@
         views: vec![rollout_view(), withdrawn],
     });
     assert_is_golden("rollouts", &news);
-    let mut counts = AnswerCounts {
+    let mut counts = ResponseCounts {
         failed: 4,
-        ..AnswerCounts::default()
+        ..ResponseCounts::default()
     };
     counts.times.add(Duration::from_millis(30));
-    counts.awaited.add(Duration::from_millis(120));
+    counts.pending.add(Duration::from_millis(120));
     let key = EvidenceKey {
         route: RouteKey(81),
-        measure: Measure::Answer,
+        measure: Measure::Response,
         arm: Arm::Target(5),
     };
     let evidence = PeerMessage::RolloutEvidence(RolloutEvidence {
--- a/crates/router/cloverpier_router_policy/src/choice/candidates.rs
+++ b/crates/router/cloverpier_router_policy/src/choice/candidates.rs
@@ -38,7 +38,7 @@
 ) -> Vec<Vec<&'a UpstreamState>> {
     let sets = demand
         .versions
-        .sets(table.of_service(demand.service).collect());
+        .candidate_sets(table.of_service(demand.service).collect());
     let suspect_data_centres = table.suspect_data_centres(demand.service, demand.now);
     let failed_data_centres = failed_data_centres(table, demand);
     let untried = |s: &UpstreamState| {
--- a/crates/router/cloverpier_router_policy/src/replica.rs
+++ b/crates/router/cloverpier_router_policy/src/replica.rs
@@ -66,7 +66,7 @@
         return None;
     }
     let is_kept = state.is_usable(now) && replica.start == Some(state.start());
-    let is_allowed = !versions.bars(state.upstream.version());
+    let is_allowed = !versions.excludes(state.upstream.version());
     (is_kept && is_allowed).then(|| replica.engine.clone())
 }
 
@@ -84,7 +84,7 @@
         .of_service(demand.service)
         .filter(|s| s.is_usable(demand.now) && s.upstream.name != primary.name)
         .filter(|s| !s.is_suspected_by_peer(demand.now))
-        .filter(|s| demand.versions.takes_replica(s))
+        .filter(|s| demand.versions.may_hold_replica(s))
         // What is copied there is work that it did not ask for.
         .filter(|s| !demand.limits.is_limited(s.key))
         .filter(|s| fits(table, demand, s, memory))
--- a/crates/router/cloverpier_router_policy/src/rollout/assessment.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/assessment.rs
@@ -1,184 +1,191 @@
-//! Whether a new version is worse than those before it.
+//! Whether a target version is worse than the previous versions.
 //!
-//! - **Question.** Do the answers seen so far show that the new version is bad?
-//! - **Inputs.** Failures and times of both versions by route; of the new version by group of
-//!   upstreams; how many upstreams the new version has.
-//! - **Answer.** A [`Judgement`].
-//! - **Why.** The test may be read after each answer, as often as one likes, and still raises a
-//!   false alarm as rarely as it says. It is a mixture of Wald's sequential probability ratio
-//!   tests (A. Wald, Sequential tests of statistical hypotheses, 1945) over how much worse the
-//!   version may be: the likelihood of what was seen if the version is worse, divided by its
-//!   likelihood if it is as the former ones are at worst. By Ville's inequality a good version
-//!   raises that ratio above a bound with a probability of at most one in the bound (H. Robbins,
-//!   Statistical methods related to the law of the iterated logarithm, 1970). Tools for roll-outs
-//!   that operators know compare at fixed moments (Kayenta, Argo Rollouts, Flagger, as far as
-//!   published); here each second counts.
+//! - **Question.** Do the responses so far show that the target version is bad?
+//! - **Inputs.** Failures and response times at both versions by route, and at the target version
+//!   also by group of upstreams; the number of upstreams of the target version.
+//! - **Outcome.** An [`Assessment`].
+//! - **Why.** The test may be evaluated after each response, any number of times, and its rate of
+//!   false alarms still stays within the stated bound. The test is a mixture of Wald's sequential
+//!   probability ratio tests (A. Wald, Sequential tests of statistical hypotheses, 1945) over how
+//!   much worse the version may be: the likelihood of the responses if the version is worse,
+//!   divided by their likelihood if the version is at most as bad as the previous ones may be. By
+//!   Ville's inequality, a good version raises that ratio above a bound with a probability of at
+//!   most one divided by the bound (H. Robbins, Statistical methods related to the law of the
+//!   iterated logarithm, 1970). Roll-out tools that operators use compare at fixed moments
+//!   (Kayenta, Argo Rollouts, Flagger, as far as published); a bad version here has to be found
+//!   within seconds.
 //!
-//! Failures and slow answers are tested apart, on each route and on all together, so a fault on
-//! one route is found. An answer is slow that takes several times as long as the median of the
-//! former versions on its route, and so is one that is awaited for this long: a version that takes
-//! five times as long is seen after three times the usual time. One bad upstream among several is
-//! not a bad version: what is left without the worst group has to be suspicious, too.
+//! Failures and slow responses are tested separately, on each route and on all routes together, so
+//! that a regression on one route is found. A response is slow if it takes several times the median
+//! of the previous versions on its route. A pending response counts as slow as soon as it has taken
+//! that long: a version that takes five times as long is detected after three times the usual
+//! time. One bad upstream among several is not a bad version: the responses without those of the
+//! worst group have to be suspicious, too.
 //!
 //! Owns no state.
 
-use super::evidence::{AnswerCounts, Arm, Evidence, EvidenceKey, Measure, RouteKey};
-use super::time_histogram::TimeSize;
+use super::evidence::{Arm, Evidence, EvidenceKey, Measure, ResponseCounts, RouteKey};
+use super::time_histogram::TimeBucket;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How much of the good answers of a version may be bad answers at a worse one, each with the
-/// same weight.  A tenth or a twentieth takes hundreds of answers to see, nine tenths a few.
-const WORSE_BY: [f64; 5] = [0.03, 0.1, 0.25, 0.5, 0.9];
-/// The ratio from which on a version is bad. Some ten tests are read at once (three on each of
-/// three routes, and on all), each over five spans, so that by this bound a good version is taken
-/// for bad in at most one of 40 roll-outs.
-const BAD_FROM: f64 = 2_000.0;
-/// The ratio that the answers without the worst group have to reach.
-const BAD_WITHOUT_WORST_FROM: f64 = 20.0;
-/// The ratio from which on a version is not trusted with more requests.
-const SUSPICIOUS_FROM: f64 = 20.0;
-/// The ratio from which on, over all answers since the order, it does not get all requests.
-const DOUBTFUL_FROM: f64 = 2.0;
-/// A part of bad answers below this counts as none: upstreams answer with a failure
-/// of their own now and then.
-const MIN_BAD_PART: f64 = 0.02;
-/// And one above this leaves nothing to be worse than.
-const MAX_BAD_PART: f64 = 0.95;
-/// The former versions' part of bad answers is taken as this many standard errors higher than seen,
-/// as it is only estimated.
+/// The alternatives of the test: the fraction of otherwise good responses that a worse version
+/// turns bad. All have the same weight. A fraction of 0.1 or less takes hundreds of responses to
+/// detect, and 0.9 takes a few.
+const EXCESS_BAD_SHARES: [f64; 5] = [0.03, 0.1, 0.25, 0.5, 0.9];
+/// The likelihood ratio at which a version is bad. About ten tests are evaluated together (three
+/// kinds of regression on each of three routes, and on all), each over five time spans, so this
+/// bound limits false alarms to one roll-out in 40.
+const BAD_RATIO: f64 = 2_000.0;
+/// The likelihood ratio that the responses without the worst group's must reach for a bad version.
+const BAD_RATIO_WITHOUT_WORST: f64 = 20.0;
+/// The likelihood ratio at which a version receives no larger share of the requests.
+const SUSPICIOUS_RATIO: f64 = 20.0;
+/// The likelihood ratio, over all responses since the order, at which a version is not promoted to
+/// all requests.
+const PROMOTION_BLOCKING_RATIO: f64 = 2.0;
+/// Lower limit of the assumed share of bad responses at the previous versions: upstreams
+/// occasionally fail by themselves, and such failures are no regression.
+const MIN_BASELINE_BAD_SHARE: f64 = 0.02;
+/// Upper limit of the assumed share of bad responses at the previous versions: with a higher share
+/// no version could be measurably worse.
+const MAX_BASELINE_BAD_SHARE: f64 = 0.95;
+/// The share of bad responses at the previous versions is assumed this many standard errors above
+/// the measured share, which is only an estimate.
 const STANDARD_ERRORS: f64 = 2.0;
-/// Times of the former versions from which on they have a median.
-const MIN_TIMES: u32 = 8;
+/// Response times of the previous versions that a median requires.
+const MIN_MEDIAN_SAMPLES: u32 = 8;
 
-/// No answer is slow that takes less: on a VM with an eighth of a core an answer waits as long for
-/// its turn.
-const MIN_SLOW: Duration = Duration::from_millis(12);
+/// No response is slow that takes less: on a VM with an eighth of a core, a response may wait that
+/// long just for the CPU.
+const MIN_SLOW_TIME: Duration = Duration::from_millis(12);
 
-/// What is wrong with answers.
+/// The way in which responses of the target version are worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fault {
-    /// They are failures.
+pub enum RegressionKind {
+    /// More responses are failures.
     Fails,
-    /// They take several times as long.
+    /// More responses take several times the previous versions' median until they arrive.
     Slow,
-    /// They go on several times as slowly once begun.
+    /// More streams take several times the previous versions' median for the events after the first.
     SlowPace,
 }
 
-/// What speaks most against a version.
+/// The strongest evidence against a target version: one kind of regression on one route or on all.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Objection {
-    /// The route; `None` for all together.
+pub struct Regression {
+    /// The route of the counted responses; `None` for all routes together.
     pub route: Option<RouteKey>,
-    /// What is wrong.
-    pub fault: Fault,
-    /// Bad answers among `answers`.
+    /// The way in which the responses are worse.
+    pub kind: RegressionKind,
+    /// The number of bad responses among `responses`.
     pub bad: u32,
-    /// Answers of the new version.
-    pub answers: u32,
-    /// The part of bad answers that the former versions may have at most.
-    pub former_part: f64,
-    /// How many times likelier the answers are if the version is worse.
-    pub ratio: f64,
-    /// The same without the worst group of upstreams; `None` where there is one group alone.
-    pub ratio_without_worst: Option<f64>,
-    /// Answers of the other groups.
-    pub answers_without_worst: u32,
+    /// The number of counted responses of the target version.
+    pub responses: u32,
+    /// The assumed share of bad responses at the previous versions, an upper estimate from 0 to 1.
+    pub former_bad_share: f64,
+    /// How many times likelier the responses are if the target version is worse than if it is not.
+    pub likelihood_ratio: f64,
+    /// The same ratio without the group of upstreams that has the most bad responses; `None` where only
+    /// one group has responses.
+    pub likelihood_ratio_without_worst: Option<f64>,
+    /// The number of responses of the other groups; 0 where only one group has responses.
+    pub responses_without_worst: u32,
 }
 
-/// What the answers say.
+/// The decision of the test on a target version.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Judgement {
-    /// Nothing speaks against the version.
-    Nothing,
-    /// Something does, not enough.
-    Suspicious(Objection),
-    /// One group of upstreams is bad; the others are not known to be.
-    OneGroup(Objection),
-    /// The version is bad.
-    Bad(Objection),
+pub enum Assessment {
+    /// No test found evidence against the version.
+    NoRegression,
+    /// The evidence against the version does not suffice to roll it back.
+    Suspicious(Regression),
+    /// One group of upstreams is bad, without sufficient evidence against the others.
+    OneGroup(Regression),
+    /// The version is bad, at more than one group of upstreams or at its only upstream.
+    Bad(Regression),
 }
 
-impl Judgement {
-    /// The severer of two judgements is the one that counts; of equal ones that of the higher
-    /// ratio, whose bits are ordered as it is since it is not negative.
+impl Assessment {
+    /// Orders assessments: by kind first, then by likelihood ratio. The ratio is never negative, so
+    /// its bits have the same order as its value.
     pub(crate) fn severity(&self) -> (u8, u64) {
         match self {
-            Self::Nothing => (0, 0),
-            Self::Suspicious(o) => (1, o.ratio.to_bits()),
-            Self::OneGroup(o) => (2, o.ratio.to_bits()),
-            Self::Bad(o) => (3, o.ratio.to_bits()),
+            Self::NoRegression => (0, 0),
+            Self::Suspicious(o) => (1, o.likelihood_ratio.to_bits()),
+            Self::OneGroup(o) => (2, o.likelihood_ratio.to_bits()),
+            Self::Bad(o) => (3, o.likelihood_ratio.to_bits()),
         }
     }
 }
 
-/// Judges a version with this number of upstreams.
-pub fn judge(evidence: &Evidence, upstreams: usize) -> Judgement {
+/// Assesses a target version that has this number of upstreams.
+pub fn assess(evidence: &Evidence, upstreams: usize) -> Assessment {
     let comparisons = comparisons(evidence);
-    let objections = comparisons.iter().map(|((route, fault), comparison)| {
-        let objection = comparison.objection(*route, *fault);
-        weigh(objection, upstreams)
+    let regressions = comparisons.iter().map(|((route, kind), comparison)| {
+        let regression = comparison.regression(*route, *kind);
+        classify(regression, upstreams)
     });
-    let severest = objections.max_by_key(Judgement::severity);
-    // Without a comparison nothing speaks against the version.
-    severest.unwrap_or(Judgement::Nothing)
+    let severest = regressions.max_by_key(Assessment::severity);
+    // Without any responses there is no comparison.
+    severest.unwrap_or(Assessment::NoRegression)
 }
 
-/// The objection, if any, that keeps a version with this number of upstreams from getting all
-/// requests yet. An objection to one group of upstreams alone is none.
-pub fn doubt(evidence: &Evidence, upstreams: usize) -> Option<Objection> {
+/// The strongest regression, if any, that keeps a target version with this number of upstreams from
+/// receiving all requests yet. A regression that only one of several groups shows does not block.
+pub fn promotion_blocker(evidence: &Evidence, upstreams: usize) -> Option<Regression> {
     let comparisons = comparisons(evidence);
-    let objections = comparisons.iter();
-    let objections = objections.map(|((route, fault), c)| c.objection(*route, *fault));
-    let doubts = objections.filter(|objection| {
-        let ratio = match objection.ratio_without_worst {
-            Some(without_worst) if upstreams > 1 => objection.ratio.min(without_worst),
-            _ => objection.ratio,
+    let regressions = comparisons.iter();
+    let regressions = regressions.map(|((route, kind), c)| c.regression(*route, *kind));
+    let blockers = regressions.filter(|regression| {
+        let likelihood_ratio = match regression.likelihood_ratio_without_worst {
+            Some(without_worst) if upstreams > 1 => regression.likelihood_ratio.min(without_worst),
+            _ => regression.likelihood_ratio,
         };
-        ratio >= DOUBTFUL_FROM
+        likelihood_ratio >= PROMOTION_BLOCKING_RATIO
     });
-    doubts.max_by(|one, other| one.ratio.total_cmp(&other.ratio))
+    blockers.max_by(|one, other| one.likelihood_ratio.total_cmp(&other.likelihood_ratio))
 }
 
-/// Good and bad answers.
+/// The number of responses, and of bad ones among them.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
     bad: u32,
-    answers: u32,
+    responses: u32,
 }
 
 impl Tally {
     fn add(&mut self, other: Self) {
         self.bad += other.bad;
-        self.answers += other.answers;
+        self.responses += other.responses;
     }
 
     fn without(self, other: Self) -> Self {
         Self {
             bad: self.bad - other.bad,
-            answers: self.answers - other.answers,
+            responses: self.responses - other.responses,
         }
     }
 }
 
-/// The versions side by side, in one respect.
+/// Tallies of the previous versions and of the target version, by group of its upstreams, for one
+/// [`ComparisonKey`].
 #[derive(Clone, Debug, Default)]
 struct Comparison {
     former: Tally,
     target: BTreeMap<u8, Tally>,
 }
 
-/// What is compared: on one route or on all, and in which respect.
-type Respect = (Option<RouteKey>, Fault);
+/// The scope of a comparison: one route, or all routes (`None`), and a kind of regression.
+type ComparisonKey = (Option<RouteKey>, RegressionKind);
 
-fn comparisons(evidence: &Evidence) -> BTreeMap<Respect, Comparison> {
+fn comparisons(evidence: &Evidence) -> BTreeMap<ComparisonKey, Comparison> {
     let medians = former_medians(evidence);
-    let mut comparisons: BTreeMap<Respect, Comparison> = BTreeMap::new();
+    let mut comparisons: BTreeMap<ComparisonKey, Comparison> = BTreeMap::new();
     for (key, counts) in evidence {
-        for (fault, tally) in tallies(*key, counts, &medians) {
+        for (kind, tally) in tallies(*key, counts, &medians) {
             for route in [Some(key.route), None] {
-                let comparison = comparisons.entry((route, fault)).or_default();
+                let comparison = comparisons.entry((route, kind)).or_default();
                 comparison.add(key.arm, tally);
             }
         }
@@ -186,44 +193,44 @@
     comparisons
 }
 
-/// The median times of the former versions, by route and measure.
-fn former_medians(evidence: &Evidence) -> BTreeMap<(RouteKey, Measure), TimeSize> {
+/// The median times of the previous versions, by route and measure.
+fn former_medians(evidence: &Evidence) -> BTreeMap<(RouteKey, Measure), TimeBucket> {
     let former = evidence.iter().filter(|(key, _)| key.arm == Arm::Former);
     let medians = former.filter_map(|(key, counts)| {
-        let median = counts.times.median(MIN_TIMES)?;
+        let median = counts.times.median(MIN_MEDIAN_SAMPLES)?;
         Some(((key.route, key.measure), median))
     });
     medians.collect()
 }
 
-/// What one entry says, in each respect that it speaks of.
+/// The tallies of one entry, for each kind of regression that the entry has counts of.
 fn tallies(
     key: EvidenceKey,
-    counts: &AnswerCounts,
-    medians: &BTreeMap<(RouteKey, Measure), TimeSize>,
-) -> Vec<(Fault, Tally)> {
+    counts: &ResponseCounts,
+    medians: &BTreeMap<(RouteKey, Measure), TimeBucket>,
+) -> Vec<(RegressionKind, Tally)> {
     let mut tallies = Vec::new();
     let good = counts.times.total();
-    if key.measure == Measure::Answer {
+    if key.measure == Measure::Response {
         let tally = Tally {
             bad: counts.failed,
-            answers: counts.failed + good,
+            responses: counts.failed + good,
         };
-        tallies.push((Fault::Fails, tally));
+        tallies.push((RegressionKind::Fails, tally));
     }
-    // Without a median no answer counts as slow.
+    // Without a median of the previous versions no response counts as slow.
     if let Some(median) = medians.get(&(key.route, key.measure)) {
-        let slow_from = median.slow_from().max(TimeSize::of(MIN_SLOW));
-        let overdue = counts.awaited.from_size(slow_from);
+        let slow_threshold = median.slow_threshold().max(TimeBucket::of(MIN_SLOW_TIME));
+        let overdue = counts.pending.count_from(slow_threshold);
         let tally = Tally {
-            bad: counts.times.from_size(slow_from) + overdue,
-            answers: good + overdue,
+            bad: counts.times.count_from(slow_threshold) + overdue,
+            responses: good + overdue,
         };
-        let fault = match key.measure {
-            Measure::Answer => Fault::Slow,
-            Measure::Pace => Fault::SlowPace,
+        let kind = match key.measure {
+            Measure::Response => RegressionKind::Slow,
+            Measure::Pace => RegressionKind::SlowPace,
         };
-        tallies.push((fault, tally));
+        tallies.push((kind, tally));
     }
     tallies
 }
@@ -236,8 +243,8 @@
         }
     }
 
-    fn objection(&self, route: Option<RouteKey>, fault: Fault) -> Objection {
-        let former_part = upper_bound(self.former);
+    fn regression(&self, route: Option<RouteKey>, kind: RegressionKind) -> Regression {
+        let former_bad_share = baseline_bad_share(self.former);
         let mut total = Tally::default();
         for group in self.target.values() {
             total.add(*group);
@@ -246,52 +253,59 @@
         let without_worst = worst
             .filter(|_| self.target.len() > 1)
             .map(|worst| total.without(*worst));
-        // A single group leaves no answers when it is taken away.
+        // Without the only group no responses remain.
         let rest = without_worst.unwrap_or_default();
-        Objection {
+        Regression {
             route,
-            fault,
+            kind,
             bad: total.bad,
-            answers: total.answers,
-            former_part,
-            ratio: ratio(total, former_part),
-            ratio_without_worst: without_worst.map(|rest| ratio(rest, former_part)),
-            answers_without_worst: rest.answers,
+            responses: total.responses,
+            former_bad_share,
+            likelihood_ratio: likelihood_ratio(total, former_bad_share),
+            likelihood_ratio_without_worst: without_worst
+                .map(|rest| likelihood_ratio(rest, former_bad_share)),
+            responses_without_worst: rest.responses,
         }
     }
 }
 
-fn weigh(objection: Objection, upstreams: usize) -> Judgement {
-    let without_worst = objection.ratio_without_worst;
-    let is_shared = without_worst.is_some_and(|ratio| ratio >= BAD_WITHOUT_WORST_FROM);
-    match objection.ratio {
-        ratio if ratio >= BAD_FROM && (upstreams <= 1 || is_shared) => Judgement::Bad(objection),
-        ratio if ratio >= BAD_FROM => Judgement::OneGroup(objection),
-        ratio if ratio >= SUSPICIOUS_FROM => Judgement::Suspicious(objection),
-        _ => Judgement::Nothing,
+fn classify(regression: Regression, upstreams: usize) -> Assessment {
+    let without_worst = regression.likelihood_ratio_without_worst;
+    let is_shared =
+        without_worst.is_some_and(|likelihood_ratio| likelihood_ratio >= BAD_RATIO_WITHOUT_WORST);
+    match regression.likelihood_ratio {
+        likelihood_ratio if likelihood_ratio >= BAD_RATIO && (upstreams <= 1 || is_shared) => {
+            Assessment::Bad(regression)
+        }
+        likelihood_ratio if likelihood_ratio >= BAD_RATIO => Assessment::OneGroup(regression),
+        likelihood_ratio if likelihood_ratio >= SUSPICIOUS_RATIO => {
+            Assessment::Suspicious(regression)
+        }
+        _ => Assessment::NoRegression,
     }
 }
 
-/// The upper bound of the part of bad answers that a tally allows.
-fn upper_bound(tally: Tally) -> f64 {
-    // One good and one bad answer more than were seen, so that none seen is no certainty.
-    let answers = f64::from(tally.answers) + 2.0;
-    let part = (f64::from(tally.bad) + 1.0) / answers;
-    let error = (part * (1.0 - part) / answers).sqrt();
-    (part + STANDARD_ERRORS * error).clamp(MIN_BAD_PART, MAX_BAD_PART)
+/// An upper estimate of the true share of bad responses behind a tally.
+fn baseline_bad_share(tally: Tally) -> f64 {
+    // Counts one more good and one more bad response than measured, so that a tally without bad
+    // responses does not yield a share of exactly 0.
+    let responses = f64::from(tally.responses) + 2.0;
+    let part = (f64::from(tally.bad) + 1.0) / responses;
+    let error = (part * (1.0 - part) / responses).sqrt();
+    (part + STANDARD_ERRORS * error).clamp(MIN_BASELINE_BAD_SHARE, MAX_BASELINE_BAD_SHARE)
 }
 
-/// How many times likelier it is to see these answers if the version is worse than if the part of
-/// bad answers is `former_part`.
-fn ratio(tally: Tally, former_part: f64) -> f64 {
+/// How many times likelier a tally is at a worse version than at a version whose share of bad
+/// responses is `former_bad_share`: the mean over [`EXCESS_BAD_SHARES`].
+fn likelihood_ratio(tally: Tally, former_bad_share: f64) -> f64 {
     let bad = f64::from(tally.bad);
-    let good = f64::from(tally.answers) - bad;
-    let of = |worse_by: f64| {
-        let part = former_part + worse_by * (1.0 - former_part);
-        let if_bad = (part / former_part).ln();
-        let if_good = ((1.0 - part) / (1.0 - former_part)).ln();
+    let good = f64::from(tally.responses) - bad;
+    let of = |excess: f64| {
+        let part = former_bad_share + excess * (1.0 - former_bad_share);
+        let if_bad = (part / former_bad_share).ln();
+        let if_good = ((1.0 - part) / (1.0 - former_bad_share)).ln();
         (bad * if_bad + good * if_good).exp()
     };
-    let sum: f64 = WORSE_BY.iter().map(|worse_by| of(*worse_by)).sum();
-    sum / WORSE_BY.len() as f64
+    let sum: f64 = EXCESS_BAD_SHARES.iter().map(|excess| of(*excess)).sum();
+    sum / EXCESS_BAD_SHARES.len() as f64
 }
--- a/crates/router/cloverpier_router_policy/src/rollout/evidence.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/evidence.rs
@@ -1,27 +1,28 @@
-//! How attempts went at the new version and at those before: what is counted, and how it travels.
+//! Results of attempts at the target version and at the previous versions: what is counted, and how
+//! the counts are sent.
 //!
-//! [`OwnEvidence`] counts what this router saw, [`FleetEvidence`] adds up what all routers report.
-//! What counts as a bad answer: a failure of the upstream's own, a refusal, an answer that does not
-//! count or does not progress, and one that took several times as long as others on its route. An
-//! upstream that dies says nothing of its version: an attempt that broke counts only once the
-//! same start of the upstream has answered again.
+//! [`OwnEvidence`] counts the results at this router, [`FleetEvidence`] adds up the reports of all
+//! routers. Bad responses are failures of the upstream itself, refusals, responses that are invalid
+//! or make no progress, and responses that take several times as long as others on their route. The
+//! crash of an upstream is no evidence against its version: a broken attempt counts only after the
+//! same start of the upstream has responded again.
 //!
-//! Both versions are measured over the same time and the same routes by the same rule, so a burst,
-//! a slow store or upstreams' ordinary failures weigh on both.
+//! Both versions are measured over the same time, on the same routes and by the same rule, so a
+//! burst, a slow store or ordinary failures of upstreams affect both.
 
 mod fleet;
 mod own;
 
 pub use fleet::FleetEvidence;
-pub use own::{Observed, OpenId, OwnEvidence};
+pub use own::{MeasurementId, ObservedAttempt, OwnEvidence};
 
-use super::time_histogram::TimeCounts;
+use super::time_histogram::TimeHistogram;
 use super::{OrderId, Stage};
 use cloverpier_core::hash_of;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A route's name as a hash of eight bytes, for messages between routers.
+/// A hash of a route's name in eight bytes, which keeps messages between routers short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RouteKey(pub u64);
@@ -33,58 +34,60 @@
     }
 }
 
-/// At which version an answer was observed.
+/// The version at which a response was counted; a target version is divided into groups.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Arm {
-    /// At one before the new one.
+    /// One of the previous versions.
     Former,
-    /// At the new one, by the group of its upstream.
+    /// The target version, with the group of the upstream ([`super::versions::group_of`]).
     Target(u8),
 }
 
-/// What is measured of an answer.
+/// The interval of a response that is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Measure {
-    /// From sending to the whole answer, or to a stream's first event.
-    Answer,
-    /// A stream's first events after the first one, together.
+    /// From sending the request until the complete response, or until the first event of a stream.
+    #[serde(rename = "Answer")]
+    Response,
+    /// From a stream's first event until a fixed number of further events.
     Pace,
 }
 
-/// What the counts of an entry are about.
+/// The route, the measure and the version that an entry's counts belong to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EvidenceKey {
-    /// The route.
+    /// The route of the requests.
     pub route: RouteKey,
-    /// What was measured.
+    /// The interval that the times measure.
     pub measure: Measure,
-    /// The version.
+    /// The version and, for the target version, the group of upstreams.
     pub arm: Arm,
 }
 
-/// Counts since the order became known.
+/// Counts of one entry since the order became known.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AnswerCounts {
-    /// Answers that were failures.
+pub struct ResponseCounts {
+    /// Responses that were failures.
     pub failed: u32,
-    /// Times of the others.
-    pub times: TimeCounts,
-    /// How long those that have not come are awaited.
-    pub awaited: TimeCounts,
+    /// Times of the responses that were no failures.
+    pub times: TimeHistogram,
+    /// How long the pending responses have taken so far.
+    #[serde(rename = "awaited")]
+    pub pending: TimeHistogram,
 }
 
-impl AnswerCounts {
+impl ResponseCounts {
     pub(super) fn add(&mut self, other: &Self) {
         self.failed = self.failed.saturating_add(other.failed);
-        self.times.add_all(&other.times);
-        self.awaited.add_all(&other.awaited);
+        self.times.merge(&other.times);
+        self.pending.merge(&other.pending);
     }
 
     pub(super) fn since(&self, former: &Self) -> Self {
         Self {
             failed: self.failed.saturating_sub(former.failed),
             times: self.times.since(&former.times),
-            awaited: self.awaited.clone(),
+            pending: self.pending.clone(),
         }
     }
 }
@@ -92,26 +95,26 @@
 /// Attempts that were sent since the order became known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SentCounts {
-    /// To versions before the new one.
+    /// Attempts sent to the previous versions.
     pub former: u32,
-    /// To the new one.
+    /// Attempts sent to the target version.
     pub target: u32,
 }
 
-/// All that one router has counted for an order.
+/// The counts of one router for an order. A report may carry only some of the router's entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvidenceReport {
-    /// The order.
+    /// The order that the counts belong to.
     pub order: OrderId,
-    /// The stage by which the router acts.
+    /// The stage by which the router chooses upstreams.
     pub stage: Stage,
-    /// Requests of its own at versions before the new one.
+    /// The router's requests that are in flight at the previous versions.
     pub former_in_flight: u32,
-    /// Attempts.
+    /// All attempts that the router sent since the order became known to it.
     pub sent: SentCounts,
-    /// Answers.
-    pub entries: Vec<(EvidenceKey, AnswerCounts)>,
+    /// Counts of responses since the order became known to the router.
+    pub entries: Vec<(EvidenceKey, ResponseCounts)>,
 }
 
-/// Answers of all routers.
-pub type Evidence = BTreeMap<EvidenceKey, AnswerCounts>;
+/// Counts of responses, of one router or of several.
+pub type Evidence = BTreeMap<EvidenceKey, ResponseCounts>;
--- a/crates/router/cloverpier_router_policy/src/rollout/evidence/fleet.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/evidence/fleet.rs
@@ -1,8 +1,8 @@
-//! What all routers report of one order, added up, over several spans.
+//! The reports of all routers on one order, added up, over several time windows.
 //!
-//! A report replaces the former one of its router, as counts only grow; a span is the difference
-//! to what was known when it began. Owns the last report of each router and the sums at those
-//! moments. Relies on being asked regularly to remember.
+//! Counts are cumulative, so a report replaces the same router's earlier one; a window holds the
+//! difference to a snapshot at its beginning. Owns the last counts of each router and the snapshots.
+//! Relies on its caller to call [`FleetEvidence::take_snapshot`] periodically.
 
 use super::{Evidence, EvidenceReport, SentCounts};
 use crate::rollout::Stage;
@@ -10,12 +10,12 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The spans over which answers are judged besides all since the order: their number.
+/// The number of windows that are assessed besides the one that starts with the order.
 const MAX_WINDOWS: usize = 4;
-/// By how much each begins later.
-const WINDOW_STEP: Duration = Duration::from_millis(1_000);
+/// The time between the starts of two windows.
+const SNAPSHOT_PERIOD: Duration = Duration::from_millis(1_000);
 
-/// What one router has reported.
+/// The last report of one router, with the entries of its earlier reports.
 #[derive(Clone, Debug)]
 struct RouterEvidence {
     stage: Stage,
@@ -24,17 +24,17 @@
     counts: Evidence,
 }
 
-/// What all routers report of one order.
+/// The reports of all routers on one order.
 #[derive(Clone, Debug, Default)]
 pub struct FleetEvidence {
     by_router: HashMap<SocketAddr, RouterEvidence>,
-    /// All answers as they were, the oldest first.
-    former_totals: VecDeque<(Instant, Evidence)>,
+    /// Totals of all routers at earlier moments, the oldest first; each starts a window.
+    snapshots: VecDeque<(Instant, Evidence)>,
 }
 
 impl FleetEvidence {
-    /// Replaces what a router reported before of the same routes and arms. Counts only grow in a
-    /// router's life; of one that has started again, what it said before is lost.
+    /// Replaces the counts of a router for the keys in its report. A router's counts only grow while its
+    /// process runs; after a restart its reports start from 0, and the earlier counts are lost.
     pub fn on_report(&mut self, router: SocketAddr, report: EvidenceReport) {
         let known = self.by_router.remove(&router);
         let mut counts = known.map_or_else(Evidence::new, |known| known.counts);
@@ -48,7 +48,7 @@
         self.by_router.insert(router, evidence);
     }
 
-    /// All answers since the order.
+    /// Counts of all routers since the order.
     pub fn total(&self) -> Evidence {
         let mut total = Evidence::new();
         for (key, counts) in self.by_router.values().flat_map(|r| &r.counts) {
@@ -57,21 +57,21 @@
         total
     }
 
-    /// Remembers the answers up to now, for [`Self::windows`].
-    pub fn remember(&mut self, now: Instant) {
-        let last = self.former_totals.back();
-        let is_due = |at: &Instant| now.saturating_duration_since(*at) >= WINDOW_STEP;
+    /// Stores the present totals as the start of another window, once per [`SNAPSHOT_PERIOD`].
+    pub fn take_snapshot(&mut self, now: Instant) {
+        let last = self.snapshots.back();
+        let is_due = |at: &Instant| now.saturating_duration_since(*at) >= SNAPSHOT_PERIOD;
         if last.is_none_or(|(at, _)| is_due(at)) {
             let total = self.total();
-            self.former_totals.push_back((now, total));
+            self.snapshots.push_back((now, total));
         }
-        if self.former_totals.len() > MAX_WINDOWS {
-            self.former_totals.pop_front();
+        if self.snapshots.len() > MAX_WINDOWS {
+            self.snapshots.pop_front();
         }
     }
 
-    /// The answers since the order, and those of some last spans: a version that turns bad late is
-    /// not judged by the good answers that it gave before.
+    /// Counts since the order, and counts of the last few windows. With the windows, earlier good
+    /// responses do not hide a version that turns bad late.
     pub fn windows(&self) -> Vec<Evidence> {
         let all = self.total();
         let since = |(_, then): &(Instant, Evidence)| {
@@ -81,11 +81,11 @@
             });
             since.collect()
         };
-        let windows: Vec<Evidence> = self.former_totals.iter().map(since).collect();
+        let windows: Vec<Evidence> = self.snapshots.iter().map(since).collect();
         [vec![all], windows].concat()
     }
 
-    /// Attempts of all routers.
+    /// Attempts that all routers sent since the order.
     pub fn sent(&self) -> SentCounts {
         let mut total = SentCounts::default();
         for report in self.by_router.values() {
@@ -95,14 +95,14 @@
         total
     }
 
-    /// Whether a router has reported anything.
+    /// Whether any report of a router has arrived.
     pub fn has_reported(&self, router: &SocketAddr) -> bool {
         self.by_router.contains_key(router)
     }
 
-    /// Whether a router has reported that it acts by a stage and has nothing in flight at the
-    /// former versions.
-    pub fn has_left_former(&self, router: &SocketAddr, stage: Stage) -> bool {
+    /// Whether a router has reported that it acts by this stage or a later one, and has no requests in
+    /// flight at the previous versions.
+    pub fn has_drained_former(&self, router: &SocketAddr, stage: Stage) -> bool {
         let report = self.by_router.get(router);
         report.is_some_and(|r| r.stage >= stage && r.former_in_flight == 0)
     }
--- a/crates/router/cloverpier_router_policy/src/rollout/evidence/own.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/evidence/own.rs
@@ -1,11 +1,11 @@
-//! What this router saw since it knows an order.
+//! The results of attempts at this router since an order became known to it.
 //!
-//! Counts attempts, failures and times at either version, for each stage, and makes the reports that
-//! peers add up. Owns these counts, the times that are being measured, and the broken attempts that
-//! wait for a sign of life of their upstream. Relies on being informed of each attempt once.
+//! Counts attempts, failures and response times at either version, and makes the reports that the
+//! deciding routers add up. Owns these counts, the running measurements, and the broken attempts
+//! whose upstream may have crashed. Relies on its caller to record each attempt once.
 
 use super::{
-    AnswerCounts, Arm, Evidence, EvidenceKey, EvidenceReport, Measure, RouteKey, SentCounts,
+    Arm, Evidence, EvidenceKey, EvidenceReport, Measure, ResponseCounts, RouteKey, SentCounts,
 };
 use crate::attempt_failure::AttemptFailure;
 use crate::rollout::versions::group_of;
@@ -15,39 +15,39 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A broken attempt is remembered this long for an answer that shows that its upstream lives.
-const BROKEN_KEPT_FOR: Duration = Duration::from_secs(4);
-/// Entries of one report at most. An entry holds up to 60 sizes of times, so that 18 of them take
-/// 5 kB at most (worked out), of the 8 kB that a datagram may have.
-const MAX_ENTRIES: usize = 18;
+/// How long a broken attempt is kept for a response that proves that its upstream did not crash.
+const BROKEN_ATTEMPT_TTL: Duration = Duration::from_secs(4);
+/// Entries of one report at most. An entry has up to 60 buckets of times, so that 18 entries take at
+/// most 5 kB (computed) of the 8 kB of a datagram.
+const MAX_REPORT_ENTRIES: usize = 18;
 
-/// Identifies a time that is being measured.
+/// Identifies a running measurement of this router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct OpenId(u64);
+pub struct MeasurementId(u64);
 
-/// An attempt that broke, at an upstream that may have died.
+/// An attempt that broke at an upstream that may have crashed.
 #[derive(Clone, Debug)]
-struct Broken {
+struct BrokenAttempt {
     upstream: UpstreamName,
     start: StartNumber,
     key: EvidenceKey,
     at: Instant,
 }
 
-/// An upstream at which an answer is observed.
+/// The upstream and the route of an attempt that is measured.
 #[derive(Clone, Copy, Debug)]
-pub struct Observed<'a> {
-    /// Its name.
+pub struct ObservedAttempt<'a> {
+    /// The name of the upstream.
     pub upstream: &'a UpstreamName,
-    /// Its start.
+    /// The start of the upstream's process that the attempt went to.
     pub start: StartNumber,
-    /// Whether it is of the new version.
+    /// Whether the upstream has the target version.
     pub is_target: bool,
     /// The route of the request.
     pub route: RouteKey,
 }
 
-impl Observed<'_> {
+impl ObservedAttempt<'_> {
     fn key(&self, measure: Measure) -> EvidenceKey {
         let arm = if self.is_target {
             Arm::Target(group_of(self.upstream.as_str()))
@@ -62,18 +62,18 @@
     }
 }
 
-/// What this router saw since it knows an order.
+/// The results of attempts at this router since an order became known to it.
 #[derive(Clone, Debug, Default)]
 pub struct OwnEvidence {
     counts: Evidence,
-    broken: Vec<Broken>,
+    broken: Vec<BrokenAttempt>,
     sent: SentCounts,
-    open: BTreeMap<OpenId, (EvidenceKey, Instant)>,
+    open: BTreeMap<MeasurementId, (EvidenceKey, Instant)>,
     next_open: u64,
 }
 
 impl OwnEvidence {
-    /// Records that an attempt is sent.
+    /// Counts an attempt that is sent, to the target version or to a previous one.
     pub fn on_sent(&mut self, is_target: bool) {
         let sent = if is_target {
             &mut self.sent.target
@@ -83,60 +83,75 @@
         *sent = sent.saturating_add(1);
     }
 
-    /// Begins to measure a time.
-    pub fn begin(&mut self, observed: Observed<'_>, measure: Measure, now: Instant) -> OpenId {
-        let id = OpenId(self.next_open);
+    /// Starts a measurement, which [`Self::on_response`] or [`Self::cancel_timing`] ends.
+    pub fn start_timing(
+        &mut self,
+        observed: ObservedAttempt<'_>,
+        measure: Measure,
+        now: Instant,
+    ) -> MeasurementId {
+        let id = MeasurementId(self.next_open);
         self.next_open += 1;
         let key = observed.key(measure);
-        // It is reported from now on, so that what is awaited is known to be over, too.
+        // The entry is in all reports from now on, so that a later report without pending times replaces
+        // an earlier one with them.
         self.counts.entry(key).or_default();
         self.open.insert(id, (key, now));
         id
     }
 
-    /// Records that what was measured ended well.
-    pub fn on_answer(&mut self, id: OpenId, observed: Observed<'_>, now: Instant) {
+    /// Ends a measurement with a good response: counts its time, and counts broken attempts at the same
+    /// start of the upstream as failures. Ignored if the measurement has already ended.
+    pub fn on_response(&mut self, id: MeasurementId, observed: ObservedAttempt<'_>, now: Instant) {
         let Some((key, since)) = self.open.remove(&id) else {
             return;
         };
         let took = now.saturating_duration_since(since);
         self.counts.entry(key).or_default().times.add(took);
-        self.on_sign_of_life(observed, now);
+        self.on_upstream_alive(observed, now);
     }
 
-    /// Records that what was measured ended without an answer: the caller left, the attempt
-    /// failed, or the run was moved.
-    pub fn on_end(&mut self, id: OpenId) {
+    /// Ends a measurement without a response: the caller left, the attempt failed, or the request moved
+    /// to another upstream. Ignored if the measurement has already ended.
+    pub fn cancel_timing(&mut self, id: MeasurementId) {
         self.open.remove(&id);
     }
 
-    /// Records an attempt that failed.
-    pub fn on_failure(&mut self, observed: Observed<'_>, failure: &AttemptFailure, now: Instant) {
-        let key = observed.key(Measure::Answer);
-        match weight_of(failure) {
-            FailureWeight::Bad => {
+    /// Records a failed attempt: as a bad response, as a broken attempt, or not at all.
+    pub fn on_failure(
+        &mut self,
+        observed: ObservedAttempt<'_>,
+        failure: &AttemptFailure,
+        now: Instant,
+    ) {
+        let key = observed.key(Measure::Response);
+        match class_of(failure) {
+            FailureClass::Bad => {
                 self.count_failure(key);
-                self.on_sign_of_life(observed, now);
+                self.on_upstream_alive(observed, now);
             }
-            FailureWeight::BadIfAlive => self.broken.push(Broken {
+            FailureClass::BadIfAlive => self.broken.push(BrokenAttempt {
                 upstream: observed.upstream.clone(),
                 start: observed.start,
                 key,
                 at: now,
             }),
-            FailureWeight::Nothing => {}
+            FailureClass::Ignored => {}
         }
     }
 
-    /// Attempts that broke at an upstream that lives were bad answers.
-    fn on_sign_of_life(&mut self, observed: Observed<'_>, now: Instant) {
-        let is_recent = |b: &Broken| now.saturating_duration_since(b.at) <= BROKEN_KEPT_FOR;
+    /// Counts the broken attempts at this start of an upstream as failures, since a response proves that
+    /// the upstream did not crash.
+    fn on_upstream_alive(&mut self, observed: ObservedAttempt<'_>, now: Instant) {
+        let is_recent =
+            |b: &BrokenAttempt| now.saturating_duration_since(b.at) <= BROKEN_ATTEMPT_TTL;
         self.broken.retain(is_recent);
-        let is_its = |b: &Broken| b.upstream == *observed.upstream && b.start == observed.start;
+        let is_same_start =
+            |b: &BrokenAttempt| b.upstream == *observed.upstream && b.start == observed.start;
         let broken = std::mem::take(&mut self.broken);
-        let (alive, rest): (Vec<_>, Vec<_>) = broken.into_iter().partition(is_its);
+        let (proven_bad, rest): (Vec<_>, Vec<_>) = broken.into_iter().partition(is_same_start);
         self.broken = rest;
-        for broken in alive {
+        for broken in proven_bad {
             self.count_failure(broken.key);
         }
     }
@@ -145,7 +160,8 @@
         self.counts.entry(key).or_default().failed += 1;
     }
 
-    /// All of it, for the routers that decide, in as many reports as it takes.
+    /// Reports of all counts to the routers that decide, as many as the entries require; at least one.
+    /// `former_in_flight` is the number of this router's requests at the previous versions.
     pub fn reports(
         &self,
         order: OrderId,
@@ -155,11 +171,11 @@
     ) -> Vec<EvidenceReport> {
         let mut counts = self.counts.clone();
         for (key, since) in self.open.values() {
-            let awaited = &mut counts.entry(*key).or_default().awaited;
-            awaited.add(now.saturating_duration_since(*since));
+            let pending = &mut counts.entry(*key).or_default().pending;
+            pending.add(now.saturating_duration_since(*since));
         }
-        let entries: Vec<(EvidenceKey, AnswerCounts)> = counts.into_iter().collect();
-        let report = |entries: &[(EvidenceKey, AnswerCounts)]| EvidenceReport {
+        let entries: Vec<(EvidenceKey, ResponseCounts)> = counts.into_iter().collect();
+        let report = |entries: &[(EvidenceKey, ResponseCounts)]| EvidenceReport {
             order,
             stage,
             former_in_flight,
@@ -169,22 +185,22 @@
         if entries.is_empty() {
             return vec![report(&[])];
         }
-        entries.chunks(MAX_ENTRIES).map(report).collect()
+        entries.chunks(MAX_REPORT_ENTRIES).map(report).collect()
     }
 }
 
-/// What a failed attempt says of the upstream's version.
+/// Whether a failed attempt is evidence against the version of its upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum FailureWeight {
-    /// The upstream gave a bad answer.
+enum FailureClass {
+    /// The upstream gave a bad response.
     Bad,
-    /// It did, or it died.
+    /// The upstream gave a bad response or crashed; a later response of the same start decides.
     BadIfAlive,
-    /// Nothing.
-    Nothing,
+    /// The failure is no evidence against the upstream's version.
+    Ignored,
 }
 
-fn weight_of(failure: &AttemptFailure) -> FailureWeight {
+fn class_of(failure: &AttemptFailure) -> FailureClass {
     match failure {
         AttemptFailure::UpstreamError { .. }
         | AttemptFailure::NotRun { .. }
@@ -193,18 +209,18 @@
         | AttemptFailure::Encoded
         | AttemptFailure::EndedInsideEvent
         | AttemptFailure::EventTooLong
-        | AttemptFailure::Stalled => FailureWeight::Bad,
+        | AttemptFailure::Stalled => FailureClass::Bad,
         AttemptFailure::SendBroke { .. }
         | AttemptFailure::AnswerBroke { .. }
         | AttemptFailure::FailureBroke { .. }
         | AttemptFailure::StreamBroke { .. }
-        | AttemptFailure::LateSent => FailureWeight::BadIfAlive,
+        | AttemptFailure::LateSent => FailureClass::BadIfAlive,
         AttemptFailure::NotConnected { .. }
         | AttemptFailure::NotWritten { .. }
         | AttemptFailure::Misdirected
         | AttemptFailure::NoSource
         | AttemptFailure::UpstreamDead
         | AttemptFailure::Stopped
-        | AttemptFailure::LateUnsent => FailureWeight::Nothing,
+        | AttemptFailure::LateUnsent => FailureClass::Ignored,
     }
 }
--- a/crates/router/cloverpier_router_policy/src/rollout/registry.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/registry.rs
@@ -1,57 +1,58 @@
-//! The orders that a router knows, and what follows for its attempts.
+//! The orders that a router has received, and the version rule that each gives its attempts.
 //!
-//! Owns, for each service, the newest order with its progress, what this router counted for it,
-//! what others reported, and which versions were ever listed. Relies on being informed of each list of
-//! upstreams and of each view that peers or the store send.
+//! Owns, for each service, the newest order with its progress, the counts of this router for it,
+//! the reports of other routers, and the versions that were ever listed. Relies on its caller to
+//! pass in each list of upstreams and each view that peers or the store send.
 //!
-//! A version that appears beside others without an order gets nothing for a moment
-//! ([`UNORDERED_HOLD`]): order and upstreams are read by two calls, and a version that is not known
-//! to be good must not get everything in between.
+//! A version that appears in the list beside other versions, and that no order names, receives no
+//! requests for [`UNORDERED_HOLD`]: order and list are read by two calls, and without the hold a
+//! version that is not known to be good would receive its full share of requests in between.
 
 use super::evidence::{EvidenceReport, FleetEvidence, OwnEvidence};
-use super::schedule::{ExposureBounds, canaries, first_progress};
+use super::schedule::{ExposureBounds, canary_count, first_progress};
 use super::{CanarySet, OrderId, Progress, RolloutOrder, RolloutView, Stage, VersionRule};
 use cloverpier_core::{ServiceName, SoftwareVersion};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long a version that is listed beside others waits for an order that explains it: the store's
-/// watches return within 10 ms or so, and peers know within three heartbeats (0.2 s each by
-/// default); the rest is for a call that has to be made again.
+/// How long a newly listed version without an order receives no requests. The store's watches
+/// return within about 10 ms, and all peers have the order within three heartbeats (0.2 s each by
+/// default); the rest is for a call that fails and is repeated.
 pub const UNORDERED_HOLD: Duration = Duration::from_secs(2);
-/// How much of an order's duration is taken to have passed where a router that has just started
-/// finds it under way: nobody may be left who knows.
-const RESUMED_AT: f64 = 0.3;
-/// How long the end of a roll-out is sent to peers again: longer than a router that was cut off
-/// takes to be listed as dead and to be found again.
-const TOLD_FOR: Duration = Duration::from_secs(60);
+/// The fraction of an order's duration that counts as elapsed when a router starts and finds the
+/// order already running in the store, since no router may be left that has the real start time.
+const RESUMED_ELAPSED_FRACTION: f64 = 0.3;
+/// How long the end of a roll-out is still sent to peers periodically: longer than a partitioned
+/// router takes to be listed as dead and to be detected as alive again.
+const ENDED_VIEW_RESEND_TIME: Duration = Duration::from_secs(60);
 
-/// What a view changed.
+/// The effect of a received view on the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderUpdate {
-    /// Nothing that was not known.
-    Nothing,
-    /// A new order.
+    /// The view contained nothing new.
+    Unchanged,
+    /// The view contained a new order.
     Ordered,
-    /// A known order that is further on.
+    /// The progress of a known order advanced.
     Progressed,
-    /// The order was taken back.
+    /// The operator withdrew the order.
     Withdrawn,
 }
 
-/// An order under way, or ended.
+/// The newest order of a service, running, ended or withdrawn.
 #[derive(Clone, Debug)]
 pub struct Rollout {
-    /// As it travels.
+    /// The order and its progress, in the form in which routers send them.
     pub view: RolloutView,
-    /// When the order was given, as far as this router knows.
+    /// The moment of the order, as far as this router has it: when the order arrived here, or earlier
+    /// by an estimate ([`RolloutRegistry::resume`]).
     pub known_since: Instant,
-    /// When the present stage or round began.
+    /// When the present stage or round began at this router.
     pub stage_since: Instant,
-    /// What this router counted.
+    /// The responses and attempts that this router counted.
     pub own: OwnEvidence,
-    /// The counts of all routers whose reports arrived here.
+    /// The counts of all routers whose reports arrived at this router, its own included.
     pub fleet: FleetEvidence,
 }
 
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The order, while it is under way.
+    /// The order, unless the roll-out has ended or the order was withdrawn.
     pub fn active(&self) -> Option<&RolloutOrder> {
         let order = self.view.order.as_ref()?;
         (!self.view.progress.stage.is_over()).then_some(order)
@@ -76,7 +77,7 @@
         self.view.order.as_ref().map(|order| order.id)
     }
 
-    /// Takes a progress that peers, the store or the schedule say; returns whether it is new.
+    /// Merges a progress from a peer, the store or the schedule; returns whether it changed this one.
     fn join(&mut self, progress: Progress, now: Instant) -> bool {
         let joined = self.view.progress.join(progress);
         let is_new = joined != self.view.progress;
@@ -88,54 +89,59 @@
     }
 }
 
-/// The versions of a service that were ever listed; those that appeared later with the moment.
-type SeenVersions = HashMap<SoftwareVersion, Option<Instant>>;
+/// The versions of a service that were ever listed. The moment is the one at which a version was
+/// first listed, and `None` for versions of the first list that this router received.
+type ListedVersions = HashMap<SoftwareVersion, Option<Instant>>;
 
-/// The orders that a router knows.
+/// The orders that a router has received, by service.
 #[derive(Clone, Debug, Default)]
-pub struct RolloutBook {
+pub struct RolloutRegistry {
     rollouts: BTreeMap<ServiceName, Rollout>,
-    seen: HashMap<ServiceName, SeenVersions>,
-    /// Versions that get nothing, as their order ended so or was taken back.
-    barred: HashSet<(ServiceName, SoftwareVersion)>,
+    listed_versions: HashMap<ServiceName, ListedVersions>,
+    /// Targets of orders that were replaced or withdrawn before they completed: they receive no
+    /// requests until an order names them again.
+    excluded: HashSet<(ServiceName, SoftwareVersion)>,
 }
 
-impl RolloutBook {
-    /// All views, for peers.
+impl RolloutRegistry {
+    /// The views of all services, ended and withdrawn ones too, for a peer that requests them.
     pub fn views(&self) -> Vec<RolloutView> {
         self.rollouts.values().map(|r| r.view.clone()).collect()
     }
 
-    /// The views that are sent to peers repeatedly.
-    pub fn told_views(&self, now: Instant) -> Vec<RolloutView> {
-        let is_told = |r: &&Rollout| {
-            r.active().is_some() || now.saturating_duration_since(r.stage_since) <= TOLD_FOR
+    /// The views that are sent to peers periodically: of running roll-outs, and of those whose progress
+    /// last changed within [`ENDED_VIEW_RESEND_TIME`].
+    pub fn views_to_send(&self, now: Instant) -> Vec<RolloutView> {
+        let is_sent = |r: &&Rollout| {
+            r.active().is_some()
+                || now.saturating_duration_since(r.stage_since) <= ENDED_VIEW_RESEND_TIME
         };
-        let told = self.rollouts.values().filter(is_told);
-        told.map(|r| r.view.clone()).collect()
+        let sent = self.rollouts.values().filter(is_sent);
+        sent.map(|r| r.view.clone()).collect()
     }
 
-    /// A service's roll-out.
+    /// The newest order of a service; `None` where no order was ever received.
     pub fn get(&self, service: &ServiceName) -> Option<&Rollout> {
         self.rollouts.get(service)
     }
 
-    /// The same, to record what was seen.
+    /// The newest order of a service, for recording counts in it.
     pub fn get_mut(&mut self, service: &ServiceName) -> Option<&mut Rollout> {
         self.rollouts.get_mut(service)
     }
 
-    /// The services whose roll-outs are under way.
+    /// The services whose roll-outs are running.
     pub fn active(&self) -> Vec<ServiceName> {
         let active = self.rollouts.iter().filter(|(_, r)| r.active().is_some());
         active.map(|(service, _)| service.clone()).collect()
     }
 
-    /// Applies a view of a peer or of the store.
+    /// Merges a view that a peer or the store sent. A view of another order replaces the known one
+    /// only if its revision is higher.
     pub fn on_view(&mut self, view: RolloutView, now: Instant) -> OrderUpdate {
         let Some(known) = self.rollouts.get_mut(&view.service) else {
             let update = update_of(&view);
-            self.unbar(&view);
+            self.readmit(&view);
             self.rollouts
                 .insert(view.service.clone(), Rollout::new(view, now));
             return update;
@@ -145,38 +151,41 @@
             return if known.join(view.progress, now) {
                 OrderUpdate::Progressed
             } else {
-                OrderUpdate::Nothing
+                OrderUpdate::Unchanged
             };
         }
         if view.revision <= known.view.revision {
-            return OrderUpdate::Nothing;
+            return OrderUpdate::Unchanged;
         }
         let former = std::mem::replace(known, Rollout::new(view.clone(), now));
-        self.bar_target_of(&former.view);
-        self.unbar(&view);
+        self.exclude_target_of(&former.view);
+        self.readmit(&view);
         update_of(&view)
     }
 
-    /// Takes an order as under way for some time already.
+    /// Moves the start of a service's order back by a fixed fraction of its duration, as the order was
+    /// running before this router received it.
     pub fn resume(&mut self, service: &ServiceName) {
         let Some(rollout) = self.rollouts.get_mut(service) else {
             return;
         };
         let duration = rollout.view.order.as_ref().map(|order| order.duration);
-        // A view without an order has nothing under way.
-        let passed = duration.unwrap_or_default().mul_f64(RESUMED_AT);
-        let since = rollout.known_since.checked_sub(passed);
-        // A clock that began later than that cannot say so; the order then seems newer.
+        // A withdrawn order has no duration, and its start then stays.
+        let elapsed_fraction = duration
+            .unwrap_or_default()
+            .mul_f64(RESUMED_ELAPSED_FRACTION);
+        let since = rollout.known_since.checked_sub(elapsed_fraction);
+        // `Instant` may not reach that far back, as shortly after a boot; the order then seems newer.
         rollout.known_since = since.unwrap_or(rollout.known_since);
     }
 
-    /// Records a progress that this router decided; returns whether it is new.
+    /// Merges a progress that this router decided; returns whether it changed the known one.
     pub fn on_progress(&mut self, service: &ServiceName, to: Progress, now: Instant) -> bool {
         let rollout = self.rollouts.get_mut(service);
         rollout.is_some_and(|rollout| rollout.join(to, now))
     }
 
-    /// Records what a router reports; ignored where it is of another order.
+    /// Records a router's evidence report; a report on an order that is not the newest is dropped.
     pub fn on_report(&mut self, router: SocketAddr, report: EvidenceReport) {
         let mut rollouts = self.rollouts.values_mut();
         if let Some(rollout) = rollouts.find(|r| r.id() == Some(report.order)) {
@@ -184,40 +193,42 @@
         }
     }
 
-    /// A new version gets nothing more if its order ends without it having been completed.
-    fn bar_target_of(&mut self, former: &RolloutView) {
+    /// Excludes the target version of an order that ends without being completed.
+    fn exclude_target_of(&mut self, former: &RolloutView) {
         let is_completed = former.progress.stage == Stage::Completed;
         if let Some(order) = former.order.as_ref().filter(|_| !is_completed) {
             let target = order.target.clone();
-            self.barred.insert((former.service.clone(), target));
+            self.excluded.insert((former.service.clone(), target));
         }
     }
 
-    /// A version that is ordered again is judged again.
-    fn unbar(&mut self, view: &RolloutView) {
+    /// Stops excluding a version that an order names again, so that it is assessed again.
+    fn readmit(&mut self, view: &RolloutView) {
         if let Some(order) = &view.order {
             let version = (view.service.clone(), order.target.clone());
-            self.barred.remove(&version);
+            self.excluded.remove(&version);
         }
     }
 
-    /// Records which versions of each service are listed.
+    /// Records the versions that the list of upstreams contains, by service.
     pub fn on_listed(
         &mut self,
         listed: &BTreeMap<ServiceName, BTreeSet<SoftwareVersion>>,
         now: Instant,
     ) {
         for (service, versions) in listed {
-            let is_first = !self.seen.contains_key(service);
-            let seen = self.seen.entry(service.clone()).or_default();
+            let is_first = !self.listed_versions.contains_key(service);
+            let listed_versions = self.listed_versions.entry(service.clone()).or_default();
             for version in versions {
-                seen.entry(version.clone())
+                listed_versions
+                    .entry(version.clone())
                     .or_insert((!is_first).then_some(now));
             }
         }
     }
 
-    /// The versions that an attempt of a service may go to, drawn anew for each attempt.
+    /// The rule for one attempt of a service. The rule is drawn at random for each attempt, so that the
+    /// target version gets its share of the attempts; `upstreams_of` counts a version's upstreams.
     pub fn rule(
         &self,
         service: &ServiceName,
@@ -225,7 +236,7 @@
         now: Instant,
         rng: &mut fastrand::Rng,
     ) -> VersionRule {
-        let rule = VersionRule::but(self.barred_now(service, now));
+        let rule = VersionRule::excluding(self.excluded_now(service, now));
         let Some(rollout) = self.rollouts.get(service) else {
             return rule;
         };
@@ -242,32 +253,32 @@
         match stage {
             Stage::RolledBack => rule.preferring_former(target),
             Stage::All | Stage::Moving | Stage::Completed => rule.preferring_target(target),
-            Stage::Canary | Stage::Load | Stage::Part if rng.f64() >= share.part() => {
+            Stage::Canary | Stage::Load | Stage::Part if rng.f64() >= share.as_fraction() => {
                 rule.preferring_former(target)
             }
             Stage::Part => rule.preferring_target(target),
             Stage::Canary | Stage::Load => {
-                let size = canaries(stage, share, upstreams_of(&target));
+                let size = canary_count(stage, share, upstreams_of(&target));
                 rule.preferring_canaries(target, CanarySet { size, round })
             }
         }
     }
 
-    fn barred_now(&self, service: &ServiceName, now: Instant) -> Vec<SoftwareVersion> {
+    fn excluded_now(&self, service: &ServiceName, now: Instant) -> Vec<SoftwareVersion> {
         let rollout = self.rollouts.get(service);
         let order = rollout.and_then(|r| r.view.order.as_ref());
         let is_ordered = |version: &SoftwareVersion| order.is_some_and(|o| o.target == *version);
         let is_rolled_back = rollout.is_some_and(|r| r.view.progress.stage == Stage::RolledBack);
-        let of_service = self.barred.iter().filter(|(s, _)| s == service);
-        let barred = of_service.map(|(_, version)| version.clone());
-        let held = self.seen.get(service).into_iter().flatten();
+        let of_service = self.excluded.iter().filter(|(s, _)| s == service);
+        let excluded = of_service.map(|(_, version)| version.clone());
+        let held = self.listed_versions.get(service).into_iter().flatten();
         let held = held.filter(|(version, since)| {
             let is_new = since.is_some_and(|at| now.saturating_duration_since(at) < UNORDERED_HOLD);
             is_new && !is_ordered(version)
         });
         let held = held.map(|(version, _)| version.clone());
         let target = order.filter(|_| is_rolled_back).map(|o| o.target.clone());
-        barred.chain(held).chain(target).collect()
+        excluded.chain(held).chain(target).collect()
     }
 }
 
@@ -278,7 +289,8 @@
     }
 }
 
-/// The view of an order that the store holds without a status.
+/// Creates a view at the start of the first stage, for an order without an end in the store, or for
+/// a withdrawn order (`None`). `revision` is the store's revision of the order.
 pub fn new_view(
     service: ServiceName,
     revision: u64,
--- a/crates/router/cloverpier_router_policy/src/rollout/schedule.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/schedule.rs
@@ -1,287 +1,289 @@
 //! Which stage of a roll-out comes next, and when.
 //!
-//! - **Question.** How far does a roll-out go on now?
-//! - **Inputs.** The order and how long ago it became known; the present [`Progress`]; what all
-//!   routers counted; how many upstreams the new version has; the operator's bound on exposure.
-//! - **Answer.** A [`Step`].
-//! - **Why.** Between the order and its deadline a bad version may get a tenth of all requests of
-//!   its service and fifty besides (the operator's bound), also one that turns bad late, under load
-//!   or on one route. So most of the time belongs to the first stage, whose few requests leave most
-//!   of the bound for the stages that follow, and what is left at the end suffices to move
-//!   everything. A version whose answers raise suspicion gets no more than it has; one of which too
-//!   little is known at the end is rolled back, as callers know the former one to work.
+//! - **Question.** What is the next progress of a roll-out now?
+//! - **Inputs.** The order and how long ago it became known; the present [`Progress`]; the counts
+//!   of all routers; the number of upstreams of the target version; the operator's bound on
+//!   exposure.
+//! - **Outcome.** A [`Step`].
+//! - **Why.** Between the order and its deadline a bad version may receive a tenth of all requests
+//!   of its service and fifty more (the operator's bound), also a version that turns bad late,
+//!   under load or on one route. So the first stage has most of the time: its few requests leave
+//!   most of the bound to the later stages, and the remaining time suffices to move all requests. A
+//!   version with suspicious responses keeps its present share. A version with too few responses at
+//!   the decision deadline is rolled back, since the previous versions are known to work.
 //!
-//! The times are parts of the order's duration, since all that is known of it is that the operator
-//! wants it done by then.
+//! The moments are fractions of the order's duration, as the operator's deadline is the only time
+//! that an order contains.
 //!
 //! Owns no state.
 
-use super::assessment::{Judgement, Objection, doubt, judge};
+use super::assessment::{Assessment, Regression, assess, promotion_blocker};
 use super::evidence::{Arm, FleetEvidence, Measure, SentCounts};
 use super::{Permille, Progress, Stage};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The end of the first stage, as a part of the duration.
-const CANARY_UNTIL: f64 = 0.54;
-/// The end of the second stage, as a part of the duration.
-const LOAD_UNTIL: f64 = 0.66;
-/// The end of the third stage, as a part of the duration.
-const PART_UNTIL: f64 = 0.76;
-/// From then on streams at the former versions move. Before, they are left to end by themselves: a
-/// move has their prompts read again and makes them late.
-const MOVE_FROM: f64 = 1.25;
-/// A version that is not trusted by then is rolled back: later there is no time to move all
-/// requests.
-const DECIDE_UNTIL: f64 = 0.80;
+/// The end of the stage `Canary`, as a fraction of the order's duration.
+const CANARY_END: f64 = 0.54;
+/// The end of the stage `Load`, as a fraction of the order's duration.
+const LOAD_END: f64 = 0.66;
+/// The end of the stage `Part`, as a fraction of the order's duration.
+const PART_END: f64 = 0.76;
+/// When streams at the previous versions start to move, as a fraction of the order's duration.
+/// Until then they may end where they are: the new upstream of a moved stream has to process the
+/// prompt again, which delays the stream.
+const MOVE_START: f64 = 1.25;
+/// A version that is still suspicious, or has too few responses, at this fraction of the order's
+/// duration is rolled back: later the time would not suffice to move all requests.
+const DECISION_DEADLINE: f64 = 0.80;
 
-/// The part of the operator's bound that the first stage may use up.
-const CANARY_PART: f64 = 0.5;
-/// The most of the requests that the first stage sends to the new version, where these are so few
-/// that the bound would allow more.
+/// The fraction of the operator's bound that the first stage may use up.
+const CANARY_EXPOSURE_FRACTION: f64 = 0.5;
+/// The largest share of the requests in the first stage. Where a service has so few requests that
+/// the bound would allow more, this limit applies.
 const MAX_CANARY_SHARE: f64 = 0.5;
-/// Requests of the new version in the second stage at least, and at most; one of four upstreams has
-/// its final load with the latter.
+/// The smallest and the largest share of the requests in the second stage. With the largest share,
+/// one of four upstreams has the load of the completed roll-out.
 const LOAD_SHARES: [f64; 2] = [0.1, 0.25];
-/// Requests of the new version in the third stage.
+/// The share of the requests in the third stage.
 const PART_SHARE: f64 = 0.35;
-/// Upstreams of the new version that are tried in the first stage at least, so that one bad
-/// upstream is not counted as a bad version.
+/// The smallest number of upstreams that the first stage tries, so that one bad upstream is not
+/// taken for a bad version.
 const MIN_CANARIES: usize = 2;
 
-/// How many times the load that upstreams have at the end those have that are tried first, as
-/// those of a service have it when a data centre dies. With as much as at the end, a version that
-/// is slow under load would be found too late, as the load takes a stream's length to be there.
-const CANARY_LOAD: f64 = 1.6;
-/// Answers of the new version without which nothing is known of it. Five good answers are expected
-/// of a version that fails in two of five requests in one of 13 cases.
-const MIN_ANSWERS: u32 = 5;
-/// Answers of other upstreams of the new version that clear it where one group of them is bad. Ten
-/// answers of a version of which two in five fail are all good in one of 165 cases.
-const MIN_OTHER_ANSWERS: u32 = 10;
-/// Time for an answer at the new version after the stage that asks for it, and for its report.
-const MIN_STAGE: Duration = Duration::from_millis(600);
-/// Least time between two settings of the share.
-const ADAPT_EACH: Duration = Duration::from_secs(1);
-/// The share is lowered where less than this part of it is allowed.
-const LOWER_FROM: f64 = 0.8;
-/// Pause between two looks at other upstreams of the new version.
-const ROTATE_EACH: Duration = Duration::from_millis(500);
+/// The load of a tried upstream, as a multiple of its load after the roll-out; the upstreams of a
+/// service have as much load while a data centre is down. With a multiple of 1, a version that is
+/// slow under load would be detected too late, since load takes the length of a stream to build up.
+const CANARY_LOAD_FACTOR: f64 = 1.6;
+/// Responses of the target version that the first stage requires. A version that fails two of five
+/// requests returns five good responses in a row in one of 13 cases.
+const MIN_RESPONSES: u32 = 5;
+/// Responses of the other upstreams that clear the target version where one group of its upstreams
+/// is bad. A version that fails two of five requests returns ten good responses in a row in one of
+/// 165 cases.
+const MIN_OTHER_RESPONSES: u32 = 10;
+/// The shortest time in a stage: enough for a response of the target version and its report.
+const MIN_STAGE_DURATION: Duration = Duration::from_millis(600);
+/// The shortest time between two updates of the first stage's share.
+const SHARE_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
+/// The share is lowered where the bound allows less than this fraction of the present share.
+const SHARE_LOWERING_FRACTION: f64 = 0.8;
+/// The time for which one set of upstreams is tried before the next set replaces it.
+const ROTATION_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The operator's bound on the requests that a bad version gets.
+/// The operator's bound on the requests that a bad version receives: `share` of all, plus `slack`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExposureBounds {
-    /// The part of all requests that reach the service.
+    /// A fraction of all requests of the service, from 0 to 1.
     pub share: f64,
-    /// Requests besides.
+    /// A number of requests beyond that share.
     pub slack: f64,
 }
 
-/// What a step is decided by.
+/// The inputs of [`step`].
 #[derive(Debug)]
-pub struct Situation<'a> {
-    /// The present moment.
+pub struct StepInput<'a> {
+    /// The present moment, on this router's monotonic clock.
     pub now: Instant,
-    /// When the order became known.
+    /// When the order became known to this router, or an estimate of its start.
     pub known_since: Instant,
-    /// When the present stage, or its round, began.
+    /// When the present stage, or its present round, began at this router.
     pub stage_since: Instant,
-    /// How long after it the roll-out should be completed.
+    /// The time from `known_since` until the roll-out should be completed.
     pub duration: Duration,
-    /// How far it is.
+    /// The progress that the step starts from.
     pub progress: Progress,
-    /// What all routers counted.
+    /// The counts that all routers reported.
     pub evidence: &'a FleetEvidence,
-    /// Upstreams that the new version has.
+    /// The number of upstreams of the target version.
     pub upstreams: usize,
-    /// The routers that are alive, this one among them.
+    /// The routers that are alive, this router included.
     pub routers: &'a [SocketAddr],
-    /// The operator's bound.
+    /// The operator's bound on exposure.
     pub bounds: ExposureBounds,
 }
 
-/// What follows.
+/// The decision on how a roll-out continues.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
-    /// Nothing for now.
+    /// The progress stays as it is for now.
     Stay,
-    /// The roll-out goes on like this.
-    Go(Progress),
-    /// It ends: the new version is bad, or too little is known of it.
-    RollBack(Option<Objection>),
-    /// It ends: nothing is left at the former versions.
+    /// The roll-out takes this progress: a later stage, or another round of the same stage.
+    Update(Progress),
+    /// The roll-out ends: the target version is bad, or has too few responses (`None`).
+    RollBack(Option<Regression>),
+    /// The roll-out ends: no router has requests at the previous versions any more.
     Complete,
 }
 
-/// The progress with which a roll-out begins, before anything is known of the service's requests.
+/// The progress of a new order, before the rate of the service's requests is known.
 pub fn first_progress(bounds: ExposureBounds) -> Progress {
     Progress {
-        share: Permille::of(bounds.share * CANARY_PART),
+        share: Permille::from_fraction(bounds.share * CANARY_EXPOSURE_FRACTION),
         ..Progress::default()
     }
 }
 
-/// How many upstreams of the new version are tried at a stage, at a share of the requests.
-pub fn canaries(stage: Stage, share: Permille, upstreams: usize) -> usize {
-    let proportional = (share.part() * upstreams as f64 / CANARY_LOAD).round() as usize;
+/// How many upstreams of the target version share its requests in the first two stages. `share` is
+/// the version's share of all requests, and `upstreams` the number of its upstreams.
+pub fn canary_count(stage: Stage, share: Permille, upstreams: usize) -> usize {
+    let proportional =
+        (share.as_fraction() * upstreams as f64 / CANARY_LOAD_FACTOR).round() as usize;
     match stage {
         Stage::Load => proportional.max(1),
         _ => proportional.max(MIN_CANARIES),
     }
 }
 
-/// Decides what follows.
-pub fn step(situation: &Situation<'_>) -> Step {
-    let progress = situation.progress;
+/// Decides how a roll-out continues.
+pub fn step(input: &StepInput<'_>) -> Step {
+    let progress = input.progress;
     if progress.stage.is_over() {
         return Step::Stay;
     }
-    let windows = situation.evidence.windows();
-    let judgements = windows
+    let windows = input.evidence.windows();
+    let assessments = windows
         .iter()
-        .map(|evidence| judge(evidence, situation.upstreams));
-    let severest = judgements.max_by_key(Judgement::severity);
-    // Without a span of answers nothing is known against the version.
-    match severest.unwrap_or(Judgement::Nothing) {
-        Judgement::Bad(objection) => Step::RollBack(Some(objection)),
-        Judgement::OneGroup(objection) if situation.upstreams > 1 => {
-            look_elsewhere(situation, objection)
+        .map(|evidence| assess(evidence, input.upstreams));
+    let severest = assessments.max_by_key(Assessment::severity);
+    // Without any window of responses there is no evidence against the version.
+    match severest.unwrap_or(Assessment::NoRegression) {
+        Assessment::Bad(regression) => Step::RollBack(Some(regression)),
+        Assessment::OneGroup(regression) if input.upstreams > 1 => {
+            try_other_upstreams(input, regression)
         }
-        Judgement::OneGroup(objection) | Judgement::Suspicious(objection) => {
-            wait_for_more(situation, objection)
+        Assessment::OneGroup(regression) | Assessment::Suspicious(regression) => {
+            wait_or_roll_back(input, regression)
         }
-        Judgement::Nothing => go_on(situation),
+        Assessment::NoRegression => advance(input),
     }
 }
 
-impl Situation<'_> {
-    /// The part of the duration that has passed.
-    fn passed(&self) -> f64 {
+impl StepInput<'_> {
+    /// The fraction of the order's duration that has elapsed; above 1 after the deadline.
+    fn elapsed_fraction(&self) -> f64 {
         let elapsed = self.now.saturating_duration_since(self.known_since);
         elapsed.as_secs_f64() / self.duration.as_secs_f64().max(f64::MIN_POSITIVE)
     }
 
-    fn in_stage(&self) -> Duration {
+    fn time_in_stage(&self) -> Duration {
         self.now.saturating_duration_since(self.stage_since)
     }
 }
 
-/// One group of upstreams is bad: others of the new version are tried. Where these have answered
-/// often enough, and well, the fault is the group's; what they answered without load says nothing
-/// of an upstream that is bad under load.
-fn look_elsewhere(situation: &Situation<'_>, objection: Objection) -> Step {
-    let progress = situation.progress;
-    let is_cleared = objection.answers_without_worst >= MIN_OTHER_ANSWERS;
+/// Handles a bad group of upstreams: others of the target version are tried. Enough good responses
+/// of these clear the version, and only the group counts as faulty. The stage `Load` tries further
+/// upstreams all the same, as an upstream that is bad under load may respond well without load.
+fn try_other_upstreams(input: &StepInput<'_>, regression: Regression) -> Step {
+    let progress = input.progress;
+    let is_cleared = regression.responses_without_worst >= MIN_OTHER_RESPONSES;
     let tries_others = match progress.stage {
         Stage::Canary => !is_cleared,
-        Stage::Load => situation.passed() < LOAD_UNTIL,
+        Stage::Load => input.elapsed_fraction() < LOAD_END,
         _ => false,
     };
-    if tries_others && situation.in_stage() >= ROTATE_EACH && progress.round < u8::MAX {
-        return Step::Go(Progress {
+    if tries_others && input.time_in_stage() >= ROTATION_INTERVAL && progress.round < u8::MAX {
+        return Step::Update(Progress {
             round: progress.round + 1,
             ..progress
         });
     }
     if is_cleared && !tries_others {
-        return go_on(situation);
+        return advance(input);
     }
-    wait_for_more(situation, objection)
+    wait_or_roll_back(input, regression)
 }
 
-/// A version that is not trusted gets no more requests, and is rolled back in the end.
-fn wait_for_more(situation: &Situation<'_>, objection: Objection) -> Step {
-    let is_decided = situation.progress.stage.is_decided_for_target();
-    if !is_decided && situation.passed() >= DECIDE_UNTIL {
-        return Step::RollBack(Some(objection));
+/// Keeps the progress of a suspicious version, and rolls the version back at the deadline.
+fn wait_or_roll_back(input: &StepInput<'_>, regression: Regression) -> Step {
+    let is_decided = input.progress.stage.sends_all_to_target();
+    if !is_decided && input.elapsed_fraction() >= DECISION_DEADLINE {
+        return Step::RollBack(Some(regression));
     }
     Step::Stay
 }
 
-fn go_on(situation: &Situation<'_>) -> Step {
-    let progress = situation.progress;
-    let passed = situation.passed();
-    let is_stage_over = |until: f64| passed >= until && situation.in_stage() >= MIN_STAGE;
+fn advance(input: &StepInput<'_>) -> Step {
+    let progress = input.progress;
+    let elapsed_fraction = input.elapsed_fraction();
+    let is_stage_over =
+        |until: f64| elapsed_fraction >= until && input.time_in_stage() >= MIN_STAGE_DURATION;
     match progress.stage {
-        Stage::Canary if is_stage_over(CANARY_UNTIL) => after_canary(situation),
-        Stage::Canary => adapt_share(situation),
-        Stage::Load if is_stage_over(LOAD_UNTIL) => go(Stage::Part, PART_SHARE, progress),
-        Stage::Part if is_stage_over(PART_UNTIL) => after_part(situation),
-        Stage::All if passed >= MOVE_FROM => go(Stage::Moving, 1.0, progress),
-        Stage::All | Stage::Moving => complete_if_empty(situation),
+        Stage::Canary if is_stage_over(CANARY_END) => end_canary_stage(input),
+        Stage::Canary => update_share(input),
+        Stage::Load if is_stage_over(LOAD_END) => enter_stage(Stage::Part, PART_SHARE, progress),
+        Stage::Part if is_stage_over(PART_END) => end_part_stage(input),
+        Stage::All if elapsed_fraction >= MOVE_START => enter_stage(Stage::Moving, 1.0, progress),
+        Stage::All | Stage::Moving => complete_if_drained(input),
         Stage::Load | Stage::Part | Stage::RolledBack | Stage::Completed => Step::Stay,
     }
 }
 
-fn go(stage: Stage, share: f64, progress: Progress) -> Step {
-    Step::Go(Progress {
+fn enter_stage(stage: Stage, share: f64, progress: Progress) -> Step {
+    Step::Update(Progress {
         stage,
-        share: Permille::of(share),
+        share: Permille::from_fraction(share),
         ..progress
     })
 }
 
-/// The end of the first stage: on with a version of which enough is known.
-fn after_canary(situation: &Situation<'_>) -> Step {
-    if target_answers(situation.evidence) >= MIN_ANSWERS {
+/// Ends the first stage: the next one starts if enough responses of the target version arrived.
+fn end_canary_stage(input: &StepInput<'_>) -> Step {
+    if target_responses(input.evidence) >= MIN_RESPONSES {
         let [least, most] = LOAD_SHARES;
-        let one_upstream = 1.0 / situation.upstreams.max(1) as f64;
-        return go(
-            Stage::Load,
-            one_upstream.clamp(least, most),
-            situation.progress,
-        );
+        let one_upstream = 1.0 / input.upstreams.max(1) as f64;
+        return enter_stage(Stage::Load, one_upstream.clamp(least, most), input.progress);
     }
-    if situation.passed() >= DECIDE_UNTIL {
+    if input.elapsed_fraction() >= DECISION_DEADLINE {
         return Step::RollBack(None);
     }
     Step::Stay
 }
 
-/// The end of the third stage: all requests go to a version against which nothing speaks, even a
-/// little.
-fn after_part(situation: &Situation<'_>) -> Step {
-    let total = situation.evidence.total();
-    match doubt(&total, situation.upstreams) {
-        Some(objection) => wait_for_more(situation, objection),
-        None => go(Stage::All, 1.0, situation.progress),
+/// Ends the third stage: the target version receives all requests if there is not even weak
+/// evidence against it.
+fn end_part_stage(input: &StepInput<'_>) -> Step {
+    let total = input.evidence.total();
+    match promotion_blocker(&total, input.upstreams) {
+        Some(regression) => wait_or_roll_back(input, regression),
+        None => enter_stage(Stage::All, 1.0, input.progress),
     }
 }
 
-fn target_answers(evidence: &FleetEvidence) -> u32 {
+fn target_responses(evidence: &FleetEvidence) -> u32 {
     let total = evidence.total();
-    let answers = total
+    let responses = total
         .iter()
-        .filter(|(key, _)| key.arm != Arm::Former && key.measure == Measure::Answer);
-    answers.map(|(_, c)| c.failed + c.times.total()).sum()
+        .filter(|(key, _)| key.arm != Arm::Former && key.measure == Measure::Response);
+    responses.map(|(_, c)| c.failed + c.times.total()).sum()
 }
 
-/// Sets the share of the first stage by the requests that can be expected until the deadline:
-/// where they are few, the fifty that the bound allows besides are most of it. As long as a router
-/// has not reported, nobody knows how many there are.
-fn adapt_share(situation: &Situation<'_>) -> Step {
-    let evidence = situation.evidence;
-    let elapsed = situation
-        .now
-        .saturating_duration_since(situation.known_since);
-    let is_known = situation.routers.iter().all(|r| evidence.has_reported(r));
-    if elapsed < ADAPT_EACH || situation.in_stage() < ADAPT_EACH || !is_known {
+/// Sets the first stage's share from the number of requests that the service is expected to receive
+/// until the deadline. Where they are few, the bound consists mostly of its `slack`. The number is
+/// unknown until every router has reported.
+fn update_share(input: &StepInput<'_>) -> Step {
+    let evidence = input.evidence;
+    let elapsed = input.now.saturating_duration_since(input.known_since);
+    let is_known = input.routers.iter().all(|r| evidence.has_reported(r));
+    if elapsed < SHARE_UPDATE_INTERVAL || input.time_in_stage() < SHARE_UPDATE_INTERVAL || !is_known
+    {
         return Step::Stay;
     }
     let SentCounts { former, target } = evidence.sent();
     let sent = f64::from(former) + f64::from(target);
-    let expected = sent / elapsed.as_secs_f64() * situation.duration.as_secs_f64();
-    let ExposureBounds { share, slack } = situation.bounds;
-    let allowed = CANARY_PART * (share * expected + slack);
+    let expected = sent / elapsed.as_secs_f64() * input.duration.as_secs_f64();
+    let ExposureBounds { share, slack } = input.bounds;
+    let allowed = CANARY_EXPOSURE_FRACTION * (share * expected + slack);
     let adapted = (allowed / expected.max(1.0)).min(MAX_CANARY_SHARE);
-    let progress = situation.progress;
-    let present = progress.share.part();
-    // It is raised once, by the first measure, and lowered whenever more requests come.
+    let progress = input.progress;
+    let present = progress.share.as_fraction();
+    // The share is raised at most once, by the first estimate, and lowered as often as more requests
+    // arrive.
     let is_raised = progress.round == 0 && adapted > present;
-    let is_lowered = adapted < present * LOWER_FROM;
+    let is_lowered = adapted < present * SHARE_LOWERING_FRACTION;
     if (is_raised || is_lowered) && progress.round < u8::MAX {
-        return Step::Go(Progress {
-            share: Permille::of(adapted),
+        return Step::Update(Progress {
+            share: Permille::from_fraction(adapted),
             round: progress.round + 1,
             ..progress
         });
@@ -289,13 +291,14 @@
     Step::Stay
 }
 
-/// All living routers have left the former versions: these may stop. One that does not say so, as
-/// of a release that knows no roll-outs, holds the end up: its requests would be lost.
-fn complete_if_empty(situation: &Situation<'_>) -> Step {
-    let evidence = situation.evidence;
-    let has_left = |router| evidence.has_left_former(router, Stage::All);
-    let is_settled = situation.in_stage() >= MIN_STAGE;
-    if is_settled && situation.routers.iter().all(has_left) {
+/// Completes a roll-out once every live router has reported that no request of it runs at the
+/// previous versions, whose upstreams then stop. A router that does not report, as one of a release
+/// without roll-outs, delays the completion: its requests would be lost.
+fn complete_if_drained(input: &StepInput<'_>) -> Step {
+    let evidence = input.evidence;
+    let has_left = |router| evidence.has_drained_former(router, Stage::All);
+    let is_settled = input.time_in_stage() >= MIN_STAGE_DURATION;
+    if is_settled && input.routers.iter().all(has_left) {
         return Step::Complete;
     }
     Step::Stay
--- a/crates/router/cloverpier_router_policy/src/rollout/time_histogram.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/time_histogram.rs
@@ -1,87 +1,88 @@
-//! Times of answers, counted by size.
+//! A histogram of response times with exponential buckets.
 //!
-//! A few bytes hold the times of any number of answers, those of several routers add up, and
-//! "several times as long" is a distance between sizes. Owns no state beside the counts.
+//! A few bytes hold any number of response times, the histograms of several routers can be added,
+//! and "several times as long" is a fixed distance between buckets. Owns no state beside the counts.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Sizes for each doubling of a time, so that neighbours differ by a fifth.
-const PER_DOUBLING: f64 = 4.0;
-/// A time is slow that is more than this many sizes above the median: 3.1 times it, "several times
-/// slower".  Of lognormal times with a spread of 0.5, as the users' sheet has it, 1.2 in 100
-/// are (worked out).
-const SLOW_ABOVE: u8 = 6;
+/// Buckets for each doubling of a time, so that neighbouring buckets differ by a fifth.
+const BUCKETS_PER_DOUBLING: f64 = 4.0;
+/// A time is slow if its bucket is more than this many buckets above the median's: a slow time is at
+/// least 3.1 times the middle of the median's bucket. Of lognormal times with a spread of 0.5, which
+/// the users state, 1.2 in 100 are slow (computed).
+const SLOW_BUCKETS_ABOVE_MEDIAN: u8 = 6;
 
-/// The size of a time: four for each doubling, from a millisecond on.
+/// The bucket of a time: the index of an exponential bucket, where index 0 is about a millisecond
+/// or less and four indices double the time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct TimeSize(u8);
+pub struct TimeBucket(u8);
 
-impl TimeSize {
-    /// The size of a time.
+impl TimeBucket {
+    /// The bucket of a time; the last bucket also holds all longer times.
     pub fn of(time: Duration) -> Self {
         let ms = (time.as_secs_f64() * 1e3).max(1.0);
-        let size = (ms.log2() * PER_DOUBLING).round();
-        // Longer than any request is held; the cast keeps what is below.
-        Self(size.min(f64::from(u8::MAX)) as u8)
+        let bucket = (ms.log2() * BUCKETS_PER_DOUBLING).round();
+        // A time beyond the last bucket is longer than any request lasts, so the limit loses nothing.
+        Self(bucket.min(f64::from(u8::MAX)) as u8)
     }
 
-    /// From which size on a time is slow where this is the median.
-    pub fn slow_from(self) -> Self {
-        Self(self.0.saturating_add(SLOW_ABOVE + 1))
+    /// The first bucket of slow times, where this bucket is the median.
+    pub fn slow_threshold(self) -> Self {
+        Self(self.0.saturating_add(SLOW_BUCKETS_ABOVE_MEDIAN + 1))
     }
 }
 
-/// Times, counted by size.
+/// Counts of response times, by bucket.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct TimeCounts(BTreeMap<TimeSize, u32>);
+pub struct TimeHistogram(BTreeMap<TimeBucket, u32>);
 
-impl TimeCounts {
-    /// Counts a time.
+impl TimeHistogram {
+    /// Counts one time.
     pub fn add(&mut self, time: Duration) {
-        self.add_size(TimeSize::of(time), 1);
+        self.add_count(TimeBucket::of(time), 1);
     }
 
-    /// Adds other counts.
-    pub fn add_all(&mut self, other: &Self) {
-        for (size, count) in &other.0 {
-            self.add_size(*size, *count);
+    /// Adds the counts of another histogram.
+    pub fn merge(&mut self, other: &Self) {
+        for (bucket, count) in &other.0 {
+            self.add_count(*bucket, *count);
         }
     }
 
-    fn add_size(&mut self, size: TimeSize, count: u32) {
-        let counted = self.0.entry(size).or_default();
+    fn add_count(&mut self, bucket: TimeBucket, count: u32) {
+        let counted = self.0.entry(bucket).or_default();
         *counted = counted.saturating_add(count);
     }
 
-    /// What was counted since `former` was.
+    /// The counts added since an earlier state of this histogram.
     #[must_use]
-    pub fn since(&self, former: &Self) -> Self {
-        let less = |(size, count): (&TimeSize, &u32)| {
-            // A size without times then had none to take away.
-            let former = former.0.get(size).copied().unwrap_or_default();
-            (*size, count.saturating_sub(former))
+    pub fn since(&self, earlier: &Self) -> Self {
+        let less = |(bucket, count): (&TimeBucket, &u32)| {
+            // A bucket that the earlier state lacks had a count of 0 there.
+            let earlier = earlier.0.get(bucket).copied().unwrap_or_default();
+            (*bucket, count.saturating_sub(earlier))
         };
         Self(self.0.iter().map(less).collect())
     }
 
-    /// Number of times.
+    /// The number of counted times.
     pub fn total(&self) -> u32 {
         self.0.values().sum()
     }
 
-    /// Number of times from a size on.
-    pub fn from_size(&self, size: TimeSize) -> u32 {
-        self.0.range(size..).map(|(_, count)| count).sum()
+    /// The number of times in this bucket and all higher ones.
+    pub fn count_from(&self, bucket: TimeBucket) -> u32 {
+        self.0.range(bucket..).map(|(_, count)| count).sum()
     }
 
-    /// The size in the middle; `None` where there are fewer than `least`.
-    pub fn median(&self, least: u32) -> Option<TimeSize> {
+    /// The bucket of the median; `None` where fewer than `min_count` times are counted.
+    pub fn median(&self, min_count: u32) -> Option<TimeBucket> {
         let total = self.total();
-        if total < least.max(1) {
+        if total < min_count.max(1) {
             return None;
         }
         let mut before = 0;
@@ -89,6 +90,6 @@
             before += **count;
             before * 2 >= total
         });
-        middle.map(|(size, _)| *size)
+        middle.map(|(bucket, _)| *bucket)
     }
 }
--- a/crates/router/cloverpier_router_policy/src/rollout/versions.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/versions.rs
@@ -1,114 +1,115 @@
-//! Which versions an attempt may go to.
+//! Which software versions an attempt may go to.
 //!
-//! Relies on [`super::registry`] for the stage; draws nothing itself but the set of upstreams that are
-//! tried first, which is the same at all routers that know the same list. Owns no state.
+//! Relies on [`super::registry`] for the stage. The set of canary upstreams is computed from the
+//! upstreams' names, so all routers that have the same list compute the same set. Owns no state.
 
 use crate::upstream::UpstreamState;
 use cloverpier_core::{SoftwareVersion, hash_of};
 
-/// Groups into which the upstreams of a new version are counted, so that one bad upstream is not
-/// counted as a bad version and a report stays short whatever the number of upstreams.
-pub const GROUPS: usize = 8;
+/// Groups into which the upstreams of a target version are divided for counting. Groups separate one
+/// bad upstream from a bad version, and bound the size of a report for any number of upstreams.
+pub const UPSTREAM_GROUPS: usize = 8;
 
-/// The upstreams of the new version that are tried first.
+/// The upstreams of the target version that receive its requests in the first two stages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CanarySet {
-    /// How many.
+    /// The number of upstreams in the set.
     pub size: usize,
-    /// Which, counted in sets of this size: another round tries others.
+    /// Selects the set: each round takes the next `size` upstreams and starts over after the last.
     pub round: u8,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 enum Preference {
-    /// All versions alike.
+    /// No version is preferred.
     #[default]
     None,
-    /// Those before the new one.
+    /// The versions other than this target are preferred.
     Former(SoftwareVersion),
-    /// Some upstreams of the new one, else those before.
+    /// Some upstreams of this target are preferred, then the previous versions.
     Canary(SoftwareVersion, CanarySet),
-    /// The new one, else those before.
+    /// This target is preferred, then the previous versions.
     Target(SoftwareVersion),
 }
 
-/// Which versions an attempt may go to.
+/// Which software versions an attempt may go to: excluded versions, and a preference among others.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VersionRule {
-    /// Versions that get nothing.
-    barred: Vec<SoftwareVersion>,
+    /// Versions that receive no attempts.
+    excluded: Vec<SoftwareVersion>,
     preference: Preference,
 }
 
 impl VersionRule {
-    /// Any version will do.
+    /// Allows all versions, without a preference.
     pub const ANY: Self = Self {
-        barred: Vec::new(),
+        excluded: Vec::new(),
         preference: Preference::None,
     };
 
-    /// Any version will do but these.
-    pub fn but(barred: Vec<SoftwareVersion>) -> Self {
+    /// Allows all versions but these, without a preference.
+    pub fn excluding(excluded: Vec<SoftwareVersion>) -> Self {
         Self {
-            barred,
+            excluded,
             preference: Preference::None,
         }
     }
 
-    /// The versions before a new one; the new one only if no upstream of another is listed.
+    /// Allows only versions other than the target; the target only if no upstream of another is listed.
     #[must_use]
     pub fn preferring_former(self, target: SoftwareVersion) -> Self {
         let preference = Preference::Former(target);
         Self { preference, ..self }
     }
 
-    /// Some upstreams of a new version; where these are full or dead, the versions before.
+    /// Prefers some upstreams of the target; where they are full or dead, the previous versions.
     #[must_use]
     pub fn preferring_canaries(self, target: SoftwareVersion, canaries: CanarySet) -> Self {
         let preference = Preference::Canary(target, canaries);
         Self { preference, ..self }
     }
 
-    /// A new version; where its upstreams are full or dead, the versions before.
+    /// Prefers the target; where its upstreams are full or dead, the previous versions.
     #[must_use]
     pub fn preferring_target(self, target: SoftwareVersion) -> Self {
         let preference = Preference::Target(target);
         Self { preference, ..self }
     }
 
-    /// Whether a version gets nothing. An upstream whose version is not known was listed by a
-    /// router of a release that does not hand versions on, and gets what it always got.
-    pub fn bars(&self, version: Option<&SoftwareVersion>) -> bool {
-        version.is_some_and(|version| self.barred.contains(version))
+    /// Whether a version receives no attempts. `None` is never excluded: such an upstream was learned
+    /// from a router of a release that does not forward versions, and receives requests as before.
+    pub fn excludes(&self, version: Option<&SoftwareVersion>) -> bool {
+        version.is_some_and(|version| self.excluded.contains(version))
     }
 
-    /// The upstreams of a service that may get the attempt, in sets: a later one only counts
-    /// where nobody of those before takes it.
-    pub(crate) fn sets<'a>(
+    /// The upstreams of a service that may receive the attempt, in sets by preference: a later set is
+    /// used only if no upstream of the earlier sets accepts the attempt.
+    pub(crate) fn candidate_sets<'a>(
         &self,
         upstreams: Vec<&'a UpstreamState>,
     ) -> Vec<Vec<&'a UpstreamState>> {
         let mut allowed = upstreams;
-        allowed.retain(|s| !self.bars(s.upstream.version()));
+        allowed.retain(|s| !self.excludes(s.upstream.version()));
         match &self.preference {
             Preference::None => vec![allowed],
             Preference::Former(target) => vec![former_if_listed(allowed, target)],
             Preference::Canary(target, canaries) => {
-                let (new, former) = split(allowed, target);
+                let (new, former) = split_by_target(allowed, target);
                 vec![canaries.of(new), former]
             }
             Preference::Target(target) => {
-                let (new, former) = split(allowed, target);
+                let (new, former) = split_by_target(allowed, target);
                 vec![new, former]
             }
         }
     }
 
-    /// Whether an upstream may keep a replica: it should be where the run may go on.
-    pub(crate) fn takes_replica(&self, upstream: &UpstreamState) -> bool {
+    /// Whether an upstream may keep a replica of a stream's KV cache: its version should be the one at
+    /// which the stream may resume.
+    pub(crate) fn may_hold_replica(&self, upstream: &UpstreamState) -> bool {
         let version = upstream.upstream.version();
         let is = |target: &SoftwareVersion| version == Some(target);
-        !self.bars(version)
+        !self.excludes(version)
             && match &self.preference {
                 Preference::None => true,
                 Preference::Former(target) | Preference::Canary(target, _) => !is(target),
@@ -117,12 +118,12 @@
     }
 }
 
-/// The upstreams of other versions than the new one, or all if none of these is listed.
+/// The upstreams of other versions than the target, or all upstreams if none of these is listed.
 fn former_if_listed<'a>(
     upstreams: Vec<&'a UpstreamState>,
     target: &SoftwareVersion,
 ) -> Vec<&'a UpstreamState> {
-    let (new, former) = split(upstreams, target);
+    let (new, former) = split_by_target(upstreams, target);
     if former.iter().any(|s| s.is_listed()) {
         former
     } else {
@@ -130,7 +131,7 @@
     }
 }
 
-fn split<'a>(
+fn split_by_target<'a>(
     upstreams: Vec<&'a UpstreamState>,
     target: &SoftwareVersion,
 ) -> (Vec<&'a UpstreamState>, Vec<&'a UpstreamState>) {
@@ -139,8 +140,8 @@
 }
 
 impl CanarySet {
-    /// The upstreams of the set. They are ranked by name, so that neighbours, which may share a
-    /// data centre, are not tried together.
+    /// The upstreams of the set. They are ordered by a hash of their names, so that upstreams with
+    /// similar names, which may share a data centre, are not tried together.
     fn of<'a>(&self, mut upstreams: Vec<&'a UpstreamState>) -> Vec<&'a UpstreamState> {
         upstreams.retain(|s| s.is_listed());
         if upstreams.is_empty() {
@@ -157,9 +158,9 @@
     }
 }
 
-/// The group in which an upstream's answers are counted.
+/// The group in which an upstream's responses are counted, from 0 to [`UPSTREAM_GROUPS`] - 1.
 pub fn group_of(upstream: &str) -> u8 {
-    let group = hash_of(upstream) % GROUPS as u64;
-    // Below the number of groups, so the cast keeps it.
+    let group = hash_of(upstream) % UPSTREAM_GROUPS as u64;
+    // Below the number of groups, so the cast does not truncate.
     group as u8
 }
--- a/crates/router/cloverpier_router_policy/tests/rollout.rs
+++ b/crates/router/cloverpier_router_policy/tests/rollout.rs
@@ -1,18 +1,18 @@
-//! Roll-outs: what a router makes of orders, answers and what others say.
+//! Roll-outs: the registry of orders, the assessment of a target version, and the steps.
 
 use cloverpier_core::{ServiceName, SoftwareVersion, UpstreamName};
 use cloverpier_router_policy::attempt_failure::AttemptFailure;
 use cloverpier_router_policy::prelude::*;
-use cloverpier_router_policy::rollout::assessment::{Fault, Judgement, judge};
+use cloverpier_router_policy::rollout::assessment::{Assessment, RegressionKind, assess};
 use cloverpier_router_policy::rollout::evidence::{
-    AnswerCounts, Arm, Evidence, EvidenceKey, EvidenceReport, FleetEvidence, Measure, Observed,
-    OwnEvidence, RouteKey, SentCounts,
+    Arm, Evidence, EvidenceKey, EvidenceReport, FleetEvidence, Measure, ObservedAttempt,
+    OwnEvidence, ResponseCounts, RouteKey, SentCounts,
 };
 use cloverpier_router_policy::rollout::registry::{UNORDERED_HOLD, new_view};
 use cloverpier_router_policy::rollout::schedule::{
-    ExposureBounds, Situation, Step, first_progress, step,
+    ExposureBounds, Step, StepInput, first_progress, step,
 };
-use cloverpier_router_policy::rollout::{OrderId, Permille, RolloutBook};
+use cloverpier_router_policy::rollout::{OrderId, Permille, RolloutRegistry};
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -41,82 +41,82 @@
     BTreeMap::from([(service(), versions.collect())])
 }
 
-/// A book that has known one version for long, and a moment.
-fn book() -> (RolloutBook, Instant) {
+/// A registry in which `v1` has been listed for a minute, and the present moment.
+fn registry() -> (RolloutRegistry, Instant) {
     let now = Instant::now();
-    let mut book = RolloutBook::default();
-    book.on_listed(&listed(&["v1"]), now);
-    (book, now + Duration::from_secs(60))
+    let mut registry = RolloutRegistry::default();
+    registry.on_listed(&listed(&["v1"]), now);
+    (registry, now + Duration::from_secs(60))
 }
 
-/// Whether a version gets nothing.
-fn is_barred(book: &RolloutBook, version: &str, now: Instant) -> bool {
-    let rule = book.rule(&service(), |_| 4, now, &mut fastrand::Rng::with_seed(1));
-    rule.bars(Some(&version.into()))
+/// Whether a version receives no requests.
+fn is_excluded(registry: &RolloutRegistry, version: &str, now: Instant) -> bool {
+    let rule = registry.rule(&service(), |_| 4, now, &mut fastrand::Rng::with_seed(1));
+    rule.excludes(Some(&version.into()))
 }
 
 #[test]
-fn a_version_without_an_order_waits_for_one_and_is_like_others_then() {
-    let (mut book, now) = book();
-    book.on_listed(&listed(&["v1", "v2"]), now);
-    assert!(is_barred(&book, "v2", now));
-    assert!(!is_barred(&book, "v1", now));
+fn a_version_without_an_order_is_excluded_until_the_hold_expires() {
+    let (mut registry, now) = registry();
+    registry.on_listed(&listed(&["v1", "v2"]), now);
+    assert!(is_excluded(&registry, "v2", now));
+    assert!(!is_excluded(&registry, "v1", now));
     let later = now + UNORDERED_HOLD;
-    assert!(!is_barred(&book, "v2", later));
-    // The versions that a router finds when it starts are none that appeared.
-    let mut fresh = RolloutBook::default();
+    assert!(!is_excluded(&registry, "v2", later));
+    // The versions in the first list that a router receives are not newly listed.
+    let mut fresh = RolloutRegistry::default();
     fresh.on_listed(&listed(&["v1", "v2"]), now);
-    assert!(!is_barred(&fresh, "v2", now));
+    assert!(!is_excluded(&fresh, "v2", now));
 }
 
 #[test]
-fn an_order_lets_some_requests_to_its_version_at_once() {
-    let (mut book, now) = book();
-    book.on_listed(&listed(&["v1", "v2"]), now);
-    assert_eq!(book.on_view(view("v2", 7), now), OrderUpdate::Ordered);
-    assert!(!is_barred(&book, "v2", now));
-    assert_eq!(book.on_view(view("v2", 7), now), OrderUpdate::Nothing);
+fn an_order_admits_its_target_version_immediately() {
+    let (mut registry, now) = registry();
+    registry.on_listed(&listed(&["v1", "v2"]), now);
+    assert_eq!(registry.on_view(view("v2", 7), now), OrderUpdate::Ordered);
+    assert!(!is_excluded(&registry, "v2", now));
+    assert_eq!(registry.on_view(view("v2", 7), now), OrderUpdate::Unchanged);
 }
 
 #[test]
-fn a_version_whose_order_is_replaced_or_taken_back_gets_nothing() {
-    let (mut book, now) = book();
-    book.on_view(view("v2", 7), now);
-    assert_eq!(book.on_view(view("v3", 9), now), OrderUpdate::Ordered);
-    assert!(is_barred(&book, "v2", now));
-    assert!(!is_barred(&book, "v3", now));
-    // What a peer still says of the former order changes nothing.
-    assert_eq!(book.on_view(view("v2", 7), now), OrderUpdate::Nothing);
+fn the_target_of_a_replaced_or_withdrawn_order_is_excluded() {
+    let (mut registry, now) = registry();
+    registry.on_view(view("v2", 7), now);
+    assert_eq!(registry.on_view(view("v3", 9), now), OrderUpdate::Ordered);
+    assert!(is_excluded(&registry, "v2", now));
+    assert!(!is_excluded(&registry, "v3", now));
+    // A view of the replaced order from a peer has no effect.
+    assert_eq!(registry.on_view(view("v2", 7), now), OrderUpdate::Unchanged);
     let withdrawn = new_view(service(), 10, None, BOUNDS);
-    assert_eq!(book.on_view(withdrawn, now), OrderUpdate::Withdrawn);
-    assert!(is_barred(&book, "v3", now));
-    // Ordered again, it is judged again.
-    assert_eq!(book.on_view(view("v3", 11), now), OrderUpdate::Ordered);
-    assert!(!is_barred(&book, "v3", now));
+    assert_eq!(registry.on_view(withdrawn, now), OrderUpdate::Withdrawn);
+    assert!(is_excluded(&registry, "v3", now));
+    // A version that an order names again is assessed again.
+    assert_eq!(registry.on_view(view("v3", 11), now), OrderUpdate::Ordered);
+    assert!(!is_excluded(&registry, "v3", now));
 }
 
 #[test]
-fn a_version_that_is_rolled_back_gets_nothing_and_one_that_is_completed_everything() {
-    let (mut book, now) = book();
-    book.on_view(view("v2", 7), now);
+fn a_rolled_back_version_is_excluded_and_a_completed_one_is_not() {
+    let (mut registry, now) = registry();
+    registry.on_view(view("v2", 7), now);
     let to = |stage| Progress {
         stage,
         ..Progress::default()
     };
-    assert!(book.on_progress(&service(), to(Stage::RolledBack), now));
-    assert!(is_barred(&book, "v2", now));
-    // Only what the store holds goes before it.
-    assert!(!book.on_progress(&service(), to(Stage::All), now));
+    assert!(registry.on_progress(&service(), to(Stage::RolledBack), now));
+    assert!(is_excluded(&registry, "v2", now));
+    // Only an end that the store holds overrides a roll-back.
+    assert!(!registry.on_progress(&service(), to(Stage::All), now));
     let confirmed = Progress {
         is_confirmed: true,
         ..to(Stage::Completed)
     };
-    assert!(book.on_progress(&service(), confirmed, now));
-    assert!(!is_barred(&book, "v2", now));
-    assert!(!book.on_progress(&service(), to(Stage::RolledBack), now));
-    // A completed version stays good when its order goes.
-    book.on_view(new_view(service(), 10, None, BOUNDS), now);
-    assert!(!is_barred(&book, "v2", now));
+    assert!(registry.on_progress(&service(), confirmed, now));
+    assert!(!is_excluded(&registry, "v2", now));
+    assert!(!registry.on_progress(&service(), to(Stage::RolledBack), now));
+    // A completed version is not excluded when its order is withdrawn.
+    registry.on_view(new_view(service(), 10, None, BOUNDS), now);
+    assert!(!is_excluded(&registry, "v2", now));
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -135,7 +135,7 @@
         ];
         Self(Progress {
             stage: *g.choose(&stages).unwrap(),
-            share: Permille::of(f64::from(u8::arbitrary(g)) / 255.0),
+            share: Permille::from_fraction(f64::from(u8::arbitrary(g)) / 255.0),
             round: u8::arbitrary(g) % 3,
             is_confirmed: bool::arbitrary(g),
         })
@@ -143,8 +143,8 @@
 }
 
 quickcheck! {
-    /// Routers that hear the same in any order, and any number of times, agree.
-    fn what_routers_agree_on_depends_on_no_order(
+    /// Routers that merge the same states agree, in any order and with any repetitions.
+    fn progress_join_is_associative_commutative_and_idempotent(
         a: AnyProgress,
         b: AnyProgress,
         c: AnyProgress
@@ -160,15 +160,15 @@
 fn key(arm: Arm, route: RouteKey) -> EvidenceKey {
     EvidenceKey {
         route,
-        measure: Measure::Answer,
+        measure: Measure::Response,
         arm,
     }
 }
 
-fn counts(failed: u32, good: u32, ms: u64) -> AnswerCounts {
-    let mut counts = AnswerCounts {
+fn counts(failed: u32, good: u32, ms: u64) -> ResponseCounts {
+    let mut counts = ResponseCounts {
         failed,
-        ..AnswerCounts::default()
+        ..ResponseCounts::default()
     };
     for _ in 0..good {
         counts.times.add(Duration::from_millis(ms));
@@ -176,76 +176,76 @@
     counts
 }
 
-fn evidence(entries: &[(Arm, AnswerCounts)]) -> Evidence {
+fn evidence(entries: &[(Arm, ResponseCounts)]) -> Evidence {
     let entries = entries.iter().cloned();
     entries.map(|(arm, c)| (key(arm, ROUTE), c)).collect()
 }
 
 #[test]
-fn a_version_that_fails_or_is_slow_at_two_upstreams_is_bad() {
+fn a_version_that_fails_or_is_slow_at_two_upstream_groups_is_bad() {
     let failing = evidence(&[
         (Arm::Former, counts(2, 300, 30)),
         (Arm::Target(1), counts(5, 6, 30)),
         (Arm::Target(2), counts(4, 8, 30)),
     ]);
-    let Judgement::Bad(objection) = judge(&failing, 4) else {
-        panic!("{:?}", judge(&failing, 4));
+    let Assessment::Bad(regression) = assess(&failing, 4) else {
+        panic!("{:?}", assess(&failing, 4));
     };
     assert_eq!(
-        (objection.fault, objection.bad, objection.answers),
-        (Fault::Fails, 9, 23)
+        (regression.kind, regression.bad, regression.responses),
+        (RegressionKind::Fails, 9, 23)
     );
     let slow = evidence(&[
         (Arm::Former, counts(0, 300, 30)),
         (Arm::Target(1), counts(0, 8, 150)),
         (Arm::Target(2), counts(0, 8, 150)),
     ]);
-    assert!(matches!(judge(&slow, 4), Judgement::Bad(o) if o.fault == Fault::Slow));
+    assert!(matches!(assess(&slow, 4), Assessment::Bad(o) if o.kind == RegressionKind::Slow));
 }
 
 #[test]
-fn answers_that_do_not_come_are_slow_before_they_come() {
-    let mut awaited = counts(0, 0, 0);
+fn pending_responses_count_as_slow() {
+    let mut pending_counts = counts(0, 0, 0);
     for _ in 0..8 {
-        awaited.awaited.add(Duration::from_millis(120));
+        pending_counts.pending.add(Duration::from_millis(120));
     }
     let slow = evidence(&[
         (Arm::Former, counts(0, 300, 30)),
-        (Arm::Target(1), awaited.clone()),
-        (Arm::Target(2), awaited),
+        (Arm::Target(1), pending_counts.clone()),
+        (Arm::Target(2), pending_counts),
     ]);
-    assert!(matches!(judge(&slow, 4), Judgement::Bad(o) if o.fault == Fault::Slow));
+    assert!(matches!(assess(&slow, 4), Assessment::Bad(o) if o.kind == RegressionKind::Slow));
 }
 
 #[test]
 fn one_bad_upstream_among_several_is_not_a_bad_version() {
-    let grey = evidence(&[
+    let one_bad_group = evidence(&[
         (Arm::Former, counts(2, 300, 30)),
         (Arm::Target(1), counts(12, 12, 30)),
         (Arm::Target(2), counts(0, 24, 30)),
     ]);
-    assert!(matches!(judge(&grey, 4), Judgement::OneGroup(_)));
-    // Where there is no other, it is the version.
+    assert!(matches!(assess(&one_bad_group, 4), Assessment::OneGroup(_)));
+    // A version with a single upstream has no other group that could clear it.
     let alone = evidence(&[
         (Arm::Former, counts(2, 300, 30)),
         (Arm::Target(1), counts(12, 12, 30)),
     ]);
-    assert!(matches!(judge(&alone, 1), Judgement::Bad(_)));
+    assert!(matches!(assess(&alone, 1), Assessment::Bad(_)));
 }
 
 #[test]
-fn what_fails_at_every_version_speaks_against_none() {
-    // One kind of request of the users fails in 14 of 100 cases.
-    let usual = evidence(&[
+fn failures_at_all_versions_are_no_regression() {
+    // One kind of request fails in 14 of 100 cases at any version.
+    let equal_failures = evidence(&[
         (Arm::Former, counts(140, 860, 30)),
         (Arm::Target(1), counts(8, 42, 30)),
         (Arm::Target(2), counts(9, 41, 30)),
     ]);
-    assert_eq!(judge(&usual, 4), Judgement::Nothing);
+    assert_eq!(assess(&equal_failures, 4), Assessment::NoRegression);
 }
 
 #[test]
-fn a_fault_on_one_route_is_seen_among_many_good_answers() {
+fn a_regression_on_one_route_is_detected_among_many_good_responses() {
     let mut one_route = evidence(&[
         (Arm::Former, counts(0, 2_000, 30)),
         (Arm::Target(1), counts(0, 200, 30)),
@@ -255,20 +255,20 @@
     one_route.insert(key(Arm::Former, other), counts(1, 100, 30));
     one_route.insert(key(Arm::Target(1), other), counts(4, 3, 30));
     one_route.insert(key(Arm::Target(2), other), counts(3, 4, 30));
-    assert!(matches!(judge(&one_route, 4), Judgement::Bad(o) if o.route == Some(other)));
+    assert!(matches!(assess(&one_route, 4), Assessment::Bad(o) if o.route == Some(other)));
 }
 
 #[test]
-fn a_break_is_a_bad_answer_only_if_its_upstream_lives() {
+fn a_broken_attempt_counts_as_failed_only_if_its_upstream_did_not_crash() {
     let now = Instant::now();
     let name = UpstreamName::new("one");
-    let observed = |start| Observed {
+    let observed_at = |start| ObservedAttempt {
         upstream: &name,
         start,
         is_target: true,
         route: ROUTE,
     };
-    let broke = AttemptFailure::SendBroke {
+    let broken_attempt = AttemptFailure::SendBroke {
         was_unsent: false,
         error: "reset".to_owned(),
     };
@@ -293,25 +293,29 @@
     };
     table.apply_list(vec![upstream], 1, now);
     let first = table.get(&name).unwrap().start();
-    own.on_failure(observed(first), &broke, now);
+    own.on_failure(observed_at(first), &broken_attempt, now);
     assert_eq!(failures(&own), 0);
-    // Its next start answers: the one before has died.
+    // The next start of the upstream responds: the start of the broken attempt crashed.
     table.on_start(&name, Some(2));
     let second = table.get(&name).unwrap().start();
-    let id = own.begin(observed(second), Measure::Answer, now);
-    own.on_answer(id, observed(second), now);
+    let id = own.start_timing(observed_at(second), Measure::Response, now);
+    own.on_response(id, observed_at(second), now);
     assert_eq!(failures(&own), 0);
-    // The same start answers: it lives, and gave a bad answer.
-    own.on_failure(observed(second), &broke, now);
-    let id = own.begin(observed(second), Measure::Answer, now);
-    own.on_answer(id, observed(second), now);
+    // The same start responds: the upstream did not crash, so the broken attempt was a bad response.
+    own.on_failure(observed_at(second), &broken_attempt, now);
+    let id = own.start_timing(observed_at(second), Measure::Response, now);
+    own.on_response(id, observed_at(second), now);
     assert_eq!(failures(&own), 1);
 }
 
-/// What a router that decides knows two seconds after an order of two minutes.
-fn step_with(fleet: &FleetEvidence, routers: &[SocketAddr], progress: Progress) -> Step {
+/// The step of a deciding router two seconds after an order with a duration of two minutes.
+fn step_after_two_seconds(
+    fleet: &FleetEvidence,
+    routers: &[SocketAddr],
+    progress: Progress,
+) -> Step {
     let known_since = Instant::now();
-    step(&Situation {
+    step(&StepInput {
         now: known_since + Duration::from_secs(2),
         known_since,
         stage_since: known_since,
@@ -324,7 +328,7 @@
     })
 }
 
-fn report_of(sent: u32) -> EvidenceReport {
+fn report_with_sent(sent: u32) -> EvidenceReport {
     EvidenceReport {
         order: OrderId(1),
         stage: Stage::Canary,
@@ -338,26 +342,30 @@
 }
 
 #[test]
-fn the_share_is_not_raised_before_all_routers_have_said_how_many_requests_there_are() {
-    // On a busy machine the first reports came late; no request seemed to be there, and half of
-    // all went to a version that was not known to be good: 196 of 454.
+fn the_share_is_not_raised_before_all_routers_have_reported() {
+    // Guards against raising the share on missing reports: on a busy machine the first reports are
+    // late, the service seems to receive no requests, and half of all requests go to an unproven
+    // version (196 of 454).
     let routers: Vec<SocketAddr> = (1..=2).map(|n| ([127, 0, 0, n], 7_104).into()).collect();
     let first = first_progress(BOUNDS);
     let mut fleet = FleetEvidence::default();
-    assert_eq!(step_with(&fleet, &routers, first), Step::Stay);
-    fleet.on_report(routers[0], report_of(2));
-    assert_eq!(step_with(&fleet, &routers, first), Step::Stay);
-    // Two requests in two seconds: 120 until the end, of which 31 may be canaries.
-    fleet.on_report(routers[1], report_of(0));
-    let Step::Go(raised) = step_with(&fleet, &routers, first) else {
-        panic!("not raised");
+    assert_eq!(step_after_two_seconds(&fleet, &routers, first), Step::Stay);
+    fleet.on_report(routers[0], report_with_sent(2));
+    assert_eq!(step_after_two_seconds(&fleet, &routers, first), Step::Stay);
+    // Two requests in two seconds make 120 until the deadline, of which 31 may go to the target.
+    fleet.on_report(routers[1], report_with_sent(0));
+    let Step::Update(raised) = step_after_two_seconds(&fleet, &routers, first) else {
+        panic!("share was not raised");
     };
-    assert!((0.2..0.3).contains(&raised.share.part()), "{raised:?}");
-    // More come: the share falls.
-    fleet.on_report(routers[1], report_of(1_000));
-    let Step::Go(lowered) = step_with(&fleet, &routers, raised) else {
-        panic!("not lowered");
+    assert!(
+        (0.2..0.3).contains(&raised.share.as_fraction()),
+        "{raised:?}"
+    );
+    // More requests arrive, and the share is lowered.
+    fleet.on_report(routers[1], report_with_sent(1_000));
+    let Step::Update(lowered) = step_after_two_seconds(&fleet, &routers, raised) else {
+        panic!("share was not lowered");
     };
-    assert!(lowered.share.part() < 0.06, "{lowered:?}");
+    assert!(lowered.share.as_fraction() < 0.06, "{lowered:?}");
     assert!(lowered.join(raised) == lowered);
 }
--- a/tools/src/rollout_play/requests.rs
+++ b/tools/src/rollout_play/requests.rs
@@ -6,7 +6,9 @@
 use cloverpier_core::DataCentre;
 use cloverpier_router_policy::attempt_failure::AttemptFailure;
 use cloverpier_router_policy::prelude::*;
-use cloverpier_router_policy::rollout::evidence::{Measure, Observed, OpenId, RouteKey};
+use cloverpier_router_policy::rollout::evidence::{
+    Measure, MeasurementId, ObservedAttempt, RouteKey,
+};
 use std::collections::HashSet;
 use std::time::Duration;
 
@@ -23,7 +25,7 @@
     sent_at: Duration,
     fails: bool,
     pub is_done: bool,
-    pub open: Option<OpenId>,
+    pub open: Option<MeasurementId>,
 }
 
 /// An upstream as the router of a request observes it.
@@ -32,10 +34,10 @@
     upstreams: &'a [SimUpstream],
     spec: &PlaySpec,
     request: Request,
-) -> Observed<'a> {
+) -> ObservedAttempt<'a> {
     let state = &upstreams[request.upstream];
     let start = table.get(&state.name).map(UpstreamState::start);
-    Observed {
+    ObservedAttempt {
         upstream: &state.name,
         start: start.unwrap_or_default(),
         is_target: state.is_target,
@@ -126,11 +128,11 @@
         self.schedule_in(took, Event::Answer { request });
     }
 
-    fn begin_measure(&mut self, request: Request) -> Option<OpenId> {
+    fn begin_measure(&mut self, request: Request) -> Option<MeasurementId> {
         let now = self.at(self.now);
         let observed = observed(&self.table, &self.upstreams, &self.spec, request);
         let rollout = self.books[request.router].get_mut(&self.service)?;
-        Some(rollout.own.begin(observed, Measure::Answer, now))
+        Some(rollout.own.start_timing(observed, Measure::Response, now))
     }
 
     /// A stream at a former version goes on at the new one.
@@ -203,10 +205,10 @@
         };
         if request.fails {
             let failure = AttemptFailure::UpstreamError { status: 500 };
-            rollout.own.on_end(open);
+            rollout.own.cancel_timing(open);
             rollout.own.on_failure(observed, &failure, now);
         } else {
-            rollout.own.on_answer(open, observed, now);
+            rollout.own.on_response(open, observed, now);
         }
     }
 
--- a/tools/src/rollout_play/routers.rs
+++ b/tools/src/rollout_play/routers.rs
@@ -3,9 +3,9 @@
 
 use super::world::{Event, ORDER_AT, World};
 use cloverpier_router_policy::prelude::*;
-use cloverpier_router_policy::rollout::RolloutBook;
+use cloverpier_router_policy::rollout::RolloutRegistry;
 use cloverpier_router_policy::rollout::registry::new_view;
-use cloverpier_router_policy::rollout::schedule::{ExposureBounds, Situation, Step, step};
+use cloverpier_router_policy::rollout::schedule::{ExposureBounds, Step, StepInput, step};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
         let now = self.at(self.now);
         let view = self.books[0].views().into_iter().next();
         for book in &mut self.books {
-            *book = RolloutBook::default();
+            *book = RolloutRegistry::default();
             if let Some(known) = &view {
                 let order = known.order.clone();
                 book.on_view(new_view(self.service.clone(), 2, order, BOUNDS), now);
@@ -98,12 +98,12 @@
         let Some(rollout) = self.books[judge].get_mut(&self.service) else {
             return;
         };
-        rollout.fleet.remember(now);
+        rollout.fleet.take_snapshot(now);
         let Some(order) = rollout.active() else {
             return;
         };
         let progress = rollout.view.progress;
-        let decided = step(&Situation {
+        let decided = step(&StepInput {
             now,
             known_since: rollout.known_since,
             stage_since: rollout.stage_since,
@@ -124,7 +124,7 @@
         let since_order = self.now.saturating_sub(ORDER_AT);
         match decided {
             Step::Stay => None,
-            Step::Go(next) => Some(next),
+            Step::Update(next) => Some(next),
             Step::RollBack(_) => {
                 self.outcome.rolled_back.get_or_insert(since_order);
                 Some(Progress {
@@ -166,7 +166,8 @@
             return;
         }
         let now = self.at(self.now);
-        let stage_of = |book: &RolloutBook| book.views().first().map(|view| view.progress.stage);
+        let stage_of =
+            |book: &RolloutRegistry| book.views().first().map(|view| view.progress.stage);
         let before = stage_of(&self.books[router]);
         for view in self.books[from].views() {
             self.books[router].on_view(view, now);
--- a/tools/src/rollout_play/upstreams.rs
+++ b/tools/src/rollout_play/upstreams.rs
@@ -147,7 +147,7 @@
             return;
         };
         if let Some(open) = request.open {
-            rollout.own.on_end(open);
+            rollout.own.cancel_timing(open);
         }
         rollout.own.on_failure(observed, &failure, now);
     }
--- a/tools/src/rollout_play/world.rs
+++ b/tools/src/rollout_play/world.rs
@@ -6,7 +6,7 @@
 use super::{PlayOutcome, PlaySpec};
 use cloverpier_core::{ServiceName, SoftwareVersion};
 use cloverpier_router_policy::prelude::*;
-use cloverpier_router_policy::rollout::RolloutBook;
+use cloverpier_router_policy::rollout::RolloutRegistry;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
@@ -40,7 +40,7 @@
     pub(super) rng: fastrand::Rng,
     pub(super) table: UpstreamTable,
     pub(super) upstreams: Vec<SimUpstream>,
-    pub(super) books: Vec<RolloutBook>,
+    pub(super) books: Vec<RolloutRegistry>,
     pub(super) requests: Vec<Request>,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     scheduled: u64,
@@ -60,7 +60,7 @@
             rng: fastrand::Rng::with_seed(spec.seed),
             table: UpstreamTable::default(),
             upstreams: Vec::new(),
-            books: vec![RolloutBook::default(); spec.routers],
+            books: vec![RolloutRegistry::default(); spec.routers],
             requests: Vec::new(),
             events: BinaryHeap::new(),
             scheduled: 0,
