--- a/crates/router/cloverpier_router/src/singleton/keeper.rs
+++ b/crates/router/cloverpier_router/src/singleton/keeper.rs
@@ -12,7 +12,7 @@
 use cloverpier_core::{jitter, wall_ms};
 use cloverpier_router_policy::prelude::PeerState;
 use cloverpier_router_policy::singleton::lease::{
-    LeaseStep, LeaseWish, LeaseWrite, RecordSeen, WriteResult,
+    LeaseInput, LeaseStep, LeaseWrite, RecordSnapshot, WriteResult,
 };
 use cloverpier_router_policy::singleton::metering::HolderUsage;
 use cloverpier_router_policy::store_watch::may_call;
@@ -55,7 +55,7 @@
 impl<P: SingletonPlatform> Keeper<'_, P> {
     async fn take_step(&mut self) {
         let now = self.router.now();
-        let wish = LeaseWish {
+        let wish = LeaseInput {
             may_hold: self.may_hold(now),
             has_updates: self.decide_windows(now),
         };
@@ -112,7 +112,7 @@
     }
 
     fn on_seen(&mut self, stored: StoredRecord) {
-        let seen = RecordSeen {
+        let seen = RecordSnapshot {
             version: stored.version,
             tenure: stored.record.as_ref().map(|record| record.tenure.clone()),
         };
--- a/crates/router/cloverpier_router/src/singleton/mod.rs
+++ b/crates/router/cloverpier_router/src/singleton/mod.rs
@@ -49,7 +49,10 @@
     };
     let window = singleton.windows().window_at(singleton.fleet_ms(at));
     let account = AccountName::new(&account.name);
-    singleton.own_usage.borrow_mut().on_begun(&account, window);
+    singleton
+        .own_usage
+        .borrow_mut()
+        .on_request_started(&account, window);
 }
 
 fn count(metrics: &Metrics, kind: &'static str) {
--- a/crates/router/cloverpier_router/src/singleton/reports.rs
+++ b/crates/router/cloverpier_router/src/singleton/reports.rs
@@ -12,7 +12,7 @@
 use crate::router::Router;
 use cloverpier_router_policy::prelude::ServiceKey;
 use cloverpier_router_policy::singleton::autoscaling::ServiceLoad;
-use cloverpier_router_policy::singleton::metering::{Counter, in_pieces};
+use cloverpier_router_policy::singleton::metering::{UsageReporter, split_into_reports};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -44,7 +44,7 @@
     to.sort_unstable();
     to.dedup();
     let started = router.lifecycle.started();
-    let pieces = in_pieces(singleton.own_usage.borrow().windows());
+    let pieces = split_into_reports(singleton.own_usage.borrow().windows());
     for windows in pieces {
         let report = FleetReport {
             sender,
@@ -91,7 +91,7 @@
 }
 
 fn take_report(singleton: &Singleton, report: FleetReport, now: Instant) {
-    let from = Counter {
+    let from = UsageReporter {
         router: report.sender,
         incarnation: report.incarnation,
     };
@@ -143,13 +143,13 @@
     singleton
         .lease
         .borrow_mut()
-        .on_version_named(update.version, now);
+        .on_version_reported(update.version, now);
     if singleton.work.borrow().is_some() {
         return;
     }
     singleton.holder.set(Some(update.sender));
     singleton.clock.borrow_mut().adopt(update.fleet_ms, now);
     let mut own = singleton.own_usage.borrow_mut();
-    own.forget_before(update.undecided);
-    singleton.book.borrow_mut().forget_before(update.undecided);
+    own.discard_before(update.undecided);
+    singleton.book.borrow_mut().discard_before(update.undecided);
 }
--- a/crates/router/cloverpier_router/src/singleton/state.rs
+++ b/crates/router/cloverpier_router/src/singleton/state.rs
@@ -8,7 +8,7 @@
 use cloverpier_router_policy::singleton::fleet_clock::FleetClock;
 use cloverpier_router_policy::singleton::lease::{HolderId, Lease, LeaseBounds};
 use cloverpier_router_policy::singleton::metering::{
-    HolderUsage, OwnUsage, UsageBook, WindowBounds,
+    FleetUsage, HolderUsage, OwnUsage, WindowBounds,
 };
 use cloverpier_settings::{RouterSettings, SingletonSettings};
 use std::cell::{Cell, RefCell};
@@ -24,7 +24,7 @@
     pub(super) lease: RefCell<Lease>,
     pub(super) clock: RefCell<FleetClock>,
     pub(super) own_usage: RefCell<OwnUsage>,
-    pub(super) book: RefCell<UsageBook>,
+    pub(super) book: RefCell<FleetUsage>,
     /// The load that each router reported last.
     pub(super) loads: RefCell<HashMap<SocketAddr, ReportedLoads>>,
     /// The holder of the lease, as it said last.
@@ -61,7 +61,7 @@
     pub(super) fn plans(&self) -> BTreeMap<ServiceName, Plan> {
         let mut plans = self.inherited_plans.clone();
         let planned = self.scalers.iter();
-        plans.extend(planned.map(|(service, scaler)| (service.clone(), scaler.in_force().clone())));
+        plans.extend(planned.map(|(service, scaler)| (service.clone(), scaler.ordered().clone())));
         plans
     }
 }
@@ -99,7 +99,7 @@
     pub(super) fn windows(&self) -> WindowBounds {
         WindowBounds {
             length: self.settings.usage_window,
-            late_after: self.settings.usage_late,
+            report_deadline: self.settings.usage_late,
         }
     }
 
--- a/crates/router/cloverpier_router/src/singleton/work.rs
+++ b/crates/router/cloverpier_router/src/singleton/work.rs
@@ -13,7 +13,7 @@
 use cloverpier_core::{DataCentre, ServiceName};
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::singleton::autoscaling::{
-    Autoscaler, EngineSize, Engines, Order, OrderResult, Plan, ServiceLoad,
+    Autoscaler, EngineCapacity, Engines, Order, OrderResult, Plan, ServiceLoad,
 };
 use cloverpier_router_policy::singleton::metering::{Window, WindowCounts};
 use std::collections::BTreeMap;
@@ -261,13 +261,13 @@
         (scaler.orders(&listed, now), scaler.peak())
     }
 
-    fn engine_size(&self, service: &ServiceName) -> Option<EngineSize> {
+    fn engine_size(&self, service: &ServiceName) -> Option<EngineCapacity> {
         let configuration = self.router.store.configuration()?;
         let mut services = configuration.parts().services.iter();
         let engine = services.find(|s| s.name == *service)?.engine?;
         let table = self.router.upstreams.borrow();
         let slots = table.of_service(service).map(|s| s.upstream.slots).max()?;
-        Some(EngineSize {
+        Some(EngineCapacity {
             slots,
             memory_tokens: engine.memory_tokens,
         })
--- a/crates/router/cloverpier_router/tests/singleton_messages.rs
+++ b/crates/router/cloverpier_router/tests/singleton_messages.rs
@@ -9,7 +9,7 @@
 use cloverpier_router_policy::prelude::ServiceKey;
 use cloverpier_router_policy::singleton::autoscaling::ServiceLoad;
 use cloverpier_router_policy::singleton::lease::RecordVersion;
-use cloverpier_router_policy::singleton::metering::{MAX_COUNTS, ReportedWindow};
+use cloverpier_router_policy::singleton::metering::{MAX_COUNTS_PER_REPORT, ReportedWindow};
 use std::net::SocketAddr;
 
 #[track_caller]
@@ -81,7 +81,7 @@
 #[test]
 fn as_many_counts_as_one_report_holds_fit_into_a_datagram() {
     let count = |n: usize| (AccountName::new(format!("{n:064}")), u32::MAX);
-    let windows = vec![(u64::MAX, (0..MAX_COUNTS).map(count).collect())];
+    let windows = vec![(u64::MAX, (0..MAX_COUNTS_PER_REPORT).map(count).collect())];
     let bytes = encode(&PeerMessage::FleetReport(report(windows))).unwrap();
     assert!(bytes.len() <= MAX_DATAGRAM, "{}", bytes.len());
 }
--- a/crates/router/cloverpier_router_policy/src/singleton/fleet_clock.rs
+++ b/crates/router/cloverpier_router_policy/src/singleton/fleet_clock.rs
@@ -1,12 +1,12 @@
-//! The time of day that routers agree on, where some VMs' clocks are wrong.
+//! The time of day that all routers use, also if the clocks of some VMs are wrong.
 //!
 //! - **Question.** What is the time of day?
 //! - **Inputs.** Readings of the routers' clocks, each with the moment at which it arrived.
-//! - **Answer.** The difference between the time of day and this router's steady clock: the median of
-//!   the readings.
-//! - **Why.** A VM's time of day may be off, or jump and jump back. Its steady clock does neither, and
-//!   the median is right while fewer than half of the clocks are wrong. A reading is late by the time
-//!   for which its datagram was on its way, a millisecond or so.
+//! - **Outcome.** The offset of the time of day from this router's monotonic clock: the median of the
+//!   readings.
+//! - **Why.** A VM's time of day may be wrong, or jump and jump back. Its monotonic clock does neither,
+//!   and the median is right while fewer than half of the clocks are wrong. A reading lags by the
+//!   network delay of its datagram, about a millisecond.
 //!
 //! [`FleetClock`] owns the last reading of each router.
 
@@ -14,31 +14,31 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A reading counts for this long: some reports of a router, of which one may be lost.
+/// How long a reading counts: several reports of a router, of which some may be lost.
 const READING_TTL: Duration = Duration::from_secs(5);
 
-/// A time of day in milliseconds since 1970, as the routers agree on it.
+/// The time of day in milliseconds since 1970, by the fleet's clock.
 pub type FleetMs = u64;
 
-/// One router's clock.
+/// The last reading of one router's clock.
 #[derive(Clone, Copy, Debug)]
 struct Reading {
-    /// Milliseconds since 1970 at the moment `start` of this router's steady clock.
+    /// The reading's time of day at this router's [`FleetClock::start`], in milliseconds since 1970.
     offset_ms: i64,
     arrived: Instant,
 }
 
-/// The clocks of the routers, as reported to this one.
+/// The fleet's time of day at this router.
 #[derive(Clone, Debug)]
 pub struct FleetClock {
     start: Instant,
     readings: HashMap<SocketAddr, Reading>,
-    /// The offset in use.
+    /// The offset in use: the time of day at `start`, in milliseconds since 1970.
     offset_ms: i64,
 }
 
 impl FleetClock {
-    /// A clock that goes by the own time of day until it is notified of others.
+    /// A clock that follows this VM's own time of day until readings or the holder replace it.
     pub fn new(own_wall_ms: u64, now: Instant) -> Self {
         Self {
             start: now,
@@ -47,14 +47,14 @@
         }
     }
 
-    /// Records a router's reading of its own clock.
+    /// Records a router's time of day, in milliseconds since 1970, at the moment its report arrived.
     pub fn on_reading(&mut self, router: SocketAddr, wall_ms: u64, now: Instant) {
         let offset_ms = signed(wall_ms) - self.since_start(now);
         let arrived = now;
         self.readings.insert(router, Reading { offset_ms, arrived });
     }
 
-    /// Takes the median of the readings as the time of day; without any, the former one stays.
+    /// Sets the time of day to the median of the recent readings; without any, the clock continues.
     pub fn take_median(&mut self, now: Instant) {
         let is_recent = |r: &Reading| now.saturating_duration_since(r.arrived) <= READING_TTL;
         self.readings.retain(|_, reading| is_recent(reading));
@@ -65,14 +65,14 @@
         }
     }
 
-    /// Takes the time of day of a router that learns of all clocks.
+    /// Sets the time of day to the one that the lease's holder sent, which receives all routers' readings.
     pub fn adopt(&mut self, fleet_ms: FleetMs, now: Instant) {
         self.offset_ms = signed(fleet_ms) - self.since_start(now);
     }
 
-    /// The time of day at a moment.
+    /// The time of day at a moment, before or after the start of this clock.
     pub fn ms_at(&self, moment: Instant) -> FleetMs {
-        // Before 1970 there is no window.
+        // Times before 1970 are in no window, so 0 serves for them.
         u64::try_from(self.offset_ms + self.since_start(moment)).unwrap_or(0)
     }
 
@@ -87,7 +87,7 @@
     clamped(u128::from(ms))
 }
 
-/// Far beyond any time of day.
+/// Limits a number of milliseconds to a value far beyond any time of day, so that sums cannot overflow.
 fn clamped(ms: u128) -> i64 {
     i64::try_from(ms).unwrap_or(i64::MAX / 4).min(i64::MAX / 4)
 }
--- a/crates/router/cloverpier_router_policy/src/singleton/lease.rs
+++ b/crates/router/cloverpier_router_policy/src/singleton/lease.rs
@@ -1,130 +1,130 @@
-//! The lease on work that one router at a time does, kept in a store without a clock of its own.
+//! The lease on singleton work, kept in a store that has no clock.
 //!
 //! - **Question.** May this router act as the holder now? Does it read the lease's record, write it,
 //!   or wait?
-//! - **Inputs.** What the store answered to reads and conditional writes, and when each call was sent;
-//!   which version of the record the holder named in a datagram; whether this router may take the
-//!   lease. Moments are those of this router's own clock, which counts suspensions.
-//! - **Answer.** A [`LeaseStep`]; [`Lease::acts_until`].
-//! - **Why.** Nobody checks the fencing token on the other side, so two holders must never act at the
-//!   same time. The holder counts its lease from the moment at which it *sent* the last write that was
-//!   acknowledged, and stops after [`LeaseBounds::own_validity`]. Another router counts from the moment
-//!   at which it first *saw* the version of the record that is still there, which is later, and waits
-//!   for the whole duration. Clocks need not agree; they have to run at the same rate within
-//!   [`OWN_SHARE`]. A write whose answer was lost, and which may be done seconds later, proves nothing:
-//!   the holder reads the record and writes again under the revision that it finds.
+//! - **Inputs.** The store's responses to reads and conditional writes, and when each call was sent;
+//!   the record's version that the holder reported in a datagram; whether this router may take the
+//!   lease. Moments are those of this router's monotonic clock, which also counts suspensions.
+//! - **Outcome.** A [`LeaseStep`]; [`Lease::acts_until`].
+//! - **Why.** The platform does not check the fencing token, so two holders must never act at the same
+//!   time. The holder counts its lease from the moment at which it *sent* the last acknowledged write,
+//!   and stops after [`LeaseBounds::holder_validity`]. Another router counts from the moment at which
+//!   it first *saw* the record's present version, which is later, and waits for the whole duration.
+//!   Clocks need not agree; their rates have to, within the margin of [`HOLDER_VALIDITY_FRACTION`]. A
+//!   write whose response was lost may be applied seconds later, so it proves nothing: the holder reads
+//!   the record and writes again under the revision that it finds.
 //!
-//! **A store that returns in an older state.** Its answers then carry a higher era. Whatever was seen in a
-//! former era counts for nothing: a router waits for the whole duration again, from its first answer of the
-//! new era on, and a holder that learns of a new era stops at once. Tokens of a later era are greater than
-//! all of a former one ([`next_token`]).
+//! **A store that is restored from an older copy.** Its responses then carry a higher era, and all
+//! observations of earlier eras are void: a router waits for the whole duration again, from its first
+//! response of the new era, and a holder that receives a new era stops at once. Tokens of a later era
+//! are greater than all tokens of earlier eras ([`next_token`]).
 //!
-//! **No holder returns soon.** A lease is never given back: it runs out. So a former holder can act
-//! again only after another one's lease has run out, and no two holders alternate within a duration.
+//! **No holder returns soon.** A lease is never released: it expires. So a former holder can act again
+//! only after another router's lease has expired, and two holders never alternate within a duration.
 //!
-//! [`Lease`] owns what this router has seen of the record, and its own hold of the lease. It is explored
-//! exhaustively for a few routers in `tests/lease_model.rs`.
+//! [`Lease`] owns this router's observations of the record, and its own hold of the lease. The states
+//! of a few routers are explored exhaustively in `tests/lease_model.rs`.
 
 use cloverpier_core::VmName;
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
-/// The holder acts for this part of the duration: the rest covers clocks that run at different rates,
-/// and a call that is on its way when the time is over.
-const OWN_SHARE: f64 = 0.8;
-/// Renewals within one duration, so that one of them may fail.
+/// The fraction of the lease's duration for which its holder acts. The rest is a margin for clocks of
+/// different rates, and for a call that is still on its way when the holder stops.
+const HOLDER_VALIDITY_FRACTION: f64 = 0.8;
+/// Renewals that are due within one duration; with three, one may fail.
 const RENEWALS_PER_DURATION: u32 = 3;
-/// The bits of a token below the era's: they hold milliseconds since 1970 until the year 2109.
+/// The number of bits of a token below the era. They hold milliseconds since 1970 until the year 2109.
 const ERA_SHIFT: u32 = 42;
 
-/// How long the lease lasts.
+/// The duration of the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseBounds {
-    /// A router that has seen the same version of the record for this long may take the lease.
+    /// How long a router has to observe the same version of the record before it may take the lease.
     pub duration: Duration,
 }
 
 impl LeaseBounds {
-    /// How long a holder acts after it sent a write that was acknowledged.
-    pub fn own_validity(self) -> Duration {
-        self.duration.mul_f64(OWN_SHARE)
+    /// How long a holder acts after it sent a write that was acknowledged; shorter than the duration.
+    pub fn holder_validity(self) -> Duration {
+        self.duration.mul_f64(HOLDER_VALIDITY_FRACTION)
     }
 
-    /// How often a holder renews.
+    /// The time between two renewals of a holder.
     pub fn renewal_period(self) -> Duration {
         self.duration / RENEWALS_PER_DURATION
     }
 }
 
-/// One run of the process of one VM.
+/// One process of a router on one VM.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HolderId {
-    /// The VM.
+    /// The VM that the process runs on.
     pub vm: VmName,
-    /// Drawn at random at each start.
+    /// A random number that the process draws at its start.
     pub incarnation: u64,
 }
 
-/// Whose lease it is.
+/// The holder of a lease, with the fencing token under which it acts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Hash)]
 pub struct Tenure {
-    /// The holder.
+    /// The process that holds the lease.
     pub holder: HolderId,
-    /// The fencing token: greater than those of all holders before.
+    /// The fencing token, greater than the tokens of all earlier holders.
     pub token: u64,
 }
 
-/// A version of the record: eras go before revisions.
+/// The version of the lease's record. Versions are ordered by era first, then by revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RecordVersion {
-    /// How often the store came back from an older copy; 0 where it does not say.
+    /// How often the store was restored from an older copy; 0 for a store that does not report eras.
     pub era: u64,
-    /// The revision of the record's last change; `None` where there is no record.
+    /// The store's revision of the record's last change; `None` if the record does not exist.
     pub revision: Option<u64>,
 }
 
-/// What the store said of the record.
+/// The content of the lease's record, as the store returned it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RecordSeen {
-    /// Its version.
+pub struct RecordSnapshot {
+    /// The version that the content belongs to.
     pub version: RecordVersion,
-    /// Whose lease it is; `None` where there is no record.
+    /// The holder that the record names; `None` if the record does not exist.
     pub tenure: Option<Tenure>,
 }
 
-/// What a router wants of the lease.
+/// The inputs of [`Lease::step`] that depend on this router's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LeaseWish {
-    /// Whether it takes the lease when it is free, and renews it.
+pub struct LeaseInput {
+    /// Whether this router may take the lease when it has expired, and renew it while holding it.
     pub may_hold: bool,
-    /// Whether it has something to write into the record before the next renewal is due.
+    /// Whether this router has an update for the record that should not wait for the next renewal.
     pub has_updates: bool,
 }
 
-/// What a write requires of the record.
+/// The state of the record that a conditional write requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Condition {
-    /// There is none.
+    /// The record does not exist.
     Absent,
-    /// It has this revision.
+    /// The record has this revision.
     Revision(u64),
 }
 
-/// A write that renews the lease or takes it.
+/// A conditional write that renews the lease or takes it over.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseWrite {
-    /// What the write requires.
+    /// The state of the record that the store has to find, or it does not apply the write.
     pub condition: Condition,
-    /// What the record says then.
+    /// The holder that the record names after the write.
     pub tenure: Tenure,
-    /// The era in which the condition was seen.
+    /// The store's era in which `condition` was observed.
     pub era: u64,
 }
 
-/// What a router does next about the lease.
+/// The next action of a router on the lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// Nothing before this moment; `None` where it does nothing until it may take the lease.
+    /// Wait until this moment; `None` while [`LeaseInput::may_hold`] is false, without a known end.
     Wait(Option<Instant>),
     /// Read the record.
     Read,
@@ -132,93 +132,96 @@
     Write(LeaseWrite),
 }
 
-/// The result of a write.
+/// The result of a conditional write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteResult {
-    /// It was done: the record has this version now.
+    /// The write was applied, and the record has this version now.
     Done(RecordVersion),
-    /// It was not done: this is how the record is.
-    Conflict(RecordSeen),
-    /// It was not done, and the answer does not say how the record is.
+    /// The write was not applied, as the record has this content.
+    Conflict(RecordSnapshot),
+    /// The write was not applied, and the response does not contain the record.
     NotDone,
-    /// No answer: it may have been done, or be done later.
+    /// No usable response: the write may have been applied, or may still be applied later.
     Unknown,
 }
 
-/// What this router has seen of the record.
+/// This router's latest observation of the record.
 #[derive(Clone, Debug, Hash)]
 struct Observation {
     version: RecordVersion,
-    /// When this version was first known to be there.
+    /// When this router first received this version.
     since: Instant,
-    /// `None` where only a datagram named the version.
+    /// The holder that the record names, if the record exists. The outer `None` means that the
+    /// content is unknown: only a datagram named the version, or a write without a response may have
+    /// replaced it.
     record: Option<Option<Tenure>>,
 }
 
 /// This router's hold of the lease.
 #[derive(Clone, Debug, Hash)]
-struct Hold {
+struct HeldLease {
     tenure: Tenure,
     version: RecordVersion,
-    /// When the last acknowledged write was sent; `None` where the record alone says that this router
-    /// holds the lease, as after a write whose answer was lost: it acts once it has written again.
-    renewed: Option<Instant>,
-    /// Whether a later write may have been done.
-    is_doubtful: bool,
+    /// When the last acknowledged write was sent. `None` where only a read shows that this router holds
+    /// the lease, as after a write whose response was lost: the router acts after its next write.
+    renewal_sent: Option<Instant>,
+    /// Whether a later write may have been applied, so that the record has to be read before another.
+    needs_read: bool,
 }
 
-/// The lease, as one router knows it.
+/// The state of the lease at one router.
 #[derive(Clone, Debug, Hash)]
 pub struct Lease {
-    own: HolderId,
+    own_id: HolderId,
     bounds: LeaseBounds,
-    /// The highest era that any answer or datagram named.
+    /// The highest era of any response or datagram so far.
     era: u64,
-    /// What this router wrote last, and under which era.
-    wrote: Option<(u64, Tenure)>,
+    /// The last write of this router: its era, and the tenure that it put into the record.
+    last_write: Option<(u64, Tenure)>,
     observed: Option<Observation>,
-    hold: Option<Hold>,
+    hold: Option<HeldLease>,
 }
 
 impl Lease {
-    /// A lease of which nothing is known yet.
-    pub fn new(own: HolderId, bounds: LeaseBounds) -> Self {
+    /// The state of the lease at the start of a process, before any response or datagram.
+    pub fn new(own_id: HolderId, bounds: LeaseBounds) -> Self {
         Self {
-            own,
+            own_id,
             bounds,
             era: 0,
-            wrote: None,
+            last_write: None,
             observed: None,
             hold: None,
         }
     }
 
-    /// The token of this router's hold, and until when it may act; `None` where it does not hold the
-    /// lease. The moment may have passed.
+    /// The token of this router's hold, and the moment until which the router may act, which may have
+    /// passed; `None` if the router does not hold the lease, or none of its writes was acknowledged.
     pub fn acts_until(&self) -> Option<(u64, Instant)> {
         let hold = self.hold.as_ref()?;
-        let until = hold.renewed? + self.bounds.own_validity();
+        let until = hold.renewal_sent? + self.bounds.holder_validity();
         Some((hold.tenure.token, until))
     }
 
-    /// The token with which this router may act now; `None` where it may not.
+    /// The token with which this router may act now; `None` if it may not act.
     pub fn token_at(&self, now: Instant) -> Option<u64> {
         let (token, until) = self.acts_until()?;
         (now < until).then_some(token)
     }
 
-    /// The version of the record as this router wrote it last; `None` where it does not hold the lease.
+    /// The version of the record at this router's last write or read; `None` if it does not hold the
+    /// lease.
     pub fn held_version(&self) -> Option<RecordVersion> {
         self.hold.as_ref().map(|hold| hold.version)
     }
 
-    /// What this router does next; `wall_ms` is the time of day, for the tokens of a store that names
-    /// eras.
-    pub fn step(&self, wish: LeaseWish, wall_ms: u64, now: Instant) -> LeaseStep {
+    /// The next action of this router. `wall_ms` is the time of day in milliseconds since 1970, which new
+    /// tokens contain if the store reports eras.
+    pub fn step(&self, input: LeaseInput, wall_ms: u64, now: Instant) -> LeaseStep {
         if let Some(hold) = &self.hold {
-            return self.holder_step(hold, wish, now);
+            return self.holder_step(hold, input, now);
         }
-        if !wish.may_hold {
+        if !input.may_hold {
             return LeaseStep::Wait(None);
         }
         let Some(observed) = &self.observed else {
@@ -228,23 +231,25 @@
         if now < free_at {
             return LeaseStep::Wait(Some(free_at));
         }
-        // The record's content goes into the next version, so it has to be known.
+        // The next version keeps the record's content, so the content has to be read first.
         let Some(record) = &observed.record else {
             return LeaseStep::Read;
         };
-        LeaseStep::Write(self.takeover(observed.version, record.as_ref(), wall_ms))
+        LeaseStep::Write(self.takeover_write(observed.version, record.as_ref(), wall_ms))
     }
 
-    fn holder_step(&self, hold: &Hold, wish: LeaseWish, now: Instant) -> LeaseStep {
-        if !wish.may_hold {
+    fn holder_step(&self, hold: &HeldLease, input: LeaseInput, now: Instant) -> LeaseStep {
+        if !input.may_hold {
             return LeaseStep::Wait(None);
         }
-        if hold.is_doubtful {
+        if hold.needs_read {
             return LeaseStep::Read;
         }
         let period = self.bounds.renewal_period();
-        let due = hold.renewed.map_or(now, |renewed| renewed + period);
-        if now < due && !wish.has_updates {
+        let due = hold
+            .renewal_sent
+            .map_or(now, |renewal_sent| renewal_sent + period);
+        if now < due && !input.has_updates {
             return LeaseStep::Wait(Some(due));
         }
         LeaseStep::Write(LeaseWrite {
@@ -254,46 +259,46 @@
         })
     }
 
-    fn takeover(
+    fn takeover_write(
         &self,
         version: RecordVersion,
-        former: Option<&Tenure>,
+        previous: Option<&Tenure>,
         wall_ms: u64,
     ) -> LeaseWrite {
-        let former = former.map_or(0, |tenure| tenure.token);
+        let previous = previous.map_or(0, |tenure| tenure.token);
         LeaseWrite {
             condition: condition(version),
             tenure: Tenure {
-                holder: self.own.clone(),
-                token: next_token(former, version.era, wall_ms),
+                holder: self.own_id.clone(),
+                token: next_token(previous, version.era, wall_ms),
             },
             era: version.era,
         }
     }
 
-    /// Records what a read returned.
-    pub fn on_read(&mut self, seen: &RecordSeen, now: Instant) {
-        if !self.enters_era(seen.version.era) {
+    /// Records the content of the record that a read returned.
+    pub fn on_read(&mut self, snapshot: &RecordSnapshot, now: Instant) {
+        if !self.accept_era(snapshot.version.era) {
             return;
         }
-        // A tenure of a former era that names this router may come from an older copy, or from a write
-        // that was done late: another router may have followed it meanwhile.
-        let wrote = self.wrote.as_ref().filter(|(era, _)| *era == self.era);
-        let is_own = |seen: &&Tenure| wrote.is_some_and(|(_, tenure)| tenure == *seen);
-        let own = seen.tenure.as_ref().filter(is_own);
-        // A write of its own, of which the answer was lost, may have been done: the lease counts from
-        // the last one that was acknowledged all the same.
-        let renewed = self.hold.as_ref().and_then(|hold| hold.renewed);
-        self.hold = own.map(|tenure| Hold {
+        // A tenure of an earlier era that names this router may come from an older copy, or from a write
+        // that was applied late; another router may have held the lease since.
+        let last_write = self.last_write.as_ref().filter(|(era, _)| *era == self.era);
+        let is_own = |found: &&Tenure| last_write.is_some_and(|(_, tenure)| tenure == *found);
+        let own_tenure = snapshot.tenure.as_ref().filter(is_own);
+        // This router's write may have been applied although its response was lost. The lease still
+        // counts from the last acknowledged write.
+        let renewal_sent = self.hold.as_ref().and_then(|hold| hold.renewal_sent);
+        self.hold = own_tenure.map(|tenure| HeldLease {
             tenure: tenure.clone(),
-            version: seen.version,
-            renewed,
-            is_doubtful: false,
+            version: snapshot.version,
+            renewal_sent,
+            needs_read: false,
         });
-        self.observe(seen.version, Some(seen.tenure.clone()), now);
+        self.observe(snapshot.version, Some(snapshot.tenure.clone()), now);
     }
 
-    /// Records the result of a write that was sent at a moment.
+    /// Records the result of a write that was sent at the moment `sent`.
     pub fn on_written(
         &mut self,
         write: &LeaseWrite,
@@ -301,42 +306,42 @@
         sent: Instant,
         now: Instant,
     ) {
-        self.wrote = Some((write.era, write.tenure.clone()));
+        self.last_write = Some((write.era, write.tenure.clone()));
         match result {
             WriteResult::Done(version) if version.era == write.era => {
                 self.on_done(write, *version, sent, now);
             }
-            // It was done under a revision of a former era, so it says nothing of this one: whoever
-            // holds the lease here is found by waiting.
+            // The write was applied under a revision of an earlier era, so it does not show who holds the
+            // lease in this era. Waiting for the whole duration does.
             WriteResult::Done(version) => {
-                if self.enters_era(version.era) {
+                if self.accept_era(version.era) {
                     self.observe(*version, Some(Some(write.tenure.clone())), now);
                 }
             }
-            WriteResult::Conflict(seen) => self.on_read(seen, now),
+            WriteResult::Conflict(snapshot) => self.on_read(snapshot, now),
             WriteResult::NotDone => {}
             WriteResult::Unknown => self.on_no_answer(write),
         }
     }
 
     fn on_done(&mut self, write: &LeaseWrite, version: RecordVersion, sent: Instant, now: Instant) {
-        if !self.enters_era(version.era) {
+        if !self.accept_era(version.era) {
             return;
         }
-        self.hold = Some(Hold {
+        self.hold = Some(HeldLease {
             tenure: write.tenure.clone(),
             version,
-            renewed: Some(sent),
-            is_doubtful: false,
+            renewal_sent: Some(sent),
+            needs_read: false,
         });
         self.observe(version, Some(Some(write.tenure.clone())), now);
     }
 
     fn on_no_answer(&mut self, write: &LeaseWrite) {
         match &mut self.hold {
-            Some(hold) if hold.tenure == write.tenure => hold.is_doubtful = true,
-            // The record may be this router's without its knowledge. The next read says so, and the
-            // moment from which others count does not change by that.
+            Some(hold) if hold.tenure == write.tenure => hold.needs_read = true,
+            // The record may name this router as the holder. The next read shows whether it does, and the
+            // moment from which other routers count stays the same.
             _ => {
                 if let Some(observed) = &mut self.observed {
                     observed.record = None;
@@ -345,21 +350,21 @@
         }
     }
 
-    /// Records that the holder named a version of the record.
-    pub fn on_version_named(&mut self, version: RecordVersion, now: Instant) {
+    /// Records a version of the record that the holder reported in a datagram.
+    pub fn on_version_reported(&mut self, version: RecordVersion, now: Instant) {
         let is_newer = self.observed.as_ref().is_none_or(|o| o.version < version);
-        if self.hold.is_none() && self.enters_era(version.era) && is_newer {
+        if self.hold.is_none() && self.accept_era(version.era) && is_newer {
             self.observe(version, None, now);
         }
     }
 
-    /// Gives up this router's hold: it acts no more, and the lease runs out.
-    pub fn give_up(&mut self) {
+    /// Ends this router's hold: the router no longer acts, and the lease expires for other routers.
+    pub fn abandon(&mut self) {
         self.hold = None;
     }
 
-    /// Takes note of an era; false where it is a former one, whose answers count for nothing.
-    fn enters_era(&mut self, era: u64) -> bool {
+    /// Records the era of a response or datagram; returns false for an earlier era, whose content is void.
+    fn accept_era(&mut self, era: u64) -> bool {
         if era > self.era {
             self.era = era;
             self.observed = None;
@@ -390,16 +395,16 @@
         .map_or(Condition::Absent, Condition::Revision)
 }
 
-/// The token of a holder after one with the token `former`.
+/// The fencing token of the holder after one whose token was `previous`.
 ///
-/// Where the store names eras, records may be lost with their tokens. A token then begins with the era,
-/// so that it is greater than all of former eras, and goes on with the time of day, so that two routers
-/// that took the lease in one era, the one after the other and neither seen by the other, differ.
-pub fn next_token(former: u64, era: u64, wall_ms: u64) -> u64 {
+/// If the store reports eras, records may be lost together with their tokens. A token then starts with
+/// the era, so that it exceeds all tokens of earlier eras. Its lower bits are the time of day, so that
+/// two routers that hold the lease in one era, without observing each other's tenure, differ.
+pub fn next_token(previous: u64, era: u64, wall_ms: u64) -> u64 {
     let in_era = if era == 0 {
         0
     } else {
         (era << ERA_SHIFT) | (wall_ms & ((1 << ERA_SHIFT) - 1))
     };
-    (former + 1).max(in_era)
+    (previous + 1).max(in_era)
 }
--- a/crates/router/cloverpier_router_policy/src/singleton/metering.rs
+++ b/crates/router/cloverpier_router_policy/src/singleton/metering.rs
@@ -1,18 +1,20 @@
-//! How many requests began to run in each window of time, for each client account.
+//! How many requests started to run in each window of time, for each client account.
 //!
-//! - **Question.** What does the report of a window say, and when is it decided?
-//! - **Inputs.** What each router counted, as it reported it; what the former holder of the lease wrote
-//!   into the lease's record; the time of day that the routers agree on.
-//! - **Answer.** The counts of a window that is decided; the windows that the record holds.
-//! - **Why.** A window is reported once, whoever holds the lease. So the holder writes the counts into
-//!   the record before it reports them: they are decided then, and a later holder repeats them as they
-//!   are. What routers count is cumulative, so a lost report costs nothing, and the counts known so far
-//!   lie in the record as well, so that those of routers that died outlast the holder.
+//! - **Question.** Which counts does the usage report of a window contain, and when are they final?
+//! - **Inputs.** The counts that each router reported; the counts that the lease's previous holder
+//!   wrote into the lease's record; the fleet's time of day.
+//! - **Outcome.** The counts of a decided (final) window; the windows that the record holds.
+//! - **Why.** The report of a window must have the same content whichever router sends it. So the
+//!   holder of the lease writes the counts into the record before it reports them: they are decided
+//!   then, and a later holder repeats them unchanged. Routers report cumulative counts, so a lost
+//!   report costs nothing. The record also holds the counts of undecided windows, so that the counts of
+//!   routers that crashed outlast the holder.
 //!
-//! The size of a report grows with the requests that a router counted, not with the accounts.
+//! The size of a report grows with the accounts that a router counted requests of, not with the number
+//! of all accounts.
 //!
-//! [`OwnUsage`] owns what this router counted, [`UsageBook`] what all routers reported, [`UsageJournal`]
-//! what the record holds.
+//! [`OwnUsage`] owns the counts of this router, [`FleetUsage`] the reported counts of all routers;
+//! [`UsageJournal`] is the part of the lease's record that holds windows.
 
 use super::fleet_clock::FleetMs;
 use cloverpier_core::AccountName;
@@ -21,29 +23,29 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The part of the time until a report is late that the holder waits for routers' counts; the rest is
-/// for a change of the holder.
-const DECIDED_AFTER: f64 = 0.4;
-/// Windows that are kept at most while they cannot be reported: older ones are given up.
+/// The fraction of [`WindowBounds::report_deadline`] that the holder waits for routers' counts after the
+/// end of a window; the rest is for a change of the holder.
+const DECISION_DELAY_FRACTION: f64 = 0.4;
+/// The largest number of windows that are kept while they cannot be reported; older ones are dropped.
 const MAX_WINDOWS: usize = 64;
-/// Counts in one datagram at most, so that it stays within
-/// [`crate::heartbeat::MAX_DATAGRAM`] with account names of 64 bytes.
-pub const MAX_COUNTS: usize = 96;
+/// The largest number of counts in one report, which then fits into a datagram of
+/// [`crate::heartbeat::MAX_DATAGRAM`] bytes if account names have at most 64 bytes.
+pub const MAX_COUNTS_PER_REPORT: usize = 96;
 
-/// A window's number: window 0 began with 1970.
+/// The number of a window: the time since the start of 1970 divided by the window's length.
 pub type Window = u64;
 
-/// Requests that began to run, by client account, in the order of their names: equal counts are written
-/// as equal bytes.
+/// Requests that started to run, by client account. The accounts are sorted, so that equal counts have
+/// equal bytes in the record and in reports.
 pub type WindowCounts = BTreeMap<AccountName, u32>;
 
-/// The operator's windows.
+/// The operator's settings for usage windows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WindowBounds {
-    /// How long a window lasts.
+    /// The length of a window.
     pub length: Duration,
-    /// How long after its end a report is in time.
-    pub late_after: Duration,
+    /// How long after the end of a window its report is still on time.
+    pub report_deadline: Duration,
 }
 
 impl WindowBounds {
@@ -53,19 +55,22 @@
             .max(1)
     }
 
-    /// The window of a moment.
+    /// The window that contains a moment.
     pub fn window_at(self, at: FleetMs) -> Window {
         at / self.length_ms()
     }
 
-    /// When the counts of a window are decided.
+    /// The moment at which the counts of a window become final.
     fn decided_at(self, window: Window) -> FleetMs {
-        let wait = self.late_after.mul_f64(DECIDED_AFTER).as_millis();
+        let wait = self
+            .report_deadline
+            .mul_f64(DECISION_DELAY_FRACTION)
+            .as_millis();
         let end = (window + 1).saturating_mul(self.length_ms());
         end.saturating_add(u64::try_from(wait).unwrap_or(u64::MAX))
     }
 
-    /// The first window that is not to be decided yet.
+    /// The first window whose counts are not yet due to become final.
     pub fn first_undecided(self, now: FleetMs) -> Window {
         let mut window = self.window_at(now);
         while window > 0 && self.decided_at(window - 1) > now {
@@ -75,17 +80,17 @@
     }
 }
 
-/// What one router counted.
+/// The counts of this router, by window.
 #[derive(Clone, Debug, Default)]
 pub struct OwnUsage {
     windows: BTreeMap<Window, WindowCounts>,
-    /// Whether anything was counted since the last report.
+    /// Whether any request was counted since the last call of [`Self::take_updates`].
     has_updates: bool,
 }
 
 impl OwnUsage {
-    /// Counts a request that began to run.
-    pub fn on_begun(&mut self, account: &AccountName, window: Window) {
+    /// Counts a request of an account that started to run.
+    pub fn on_request_started(&mut self, account: &AccountName, window: Window) {
         let counts = self.windows.entry(window).or_default();
         *counts.entry(account.clone()).or_default() += 1;
         self.has_updates = true;
@@ -94,81 +99,87 @@
         }
     }
 
-    /// Forgets windows that are reported or given up.
-    pub fn forget_before(&mut self, window: Window) {
+    /// Discards the counts of windows before this one, which are decided or dropped.
+    pub fn discard_before(&mut self, window: Window) {
         self.windows = self.windows.split_off(&window);
     }
 
-    /// Whether anything was counted since this was asked last.
+    /// Whether any request was counted since the last call; resets that.
     pub fn take_updates(&mut self) -> bool {
         std::mem::take(&mut self.has_updates)
     }
 
-    /// All that was counted.
+    /// The counts that this router still holds, by window.
     pub fn windows(&self) -> &BTreeMap<Window, WindowCounts> {
         &self.windows
     }
 }
 
-/// Counts of one window, as they travel.
+/// Counts of one window, as routers send them.
 pub type ReportedWindow = (Window, Vec<(AccountName, u32)>);
 
-/// The counts of some windows, in pieces that fit into a datagram each; at least one, which may be
-/// empty.
-pub fn in_pieces(windows: &BTreeMap<Window, WindowCounts>) -> Vec<Vec<ReportedWindow>> {
+/// Divides counts into reports that each fit into a datagram. Returns at least one report, which is
+/// empty without any counts.
+pub fn split_into_reports(windows: &BTreeMap<Window, WindowCounts>) -> Vec<Vec<ReportedWindow>> {
     let counts = windows.iter().flat_map(|(window, counts)| {
         let of_window = counts.iter();
         of_window.map(|(account, count)| (*window, account.clone(), *count))
     });
-    let mut pieces = vec![Vec::<ReportedWindow>::new()];
-    let mut left = MAX_COUNTS;
+    let mut reports = vec![Vec::<ReportedWindow>::new()];
+    let mut left = MAX_COUNTS_PER_REPORT;
     for (window, account, count) in counts {
         if left == 0 {
-            pieces.push(Vec::new());
-            left = MAX_COUNTS;
+            reports.push(Vec::new());
+            left = MAX_COUNTS_PER_REPORT;
         }
         left -= 1;
-        // There is always a last piece.
-        let Some(piece) = pieces.last_mut() else {
+        // The list is created with one report and never shrinks, so it has a last one.
+        let Some(report) = reports.last_mut() else {
             continue;
         };
-        match piece.last_mut() {
+        match report.last_mut() {
             Some((last, counts)) if *last == window => counts.push((account, count)),
-            _ => piece.push((window, vec![(account, count)])),
+            _ => report.push((window, vec![(account, count)])),
         }
     }
-    pieces
+    reports
 }
 
-/// One run of a router, for its counts.
+/// The process of a router whose counts are cumulative; a restart begins new counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Counter {
-    /// Its address for peers.
+pub struct UsageReporter {
+    /// The router's address for peers.
     pub router: SocketAddr,
-    /// Drawn at random at each start.
+    /// A random number that the process draws at its start.
     pub incarnation: u64,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Counted {
-    /// When the router started.
+struct ReportedUsage {
+    /// The fleet's time of day at the start of the router's process.
     started: FleetMs,
     windows: BTreeMap<Window, WindowCounts>,
 }
 
-/// What all routers reported.
+/// The reported counts of all routers.
 #[derive(Clone, Debug, Default)]
-pub struct UsageBook {
-    routers: HashMap<Counter, Counted>,
+pub struct FleetUsage {
+    routers: HashMap<UsageReporter, ReportedUsage>,
 }
 
-impl UsageBook {
-    /// Records a report, or a piece of one. Counts only grow, so reports may overtake each other.
-    pub fn on_report(&mut self, from: Counter, started: FleetMs, windows: Vec<ReportedWindow>) {
-        let counted = self.routers.entry(from).or_default();
-        counted.started = started;
+impl FleetUsage {
+    /// Records a report, which may hold only some of the router's counts. Counts only grow, so reports may
+    /// arrive in any order.
+    pub fn on_report(
+        &mut self,
+        from: UsageReporter,
+        started: FleetMs,
+        windows: Vec<ReportedWindow>,
+    ) {
+        let reported = self.routers.entry(from).or_default();
+        reported.started = started;
         for (window, counts) in windows {
-            let known = counted.windows.entry(window).or_default();
+            let known = reported.windows.entry(window).or_default();
             for (account, count) in counts {
                 let known = known.entry(account).or_default();
                 *known = count.max(*known);
@@ -176,24 +187,25 @@
         }
     }
 
-    /// Forgets windows before this one.
-    pub fn forget_before(&mut self, window: Window) {
-        for counted in self.routers.values_mut() {
-            counted.windows = counted.windows.split_off(&window);
+    /// Discards the counts of windows before this one.
+    pub fn discard_before(&mut self, window: Window) {
+        for reported in self.routers.values_mut() {
+            reported.windows = reported.windows.split_off(&window);
         }
         self.routers.retain(|_, c| !c.windows.is_empty());
     }
 
-    /// The windows of which something is known.
+    /// The windows that any router reported counts of; a window may occur more than once.
     fn windows(&self) -> impl Iterator<Item = Window> {
         self.routers
             .values()
             .flat_map(|c| c.windows.keys().copied())
     }
 
-    /// What is known of a window: the counts of the routers that run, or what the record holds of them
-    /// where that is more, and those of routers that started after the record was written.
-    fn counts(&self, window: Window, recorded: Option<&Recorded>) -> WindowCounts {
+    /// The counts of a window. The counts of routers that started before the record was written are
+    /// summed, and each account has that sum or its count in the record, whichever is more. The counts of
+    /// routers that started later are added.
+    fn counts(&self, window: Window, recorded: Option<&RecordedCounts>) -> WindowCounts {
         let written = recorded.map_or(0, |r| r.written);
         let (before, after) = self.sums(window, written);
         let mut counts = before;
@@ -208,16 +220,16 @@
         counts
     }
 
-    /// The counts of routers that started before a moment, and of those that started later.
+    /// The summed counts of routers that started up to a moment, and of those that started later.
     fn sums(&self, window: Window, moment: FleetMs) -> (WindowCounts, WindowCounts) {
         let (mut before, mut after) = (WindowCounts::new(), WindowCounts::new());
-        for counted in self.routers.values() {
-            let sum = if counted.started <= moment {
+        for reported in self.routers.values() {
+            let sum = if reported.started <= moment {
                 &mut before
             } else {
                 &mut after
             };
-            for (account, count) in counted.windows.get(&window).into_iter().flatten() {
+            for (account, count) in reported.windows.get(&window).into_iter().flatten() {
                 let known = sum.entry(account.clone()).or_default();
                 *known = known.saturating_add(*count);
             }
@@ -226,29 +238,29 @@
     }
 }
 
-/// What the record held of a window when this router took the lease.
+/// Counts of a window in the record that this router found when it took the lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Recorded {
+struct RecordedCounts {
     written: FleetMs,
     counts: WindowCounts,
 }
 
-/// What stands of the windows in the lease's record.
+/// The windows of usage counts in the lease's record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageJournal {
     /// The first window whose counts are not decided.
     pub undecided: Window,
-    /// Windows whose counts are decided, and which are not known to be reported.
+    /// Decided counts of windows whose report is not known to be accepted.
     pub decided: BTreeMap<Window, WindowCounts>,
-    /// What is known of windows that are not decided.
+    /// The counts so far of windows that are not decided.
     pub open: BTreeMap<Window, WindowCounts>,
-    /// When this was written.
+    /// The fleet's time of day at this write.
     pub written: FleetMs,
-    /// The store's era when this was written.
+    /// The store's era at this write.
     pub era: u64,
 }
 
-/// The windows, as the holder of the lease keeps them.
+/// The usage windows at the holder of the lease.
 #[derive(Clone, Debug)]
 pub struct HolderUsage {
     bounds: WindowBounds,
@@ -257,16 +269,16 @@
     decided: BTreeMap<Window, WindowCounts>,
     /// Decided windows that the record holds, so that they may be reported.
     recorded: Vec<Window>,
-    /// What the former holder knew of windows that were not decided.
-    inherited: BTreeMap<Window, Recorded>,
+    /// Counts of undecided windows that the previous holder left in the record.
+    inherited: BTreeMap<Window, RecordedCounts>,
 }
 
 impl HolderUsage {
-    /// What a router finds in the record when it takes the lease. Where there is no record, the first
-    /// window is that of the moment `since`.
+    /// Creates the state of a new holder from the journal in the record. Without a journal, the first
+    /// window is the one that contains the moment `since`.
     ///
-    /// A record of a former era is an older copy: what was decided since is not known, and may have
-    /// been reported. So windows that could have been decided by now are given up.
+    /// A journal of an earlier era is an older copy: windows may have been decided and reported since the
+    /// copy. So all windows that could be decided by `now` are dropped.
     pub fn take_over(
         bounds: WindowBounds,
         journal: Option<&UsageJournal>,
@@ -288,7 +300,7 @@
         let written = journal.written;
         let inherited = journal.open.iter().map(|(window, counts)| {
             let counts = counts.clone();
-            (*window, Recorded { written, counts })
+            (*window, RecordedCounts { written, counts })
         });
         usage.inherited = inherited.collect();
         if journal.era == era {
@@ -301,12 +313,12 @@
         usage
     }
 
-    /// Decides the windows whose time has come; returns whether there were any.
-    pub fn decide(&mut self, book: &UsageBook, now: FleetMs) -> bool {
+    /// Decides all windows that are due; returns whether there are any.
+    pub fn decide(&mut self, fleet_usage: &FleetUsage, now: FleetMs) -> bool {
         let end = self.bounds.first_undecided(now);
         let begin = self.undecided.max(end.saturating_sub(MAX_WINDOWS as u64));
         for window in begin..end {
-            let counts = book.counts(window, self.inherited.get(&window));
+            let counts = fleet_usage.counts(window, self.inherited.get(&window));
             self.decided.insert(window, counts);
         }
         self.undecided = begin.max(end).max(self.undecided);
@@ -317,11 +329,11 @@
         begin < end
     }
 
-    /// What is written into the record now.
-    pub fn journal(&self, book: &UsageBook, now: FleetMs) -> UsageJournal {
-        let known = book.windows().chain(self.inherited.keys().copied());
+    /// The journal that the next write puts into the record.
+    pub fn journal(&self, fleet_usage: &FleetUsage, now: FleetMs) -> UsageJournal {
+        let known = fleet_usage.windows().chain(self.inherited.keys().copied());
         let open = known.filter(|window| *window >= self.undecided);
-        let open = open.map(|w| (w, book.counts(w, self.inherited.get(&w))));
+        let open = open.map(|w| (w, fleet_usage.counts(w, self.inherited.get(&w))));
         UsageJournal {
             undecided: self.undecided,
             decided: self.decided.clone(),
@@ -331,24 +343,24 @@
         }
     }
 
-    /// Records that the record holds a journal: its decided windows may be reported.
+    /// Records that the record holds a journal, so that its decided windows may be reported.
     pub fn on_recorded(&mut self, journal: &UsageJournal) {
         self.recorded = journal.decided.keys().copied().collect();
     }
 
-    /// The windows that may be reported and are not, the oldest first.
+    /// The windows that may be reported and are not known to be, the oldest first.
     pub fn to_report(&self) -> Vec<(Window, WindowCounts)> {
         let windows = self.recorded.iter();
         let with_counts = windows.filter_map(|w| Some((*w, self.decided.get(w)?.clone())));
         with_counts.collect()
     }
 
-    /// Records that a window's report was accepted.
+    /// Records that the platform accepted the report of a window.
     pub fn on_reported(&mut self, window: Window) {
         self.decided.remove(&window);
     }
 
-    /// The first window of which counts are still needed.
+    /// The first window whose counts are not decided, so that routers still report them.
     pub fn undecided(&self) -> Window {
         self.undecided
     }
--- a/crates/router/cloverpier_router_policy/src/singleton/mod.rs
+++ b/crates/router/cloverpier_router_policy/src/singleton/mod.rs
@@ -1,13 +1,14 @@
-//! Work that one router at a time does for all: it holds a lease in the platform's store.
+//! Singleton work: work that one router at a time does for all, while it holds a lease in the
+//! platform's store.
 //!
 //! | question | module |
 //! | --- | --- |
-//! | may this router act; does it renew, take over or wait | [`lease`] |
-//! | what time is it, where some VMs' clocks are wrong | [`fleet_clock`] |
-//! | how many requests began to run in a window, for each client account | [`metering`] |
+//! | may this router act; does it renew the lease, take it over or wait | [`lease`] |
+//! | what is the time of day if some VMs' clocks are wrong | [`fleet_clock`] |
+//! | how many requests started in a window, for each client account | [`metering`] |
 //! | how many engines should each data centre hold | [`autoscaling`] |
 //!
-//! Nothing of it runs where the settings name no such work.
+//! Nothing here runs if the settings configure no singleton work.
 
 pub mod autoscaling;
 pub mod fleet_clock;
--- a/crates/router/cloverpier_router_policy/tests/autoscaling.rs
+++ b/crates/router/cloverpier_router_policy/tests/autoscaling.rs
@@ -1,16 +1,16 @@
-//! Orders of engines, under loads that are played: steady, a wave, a burst, data centres that die,
-//! spot engines that are taken away.
+//! Orders of engines under simulated loads (steady, a wave, a burst), while data centres crash or spot
+//! engines are reclaimed.
 
 use cloverpier_core::DataCentre;
 use cloverpier_router_policy::singleton::autoscaling::{
-    Autoscaler, EngineKind, EngineSize, Engines, Order, OrderResult, Plan, ScalingBounds,
+    Autoscaler, EngineCapacity, EngineKind, Engines, Order, OrderResult, Plan, ScalingBounds,
     ServiceLoad,
 };
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 const DATA_CENTRES: [&str; 4] = ["north", "east", "south", "west"];
-const FIRST: u32 = 45;
+const INITIAL_ENGINES: u32 = 45;
 const BOOT_S: u64 = 4;
 
 fn bounds() -> ScalingBounds {
@@ -23,45 +23,45 @@
     }
 }
 
-/// Engines of one data centre as they are, with those that start.
+/// The engines of one data centre, and the engines that start there.
 #[derive(Clone, Debug, Default)]
-struct Held {
+struct DataCentreState {
     engines: Engines,
-    /// Since when no spot engines are to be had.
-    is_dry: bool,
+    /// Whether the data centre refuses orders of spot engines.
+    has_spot_shortage: bool,
     starting: Vec<(u64, u32)>,
 }
 
-/// A platform that does what it is ordered, a second a step.
-struct Platform {
+/// A platform that carries out all orders, simulated in steps of a second.
+struct SimulatedPlatform {
     scaler: Autoscaler,
     start: Instant,
     second: u64,
-    centres: BTreeMap<DataCentre, Held>,
+    data_centres: BTreeMap<DataCentre, DataCentreState>,
     orders: Vec<(u64, Order)>,
-    /// Price of all engines so far, in seconds of one on demand.
+    /// The price of all engines so far, in seconds of one on-demand engine.
     cost: f64,
 }
 
-impl Platform {
+impl SimulatedPlatform {
     fn new(bounds: ScalingBounds) -> Self {
         let on_demand = Engines {
-            on_demand: FIRST,
+            on_demand: INITIAL_ENGINES,
             spot: 0,
         };
         let plan: Plan = DATA_CENTRES
             .iter()
             .map(|dc| (DataCentre::new(dc), on_demand))
             .collect();
-        let centres = plan.keys().map(|dc| {
-            let held = Held {
+        let data_centres = plan.keys().map(|dc| {
+            let state = DataCentreState {
                 engines: on_demand,
-                ..Held::default()
+                ..DataCentreState::default()
             };
-            (dc.clone(), held)
+            (dc.clone(), state)
         });
         Self {
-            centres: centres.collect(),
+            data_centres: data_centres.collect(),
             scaler: Autoscaler::new(bounds, plan),
             start: Instant::now(),
             second: 0,
@@ -70,84 +70,84 @@
         }
     }
 
-    /// Plays a second under a load that would fill so many engines.
+    /// Simulates a second under a load, as a number of engines that it fills.
     fn step(&mut self, load: f64) {
         self.second += 1;
         let now = self.start + Duration::from_secs(self.second);
-        for held in self.centres.values_mut() {
+        for state in self.data_centres.values_mut() {
             let second = self.second;
-            for (_, count) in held.starting.extract_if(.., |(at, _)| *at <= second) {
-                held.engines.spot += count;
+            for (_, count) in state.starting.extract_if(.., |(at, _)| *at <= second) {
+                state.engines.spot += count;
             }
-            let Engines { on_demand, spot } = held.engines;
+            let Engines { on_demand, spot } = state.engines;
             self.cost += f64::from(on_demand) + 0.22 * f64::from(spot);
         }
         self.scaler.on_load(load, now);
-        let listed = self.centres.iter();
+        let listed = self.data_centres.iter();
         let listed = listed.map(|(dc, h)| (dc.clone(), h.engines.on_demand + h.engines.spot));
         let due = self.scaler.orders(&listed.collect(), now);
         for order in due {
-            let result = self.carry_out(&order);
+            let result = self.apply(&order);
             self.scaler.on_result(&order, result, now);
             self.orders.push((self.second, order));
         }
     }
 
-    fn carry_out(&mut self, order: &Order) -> OrderResult {
-        let held = self.centres.get_mut(&order.data_centre).unwrap();
+    fn apply(&mut self, order: &Order) -> OrderResult {
+        let state = self.data_centres.get_mut(&order.data_centre).unwrap();
         match order.kind {
-            EngineKind::OnDemand => held.engines.on_demand = order.count,
-            EngineKind::Spot if held.is_dry => return OrderResult::NoneToBeHad,
+            EngineKind::OnDemand => state.engines.on_demand = order.count,
+            EngineKind::Spot if state.has_spot_shortage => return OrderResult::Unavailable,
             EngineKind::Spot => {
-                let starting: u32 = held.starting.iter().map(|(_, count)| count).sum();
-                let more = order.count.saturating_sub(held.engines.spot + starting);
-                held.engines.spot = held.engines.spot.min(order.count);
-                held.starting.push((self.second + BOOT_S, more));
+                let starting: u32 = state.starting.iter().map(|(_, count)| count).sum();
+                let more = order.count.saturating_sub(state.engines.spot + starting);
+                state.engines.spot = state.engines.spot.min(order.count);
+                state.starting.push((self.second + BOOT_S, more));
             }
         }
         OrderResult::Accepted
     }
 
     fn total(&self) -> u32 {
-        let held = self.centres.values();
-        held.map(|h| h.engines.on_demand + h.engines.spot).sum()
+        let state = self.data_centres.values();
+        state.map(|h| h.engines.on_demand + h.engines.spot).sum()
     }
 
-    /// Engines that are left when the largest data centre is lost.
-    fn without_the_largest(&self) -> u32 {
-        let of = |h: &Held| h.engines.on_demand + h.engines.spot;
-        self.total() - self.centres.values().map(of).max().unwrap_or(0)
+    /// Engines that remain after the loss of the largest data centre.
+    fn total_without_largest(&self) -> u32 {
+        let of = |h: &DataCentreState| h.engines.on_demand + h.engines.spot;
+        self.total() - self.data_centres.values().map(of).max().unwrap_or(0)
     }
 
-    fn orders_after(&self, second: u64) -> Vec<&(u64, Order)> {
+    fn orders_since(&self, second: u64) -> Vec<&(u64, Order)> {
         self.orders.iter().filter(|(at, _)| *at > second).collect()
     }
 }
 
 #[test]
-fn without_any_load_yet_as_many_engines_stay_and_cheaper_ones_replace_them() {
-    let mut platform = Platform::new(bounds());
+fn without_load_the_number_of_engines_stays_and_spot_engines_replace_on_demand_ones() {
+    let mut platform = SimulatedPlatform::new(bounds());
     for _ in 0..30 {
         platform.step(0.0);
         assert!(
-            platform.total() >= 4 * FIRST * 9 / 10,
+            platform.total() >= 4 * INITIAL_ENGINES * 9 / 10,
             "{}",
             platform.total()
         );
     }
-    let spot: u32 = platform.centres.values().map(|h| h.engines.spot).sum();
+    let spot: u32 = platform.data_centres.values().map(|h| h.engines.spot).sum();
     assert!(spot >= 4 * 40, "{spot} spot engines");
     let orders = platform.orders.len();
     assert!(orders <= 12, "{orders} orders");
 }
 
 #[test]
-fn on_demand_engines_go_only_when_the_ones_that_replace_them_are_there() {
-    let mut platform = Platform::new(bounds());
+fn on_demand_engines_are_released_only_when_their_replacements_are_listed() {
+    let mut platform = SimulatedPlatform::new(bounds());
     for _ in 0..10 {
         platform.step(60.0);
         assert!(
-            platform.total() >= 4 * FIRST * 9 / 10,
+            platform.total() >= 4 * INITIAL_ENGINES * 9 / 10,
             "{}",
             platform.total()
         );
@@ -155,55 +155,68 @@
 }
 
 #[test]
-fn a_steady_load_has_engines_enough_after_the_loss_of_a_data_centre_and_not_many_more() {
-    let mut platform = Platform::new(bounds());
+fn a_steady_load_has_enough_engines_after_the_loss_of_a_data_centre_and_few_more() {
+    let mut platform = SimulatedPlatform::new(bounds());
     for _ in 0..60 {
         platform.step(50.0);
-        // After the loss, six tenths of what is left are filled at most.
-        assert!(platform.without_the_largest() >= 84, "no room");
+        // After the loss, at most six tenths of the remaining engines are filled.
+        assert!(
+            platform.total_without_largest() >= 84,
+            "too few engines after the loss of a data centre"
+        );
     }
     assert!(platform.total() <= 135, "{}", platform.total());
-    let late = platform.orders_after(40);
+    let late = platform.orders_since(40);
     assert!(late.is_empty(), "{late:?}");
 }
 
-/// How long the engines that are left read when a data centre is lost whose streams move to them evenly:
-/// the streams that fill so many engines, of as many slots and prompts that take so long.
-fn reading_time(load: f64, left: u32, slots: f64, prompt: Duration) -> Duration {
+/// How long the remaining engines process prompts after the loss of a data centre whose streams spread
+/// over them evenly. `load` is the number of engines that all streams fill, `slots` the number of
+/// streams of an engine, and `prompt_time` the time that one prompt takes.
+fn prompt_processing_time(
+    load: f64,
+    remaining: u32,
+    slots: f64,
+    prompt_time: Duration,
+) -> Duration {
     let moved = load * slots / DATA_CENTRES.len() as f64;
-    prompt.mul_f64(moved / f64::from(left))
+    prompt_time.mul_f64(moved / f64::from(remaining))
 }
 
 #[test]
-fn the_prompts_of_a_lost_data_centre_are_read_again_within_an_objective() {
-    let prompt = Duration::from_millis(1_040);
+fn the_prompts_of_a_lost_data_centre_are_processed_again_within_the_objective() {
+    let prompt_time = Duration::from_millis(1_040);
     let objective = Duration::from_millis(4_500);
     for load in [30.0, 70.0, 120.0] {
-        let mut platform = Platform::new(bounds());
+        let mut platform = SimulatedPlatform::new(bounds());
         for _ in 0..60 {
             platform.step(load);
         }
-        let reading = reading_time(load, platform.without_the_largest(), 24.0, prompt);
-        // A new stream's own prompt comes after them.
-        assert!(reading + prompt <= objective, "{load}: {reading:?}");
+        let processing_time =
+            prompt_processing_time(load, platform.total_without_largest(), 24.0, prompt_time);
+        // The prompt of a new stream is processed after those of the lost streams.
+        assert!(
+            processing_time + prompt_time <= objective,
+            "{load}: {processing_time:?}"
+        );
     }
 }
 
 #[test]
-fn a_wave_is_not_followed_down() {
-    let mut platform = Platform::new(bounds());
+fn a_wave_of_load_does_not_reduce_the_engines() {
+    let mut platform = SimulatedPlatform::new(bounds());
     let load = |second: u64| 70.0 * (1.0 + 0.27 * (second as f64 * 0.571).sin());
     for second in 0..120 {
         platform.step(load(second));
-        assert!(f64::from(platform.without_the_largest()) >= load(second));
+        assert!(f64::from(platform.total_without_largest()) >= load(second));
     }
-    let late = platform.orders_after(45);
+    let late = platform.orders_since(45);
     assert!(late.is_empty(), "{late:?}");
 }
 
 #[test]
-fn a_higher_load_has_its_engines_as_soon_as_they_start() {
-    let mut platform = Platform::new(bounds());
+fn a_higher_load_has_its_engines_after_one_start_time() {
+    let mut platform = SimulatedPlatform::new(bounds());
     for _ in 0..60 {
         platform.step(50.0);
     }
@@ -213,79 +226,99 @@
     }
     assert!(platform.total() > before);
     assert!(
-        platform.without_the_largest() >= 110,
+        platform.total_without_largest() >= 110,
         "{}",
         platform.total()
     );
 }
 
 #[test]
-fn spot_engines_that_are_taken_away_for_a_while_are_asked_for_again_and_nothing_else() {
-    let mut platform = Platform::new(bounds());
+fn a_short_shortage_of_spot_engines_causes_orders_only_in_its_data_centre() {
+    let mut platform = SimulatedPlatform::new(bounds());
     for _ in 0..60 {
         platform.step(70.0);
     }
     let north = DataCentre::new("north");
-    let held = platform.centres.get_mut(&north).unwrap();
-    (held.engines.spot, held.is_dry) = (0, true);
+    let state = platform.data_centres.get_mut(&north).unwrap();
+    (state.engines.spot, state.has_spot_shortage) = (0, true);
     for _ in 0..8 {
         platform.step(75.0);
-        // The loss of a data centre was planned for.
+        // The plan allows for the loss of one data centre.
         assert!(platform.total() >= 75, "{}", platform.total());
     }
-    platform.centres.get_mut(&north).unwrap().is_dry = false;
+    platform
+        .data_centres
+        .get_mut(&north)
+        .unwrap()
+        .has_spot_shortage = false;
     for _ in 0..10 {
         platform.step(70.0);
     }
-    assert!(platform.centres[&north].engines.spot > 0);
-    let asked = platform.orders_after(60);
-    assert!(asked.len() <= 6, "{asked:?}");
-    assert!(asked.iter().all(|(_, order)| order.data_centre == north));
+    assert!(platform.data_centres[&north].engines.spot > 0);
+    let late_orders = platform.orders_since(60);
+    assert!(late_orders.len() <= 6, "{late_orders:?}");
+    assert!(
+        late_orders
+            .iter()
+            .all(|(_, order)| order.data_centre == north)
+    );
 }
 
 #[test]
-fn spot_engines_that_stay_away_are_replaced_on_demand_until_they_are_back() {
-    let mut platform = Platform::new(bounds());
+fn spot_engines_unavailable_for_long_are_replaced_on_demand_until_they_return() {
+    let mut platform = SimulatedPlatform::new(bounds());
     for _ in 0..60 {
         platform.step(70.0);
     }
     let north = DataCentre::new("north");
-    let held = platform.centres.get_mut(&north).unwrap();
-    (held.engines.spot, held.is_dry) = (0, true);
+    let state = platform.data_centres.get_mut(&north).unwrap();
+    (state.engines.spot, state.has_spot_shortage) = (0, true);
     for _ in 0..20 {
         platform.step(70.0);
     }
-    assert!(platform.without_the_largest() >= 70, "{}", platform.total());
-    platform.centres.get_mut(&north).unwrap().is_dry = false;
+    assert!(
+        platform.total_without_largest() >= 70,
+        "{}",
+        platform.total()
+    );
+    platform
+        .data_centres
+        .get_mut(&north)
+        .unwrap()
+        .has_spot_shortage = false;
     for _ in 0..40 {
         platform.step(70.0);
     }
-    let held = &platform.centres[&north].engines;
-    assert!(held.spot > 20 && held.on_demand <= 5, "{held:?}");
+    let engines = &platform.data_centres[&north].engines;
+    assert!(engines.spot > 20 && engines.on_demand <= 5, "{engines:?}");
 }
 
 #[test]
-fn where_no_more_spot_engines_are_to_be_had_those_that_are_there_stay() {
-    let mut platform = Platform::new(bounds());
+fn running_spot_engines_stay_while_no_more_are_available() {
+    let mut platform = SimulatedPlatform::new(bounds());
     for _ in 0..60 {
         platform.step(60.0);
     }
-    for held in platform.centres.values_mut() {
-        held.is_dry = true;
+    for state in platform.data_centres.values_mut() {
+        state.has_spot_shortage = true;
     }
     for _ in 0..30 {
         platform.step(90.0);
     }
-    let on_demand = platform.centres.values().map(|h| h.engines.on_demand);
+    let on_demand = platform.data_centres.values().map(|h| h.engines.on_demand);
     let on_demand: u32 = on_demand.sum();
-    assert!(platform.without_the_largest() >= 90, "{}", platform.total());
+    assert!(
+        platform.total_without_largest() >= 90,
+        "{}",
+        platform.total()
+    );
     assert!(on_demand < 90, "{on_demand} on demand");
 }
 
 #[test]
-fn where_spot_engines_are_not_cheaper_none_are_ordered() {
+fn spot_engines_that_are_not_cheaper_are_not_ordered() {
     for spot_price in [None, Some(1.0)] {
-        let mut platform = Platform::new(ScalingBounds {
+        let mut platform = SimulatedPlatform::new(ScalingBounds {
             spot_price,
             ..bounds()
         });
@@ -294,21 +327,21 @@
         }
         let kinds = platform.orders.iter().map(|(_, order)| order.kind);
         assert!(kinds.clone().all(|kind| kind == EngineKind::OnDemand));
-        assert!(platform.without_the_largest() >= 70);
+        assert!(platform.total_without_largest() >= 70);
         assert!(platform.total() <= 135, "{}", platform.total());
     }
 }
 
 #[test]
-fn without_any_spot_engines_to_be_had_those_on_demand_carry_the_load() {
-    let mut platform = Platform::new(bounds());
-    for held in platform.centres.values_mut() {
-        held.is_dry = true;
+fn on_demand_engines_carry_the_load_if_no_spot_engines_are_available() {
+    let mut platform = SimulatedPlatform::new(bounds());
+    for state in platform.data_centres.values_mut() {
+        state.has_spot_shortage = true;
     }
     for _ in 0..60 {
         platform.step(100.0);
         assert!(
-            platform.without_the_largest() >= 100,
+            platform.total_without_largest() >= 100,
             "{}",
             platform.total()
         );
@@ -316,31 +349,35 @@
 }
 
 #[test]
-fn a_crash_of_a_data_centre_for_a_second_orders_nothing() {
-    let mut platform = Platform::new(bounds());
+fn a_data_centre_that_crashes_for_a_second_causes_no_orders() {
+    let mut platform = SimulatedPlatform::new(bounds());
     for _ in 0..60 {
         platform.step(70.0);
     }
-    // Callers' streams move; the load stays, and so do the entries of engines for some seconds.
+    // The streams move to other engines, the load stays, and the engines remain listed for some seconds.
     for _ in 0..5 {
         platform.step(75.0);
     }
-    assert!(platform.orders_after(60).is_empty());
+    assert!(platform.orders_since(60).is_empty());
 }
 
 #[test]
-fn most_of_the_price_of_the_first_engines_is_saved() {
-    let mut platform = Platform::new(bounds());
+fn spot_engines_cost_less_than_half_of_the_initial_engines() {
+    let mut platform = SimulatedPlatform::new(bounds());
     for _ in 0..60 {
         platform.step(70.0);
     }
-    let first = 60.0 * 4.0 * f64::from(FIRST);
-    assert!(platform.cost < first / 2.0, "{} of {first}", platform.cost);
+    let initial_cost = 60.0 * 4.0 * f64::from(INITIAL_ENGINES);
+    assert!(
+        platform.cost < initial_cost / 2.0,
+        "{} of {initial_cost}",
+        platform.cost
+    );
 }
 
 #[test]
-fn what_fills_engines_first_counts() {
-    let size = EngineSize {
+fn the_scarcer_of_slots_and_memory_determines_the_load() {
+    let size = EngineCapacity {
         slots: 24,
         memory_tokens: 55_000,
     };
--- a/crates/router/cloverpier_router_policy/tests/lease_model.rs
+++ b/crates/router/cloverpier_router_policy/tests/lease_model.rs
@@ -1,18 +1,18 @@
-//! The lease, explored: every order of steps of a few routers before a store, up to a depth.
+//! Explores the lease exhaustively: all sequences of steps of a few routers at one store, up to a depth.
 //!
-//! Time is whole ticks of half of the lease's duration. In each state any router may take its next
-//! step with any result that the store may give (done; done and the answer lost; not done now and done
-//! later, or never), may stand still, or may start again; the store may come back from an older
-//! copy, under a higher era, and time may pass. What has to hold, in each state:
+//! Time advances in ticks of half of the lease's duration. In each state any router may take its next
+//! step with any result of the store's call (applied; applied, but the response lost; not applied now,
+//! and applied later or never), may pause, or may restart. The store may be restored from an older copy
+//! under a higher era, and time may advance. In each state these invariants hold:
 //!
 //! - at most one router may act at a moment;
-//! - whoever acts has a token at least as high as all that acted before, and no two routers act with the
-//!   same one;
-//! - no holder acts, lets another one act and acts again within the lease's duration.
+//! - a router that acts has a token at least as high as all tokens of earlier actions, and no two
+//!   routers act with the same token;
+//! - no holder acts again within the lease's duration after another router has acted.
 
 use cloverpier_core::VmName;
 use cloverpier_router_policy::singleton::lease::{
-    Condition, HolderId, Lease, LeaseBounds, LeaseStep, LeaseWish, LeaseWrite, RecordSeen,
+    Condition, HolderId, Lease, LeaseBounds, LeaseInput, LeaseStep, LeaseWrite, RecordSnapshot,
     RecordVersion, Tenure, WriteResult,
 };
 use std::collections::HashSet;
@@ -33,15 +33,15 @@
     era: u64,
     revision: u64,
     record: Option<Record>,
-    /// A write that the store may still do.
+    /// A write without a response, which the store may still apply.
     pending: Option<LeaseWrite>,
-    /// What it may come back from.
-    copy: Option<(u64, Option<Record>)>,
+    /// The revision and the record that a restore returns the store to.
+    backup: Option<(u64, Option<Record>)>,
 }
 
 impl Store {
-    fn seen(&self) -> RecordSeen {
-        RecordSeen {
+    fn snapshot(&self) -> RecordSnapshot {
+        RecordSnapshot {
             version: RecordVersion {
                 era: self.era,
                 revision: self.record.as_ref().map(|r| r.revision),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Does a write, if the record is as it requires; the store knows nothing of eras in it.
+    /// Applies a write if the record meets its condition; the store does not check the write's era.
     fn write(&mut self, write: &LeaseWrite) -> WriteResult {
         let present = self.record.as_ref().map(|r| r.revision);
         let required = match write.condition {
@@ -58,66 +58,66 @@
             Condition::Revision(revision) => Some(revision),
         };
         if present != required {
-            return WriteResult::Conflict(self.seen());
+            return WriteResult::Conflict(self.snapshot());
         }
         self.revision += 1;
         self.record = Some(Record {
             revision: self.revision,
             tenure: write.tenure.clone(),
         });
-        WriteResult::Done(self.seen().version)
+        WriteResult::Done(self.snapshot().version)
     }
 }
 
-/// Something that a holder did: at a tick, by a router, with a token.
-type Act = (u32, usize, u64);
+/// An action of a holder: its tick, its router and its token.
+type Action = (u32, usize, u64);
 
 #[derive(Clone, Debug, Hash)]
-struct World {
+struct SimulatedState {
     tick: u32,
     store: Store,
     routers: Vec<Lease>,
     starts: Vec<u64>,
-    /// All that holders did.
-    acts: Vec<Act>,
-    harms: u32,
+    /// All actions of holders so far.
+    actions: Vec<Action>,
+    faults: u32,
 }
 
-/// What may happen next.
+/// What can happen next in a state.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Pass,
-    Step(usize, Answer),
-    DoPending,
+    Tick,
+    Step(usize, CallOutcome),
+    ApplyPending,
     Restart(usize),
-    Copy,
+    TakeBackup,
     Restore,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Answer {
-    Whole,
-    Lost,
-    /// Neither now nor, unless the store does it later, at all.
-    Later,
+enum CallOutcome {
+    Completed,
+    ResponseLost,
+    /// The write is not applied now, and may be applied later ([`Event::ApplyPending`]).
+    Delayed,
 }
 
 struct Model {
     base: Instant,
     depth: u32,
-    /// How many lost answers, restarts and restores one history may hold.
-    harms: u32,
-    /// Whether routers start again.
+    /// The largest number of lost responses, restarts and restores in one sequence.
+    faults: u32,
+    /// Whether routers may restart.
     restarts: bool,
-    /// The hashes of the states that were explored.
-    seen: HashSet<u64>,
+    /// Hashes of the explored states.
+    explored: HashSet<u64>,
     states: u64,
-    acts: u64,
+    actions: u64,
 }
 
 impl Model {
-    fn now(&self, world: &World) -> Instant {
-        self.base + TICK * world.tick
+    fn now(&self, state: &SimulatedState) -> Instant {
+        self.base + TICK * state.tick
     }
 
     fn lease(router: usize, start: u64) -> Lease {
@@ -129,35 +129,35 @@
         Lease::new(own, LeaseBounds { duration })
     }
 
-    fn first(routers: usize) -> World {
-        World {
+    fn initial(routers: usize) -> SimulatedState {
+        SimulatedState {
             tick: 0,
             store: Store {
                 era: 0,
                 revision: 0,
                 record: None,
                 pending: None,
-                copy: None,
+                backup: None,
             },
             routers: (0..routers).map(|r| Self::lease(r, 0)).collect(),
             starts: vec![0; routers],
-            acts: Vec::new(),
-            harms: 0,
+            actions: Vec::new(),
+            faults: 0,
         }
     }
 
-    fn explore(&mut self, world: &World, trace: &mut Vec<Event>) {
-        if world.tick >= self.depth {
+    fn explore(&mut self, state: &SimulatedState, trace: &mut Vec<Event>) {
+        if state.tick >= self.depth {
             return;
         }
-        for event in self.events(world) {
-            let mut next = world.clone();
-            if !self.happen(&mut next, event) {
+        for event in self.events(state) {
+            let mut next = state.clone();
+            if !self.apply(&mut next, event) {
                 continue;
             }
             trace.push(event);
             self.check(&mut next, trace);
-            if self.seen.insert(self.digest(&next)) {
+            if self.explored.insert(self.state_hash(&next)) {
                 self.states += 1;
                 self.explore(&next, trace);
             }
@@ -165,184 +165,188 @@
         }
     }
 
-    fn events(&self, world: &World) -> Vec<Event> {
-        let mut events = vec![Event::Pass];
-        let may_harm = world.harms < self.harms;
-        for router in 0..world.routers.len() {
-            events.push(Event::Step(router, Answer::Whole));
-            if may_harm {
-                events.push(Event::Step(router, Answer::Lost));
-                if world.store.pending.is_none() {
-                    events.push(Event::Step(router, Answer::Later));
+    fn events(&self, state: &SimulatedState) -> Vec<Event> {
+        let mut events = vec![Event::Tick];
+        let may_inject_fault = state.faults < self.faults;
+        for router in 0..state.routers.len() {
+            events.push(Event::Step(router, CallOutcome::Completed));
+            if may_inject_fault {
+                events.push(Event::Step(router, CallOutcome::ResponseLost));
+                if state.store.pending.is_none() {
+                    events.push(Event::Step(router, CallOutcome::Delayed));
                 }
                 if self.restarts {
                     events.push(Event::Restart(router));
                 }
             }
         }
-        if world.store.pending.is_some() {
-            events.push(Event::DoPending);
+        if state.store.pending.is_some() {
+            events.push(Event::ApplyPending);
         }
-        if may_harm && world.store.era == 0 {
-            match world.store.copy {
-                None => events.push(Event::Copy),
+        if may_inject_fault && state.store.era == 0 {
+            match state.store.backup {
+                None => events.push(Event::TakeBackup),
                 Some(_) => events.push(Event::Restore),
             }
         }
         events
     }
 
-    /// Lets something happen; false where it changes nothing.
-    fn happen(&self, world: &mut World, event: Event) -> bool {
+    /// Applies an event to a state; returns false if the event has no effect.
+    fn apply(&self, state: &mut SimulatedState, event: Event) -> bool {
         match event {
-            Event::Pass => {
-                world.tick += 1;
+            Event::Tick => {
+                state.tick += 1;
                 true
             }
-            Event::Step(router, answer) => self.step(world, router, answer),
-            Event::DoPending => {
-                let pending = world.store.pending.take();
+            Event::Step(router, outcome) => self.step(state, router, outcome),
+            Event::ApplyPending => {
+                let pending = state.store.pending.take();
                 pending
-                    .is_some_and(|write| matches!(world.store.write(&write), WriteResult::Done(_)))
+                    .is_some_and(|write| matches!(state.store.write(&write), WriteResult::Done(_)))
             }
             Event::Restart(router) => {
-                world.harms += 1;
-                world.starts[router] += 1;
-                world.routers[router] = Self::lease(router, world.starts[router]);
+                state.faults += 1;
+                state.starts[router] += 1;
+                state.routers[router] = Self::lease(router, state.starts[router]);
                 true
             }
-            Event::Copy => {
-                let (revision, record) = (world.store.revision, world.store.record.clone());
-                world.store.copy = Some((revision, record));
+            Event::TakeBackup => {
+                let (revision, record) = (state.store.revision, state.store.record.clone());
+                state.store.backup = Some((revision, record));
                 true
             }
             Event::Restore => {
-                let Some((revision, record)) = world.store.copy.take() else {
+                let Some((revision, record)) = state.store.backup.take() else {
                     return false;
                 };
-                world.harms += 1;
-                world.store.era += 1;
-                (world.store.revision, world.store.record) = (revision, record);
+                state.faults += 1;
+                state.store.era += 1;
+                (state.store.revision, state.store.record) = (revision, record);
                 true
             }
         }
     }
 
-    fn step(&self, world: &mut World, router: usize, answer: Answer) -> bool {
-        let now = self.now(world);
-        let wish = LeaseWish {
+    fn step(&self, state: &mut SimulatedState, router: usize, outcome: CallOutcome) -> bool {
+        let now = self.now(state);
+        let input = LeaseInput {
             may_hold: true,
             has_updates: false,
         };
-        if answer != Answer::Whole {
-            world.harms += 1;
+        if outcome != CallOutcome::Completed {
+            state.faults += 1;
         }
-        match world.routers[router].step(wish, u64::from(world.tick), now) {
+        match state.routers[router].step(input, u64::from(state.tick), now) {
             LeaseStep::Wait(_) => false,
-            LeaseStep::Read if answer == Answer::Whole => {
-                let seen = world.store.seen();
-                world.routers[router].on_read(&seen, now);
+            LeaseStep::Read if outcome == CallOutcome::Completed => {
+                let snapshot = state.store.snapshot();
+                state.routers[router].on_read(&snapshot, now);
                 true
             }
             LeaseStep::Read => false,
             LeaseStep::Write(write) => {
-                let result = Self::write(&mut world.store, &write, answer);
-                world.routers[router].on_written(&write, &result, now, now);
+                let result = Self::write(&mut state.store, &write, outcome);
+                state.routers[router].on_written(&write, &result, now, now);
                 true
             }
         }
     }
 
-    fn write(store: &mut Store, write: &LeaseWrite, answer: Answer) -> WriteResult {
-        match answer {
-            Answer::Whole => store.write(write),
-            Answer::Lost => {
+    fn write(store: &mut Store, write: &LeaseWrite, outcome: CallOutcome) -> WriteResult {
+        match outcome {
+            CallOutcome::Completed => store.write(write),
+            CallOutcome::ResponseLost => {
                 store.write(write);
                 WriteResult::Unknown
             }
-            Answer::Later => {
+            CallOutcome::Delayed => {
                 store.pending = Some(write.clone());
                 WriteResult::Unknown
             }
         }
     }
 
-    /// Every router that may act does.
-    fn check(&mut self, world: &mut World, trace: &[Event]) {
-        let now = self.now(world);
-        let tokens = world.routers.iter().map(|lease| lease.token_at(now));
-        let acting: Vec<(usize, u64)> = tokens
+    /// Lets every router act that may act, and checks the invariants.
+    fn check(&mut self, state: &mut SimulatedState, trace: &[Event]) {
+        let now = self.now(state);
+        let tokens = state.routers.iter().map(|lease| lease.token_at(now));
+        let active: Vec<(usize, u64)> = tokens
             .enumerate()
             .filter_map(|(router, token)| Some((router, token?)))
             .collect();
         assert!(
-            acting.len() <= 1,
-            "two act: {acting:?} after {trace:?}\n{world:?}"
+            active.len() <= 1,
+            "two routers act: {active:?} after {trace:?}\n{state:?}"
         );
-        let Some((router, token)) = acting.first().copied() else {
+        let Some((router, token)) = active.first().copied() else {
             return;
         };
-        self.acts += 1;
-        let highest = world.acts.iter().map(|(_, _, token)| *token).max();
+        self.actions += 1;
+        let highest = state.actions.iter().map(|(_, _, token)| *token).max();
         assert!(
             highest.is_none_or(|highest| token >= highest),
-            "a lower token after {trace:?}\n{world:?}"
+            "a token is lower than an earlier one after {trace:?}\n{state:?}"
         );
-        let others = |act: &&Act| act.1 != router;
+        let others = |action: &&Action| action.1 != router;
         assert!(
-            world.acts.iter().filter(others).all(|act| act.2 != token),
-            "a token twice after {trace:?}\n{world:?}"
+            state
+                .actions
+                .iter()
+                .filter(others)
+                .all(|action| action.2 != token),
+            "two routers use one token after {trace:?}\n{state:?}"
         );
-        let other = world.acts.iter().rposition(|act| act.1 != router);
-        let before = other.map(|at| &world.acts[..at]).unwrap_or_default();
-        let again = before.iter().rfind(|act| act.1 == router);
+        let other = state.actions.iter().rposition(|action| action.1 != router);
+        let before = other.map(|at| &state.actions[..at]).unwrap_or_default();
+        let again = before.iter().rfind(|action| action.1 == router);
         assert!(
-            again.is_none_or(|act| world.tick - act.0 >= DURATION_TICKS),
-            "a holder came back after {trace:?}\n{world:?}"
+            again.is_none_or(|action| state.tick - action.0 >= DURATION_TICKS),
+            "a former holder acts again too early after {trace:?}\n{state:?}"
         );
-        world.acts.push((world.tick, router, token));
-        world.acts.dedup();
+        state.actions.push((state.tick, router, token));
+        state.actions.dedup();
     }
 
-    /// What tells two states apart.
-    fn digest(&self, world: &World) -> u64 {
+    /// A hash that identifies a state.
+    fn state_hash(&self, state: &SimulatedState) -> u64 {
         let mut hasher = DefaultHasher::new();
-        world.hash(&mut hasher);
+        state.hash(&mut hasher);
         hasher.finish()
     }
 }
 
-fn explore(routers: usize, depth: u32, harms: u32, restarts: bool) -> Model {
+fn explore(routers: usize, depth: u32, faults: u32, restarts: bool) -> Model {
     let mut model = Model {
         base: Instant::now(),
         depth,
-        harms,
+        faults,
         restarts,
-        seen: HashSet::new(),
+        explored: HashSet::new(),
         states: 0,
-        acts: 0,
+        actions: 0,
     };
-    let mut first = Model::first(routers);
-    model.check(&mut first, &[]);
-    model.explore(&first, &mut Vec::new());
-    println!("{} states, {} acts", model.states, model.acts);
+    let mut initial = Model::initial(routers);
+    model.check(&mut initial, &[]);
+    model.explore(&initial, &mut Vec::new());
+    println!("{} states, {} actions", model.states, model.actions);
     model
 }
 
 #[test]
 fn two_routers_never_act_at_the_same_time() {
     let model = explore(2, 7, 2, false);
-    assert!(model.acts > 1_000, "hardly anybody acted");
+    assert!(model.actions > 1_000, "too few actions to test the lease");
 }
 
 #[test]
-fn nor_do_two_that_start_again() {
+fn two_restarting_routers_never_act_at_the_same_time() {
     let model = explore(2, 8, 1, true);
-    assert!(model.acts > 1_000, "hardly anybody acted");
+    assert!(model.actions > 1_000, "too few actions to test the lease");
 }
 
 #[test]
-fn nor_do_three() {
+fn three_routers_never_act_at_the_same_time() {
     let model = explore(3, 5, 1, true);
-    assert!(model.acts > 1_000, "hardly anybody acted");
+    assert!(model.actions > 1_000, "too few actions to test the lease");
 }
