--- a/crates/router/cloverpier_router/src/rollout_steps.rs
+++ b/crates/router/cloverpier_router/src/rollout_steps.rs
@@ -152,7 +152,7 @@
     let progress = rollout.view.progress;
     let step = step(&StepInput {
         now,
-        known_since: rollout.known_since,
+        ordered_at: rollout.ordered_at,
         stage_since: rollout.stage_since,
         duration: order.duration,
         progress,
--- a/crates/router/cloverpier_router/src/singleton/platform.rs
+++ b/crates/router/cloverpier_router/src/singleton/platform.rs
@@ -5,7 +5,9 @@
 
 use crate::source::SourceError;
 use cloverpier_core::ServiceName;
-use cloverpier_router_policy::singleton::autoscaling::{Order, OrderResult, Plan, ScalingBounds};
+use cloverpier_router_policy::singleton::autoscaling::{
+    EngineOrder, EnginePlan, OrderResult, ScalingBounds,
+};
 use cloverpier_router_policy::singleton::lease::{LeaseWrite, RecordVersion, Tenure};
 use cloverpier_router_policy::singleton::metering::{UsageJournal, Window, WindowCounts};
 use serde::{Deserialize, Serialize};
@@ -25,7 +27,7 @@
     pub usage: UsageJournal,
     /// The engines that were ordered, by service.
     #[serde(default)]
-    pub engines: BTreeMap<ServiceName, Plan>,
+    pub engines: BTreeMap<ServiceName, EnginePlan>,
 }
 
 impl LeaseRecord {
@@ -111,7 +113,7 @@
         &self,
         by: SignedBy<'_>,
         service: &ServiceName,
-        order: &Order,
+        order: &EngineOrder,
     ) -> impl Future<Output = Result<OrderResult, SourceError>>;
 
     /// Reads the bounds on the engines of all services that have some.
--- a/crates/router/cloverpier_router/src/singleton/state.rs
+++ b/crates/router/cloverpier_router/src/singleton/state.rs
@@ -4,7 +4,7 @@
 
 use cloverpier_core::ServiceName;
 use cloverpier_router_policy::prelude::ServiceKey;
-use cloverpier_router_policy::singleton::autoscaling::{Autoscaler, Plan, ServiceLoad};
+use cloverpier_router_policy::singleton::autoscaling::{Autoscaler, EnginePlan, ServiceLoad};
 use cloverpier_router_policy::singleton::fleet_clock::FleetClock;
 use cloverpier_router_policy::singleton::lease::{HolderId, Lease, LeaseBounds};
 use cloverpier_router_policy::singleton::metering::{
@@ -51,14 +51,14 @@
     /// Whether windows are decided that the record lacks.
     pub(super) has_updates: bool,
     /// The engines that the former holder ordered.
-    pub(super) inherited_plans: BTreeMap<ServiceName, Plan>,
+    pub(super) inherited_plans: BTreeMap<ServiceName, EnginePlan>,
     pub(super) scalers: BTreeMap<ServiceName, Autoscaler>,
     pub(super) renewals: u64,
 }
 
 impl Work {
     /// The engines that are ordered.
-    pub(super) fn plans(&self) -> BTreeMap<ServiceName, Plan> {
+    pub(super) fn plans(&self) -> BTreeMap<ServiceName, EnginePlan> {
         let mut plans = self.inherited_plans.clone();
         let planned = self.scalers.iter();
         plans.extend(planned.map(|(service, scaler)| (service.clone(), scaler.ordered().clone())));
--- a/crates/router/cloverpier_router/src/singleton/work.rs
+++ b/crates/router/cloverpier_router/src/singleton/work.rs
@@ -13,7 +13,7 @@
 use cloverpier_core::{DataCentre, ServiceName};
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::singleton::autoscaling::{
-    Autoscaler, EngineCapacity, Engines, Order, OrderResult, Plan, ServiceLoad,
+    Autoscaler, EngineCapacity, EngineOrder, EnginePlan, Engines, OrderResult, ServiceLoad,
 };
 use cloverpier_router_policy::singleton::metering::{Window, WindowCounts};
 use std::collections::BTreeMap;
@@ -236,7 +236,7 @@
     }
 
     /// The orders that are due, and the load that decided them.
-    fn due_orders(&self, scaling: &ServiceScaling) -> (Vec<Order>, f64) {
+    fn due_orders(&self, scaling: &ServiceScaling) -> (Vec<EngineOrder>, f64) {
         let now = self.router.now();
         let listed = listed_engines(&self.router.upstreams.borrow(), &scaling.service);
         // Without the service's configuration or any upstream of it nothing is known of its load.
@@ -291,7 +291,7 @@
         &self,
         permit: &Permit,
         service: &ServiceName,
-        order: &Order,
+        order: &EngineOrder,
         result: OrderResult,
         load: f64,
     ) {
@@ -326,7 +326,7 @@
 }
 
 /// What the data centres hold before anything was ordered.
-fn first_plan(listed: &BTreeMap<DataCentre, u32>) -> Plan {
+fn first_plan(listed: &BTreeMap<DataCentre, u32>) -> EnginePlan {
     let held = listed.iter().map(|(data_centre, count)| {
         let engines = Engines {
             on_demand: *count,
--- a/crates/router/cloverpier_router/tests/peer_messages.rs
+++ b/crates/router/cloverpier_router/tests/peer_messages.rs
@@ -228,9 +228,9 @@
         report: EvidenceReport {
             order: OrderId(71),
             stage: Stage::Load,
-            former_in_flight: 2,
+            previous_in_flight: 2,
             sent: SentCounts {
-                former: 300,
+                previous: 300,
                 target: 20,
             },
             entries: vec![(key, counts)],
--- a/crates/router/cloverpier_router_policy/src/rollout/assessment.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/assessment.rs
@@ -52,7 +52,7 @@
 const MAX_BASELINE_BAD_SHARE: f64 = 0.95;
 /// The share of bad responses at the previous versions is assumed this many standard errors above
 /// the measured share, which is only an estimate.
-const STANDARD_ERRORS: f64 = 2.0;
+const BASELINE_STANDARD_ERRORS: f64 = 2.0;
 /// Response times of the previous versions that a median requires.
 const MIN_MEDIAN_SAMPLES: u32 = 8;
 
@@ -71,7 +71,8 @@
     SlowPace,
 }
 
-/// The strongest evidence against a target version: one kind of regression on one route or on all.
+/// The evidence against a target version in one comparison: a kind of regression on one route or on
+/// all routes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Regression {
     /// The route of the counted responses; `None` for all routes together.
@@ -83,7 +84,7 @@
     /// The number of counted responses of the target version.
     pub responses: u32,
     /// The assumed share of bad responses at the previous versions, an upper estimate from 0 to 1.
-    pub former_bad_share: f64,
+    pub baseline_bad_share: f64,
     /// How many times likelier the responses are if the target version is worse than if it is not.
     pub likelihood_ratio: f64,
     /// The same ratio without the group of upstreams that has the most bad responses; `None` where only
@@ -100,7 +101,7 @@
     NoRegression,
     /// The evidence against the version does not suffice to roll it back.
     Suspicious(Regression),
-    /// One group of upstreams is bad, without sufficient evidence against the others.
+    /// A single group of upstreams is bad; there is not sufficient evidence against the others.
     OneGroup(Regression),
     /// The version is bad, at more than one group of upstreams or at its only upstream.
     Bad(Regression),
@@ -172,7 +173,7 @@
 /// [`ComparisonKey`].
 #[derive(Clone, Debug, Default)]
 struct Comparison {
-    former: Tally,
+    previous: Tally,
     target: BTreeMap<u8, Tally>,
 }
 
@@ -180,7 +181,7 @@
 type ComparisonKey = (Option<RouteKey>, RegressionKind);
 
 fn comparisons(evidence: &Evidence) -> BTreeMap<ComparisonKey, Comparison> {
-    let medians = former_medians(evidence);
+    let medians = previous_medians(evidence);
     let mut comparisons: BTreeMap<ComparisonKey, Comparison> = BTreeMap::new();
     for (key, counts) in evidence {
         for (kind, tally) in tallies(*key, counts, &medians) {
@@ -194,9 +195,9 @@
 }
 
 /// The median times of the previous versions, by route and measure.
-fn former_medians(evidence: &Evidence) -> BTreeMap<(RouteKey, Measure), TimeBucket> {
-    let former = evidence.iter().filter(|(key, _)| key.arm == Arm::Former);
-    let medians = former.filter_map(|(key, counts)| {
+fn previous_medians(evidence: &Evidence) -> BTreeMap<(RouteKey, Measure), TimeBucket> {
+    let previous = evidence.iter().filter(|(key, _)| key.arm == Arm::Previous);
+    let medians = previous.filter_map(|(key, counts)| {
         let median = counts.times.median(MIN_MEDIAN_SAMPLES)?;
         Some(((key.route, key.measure), median))
     });
@@ -238,13 +239,13 @@
 impl Comparison {
     fn add(&mut self, arm: Arm, tally: Tally) {
         match arm {
-            Arm::Former => self.former.add(tally),
+            Arm::Previous => self.previous.add(tally),
             Arm::Target(group) => self.target.entry(group).or_default().add(tally),
         }
     }
 
     fn regression(&self, route: Option<RouteKey>, kind: RegressionKind) -> Regression {
-        let former_bad_share = baseline_bad_share(self.former);
+        let baseline_bad_share = baseline_bad_share(self.previous);
         let mut total = Tally::default();
         for group in self.target.values() {
             total.add(*group);
@@ -260,10 +261,10 @@
             kind,
             bad: total.bad,
             responses: total.responses,
-            former_bad_share,
-            likelihood_ratio: likelihood_ratio(total, former_bad_share),
+            baseline_bad_share,
+            likelihood_ratio: likelihood_ratio(total, baseline_bad_share),
             likelihood_ratio_without_worst: without_worst
-                .map(|rest| likelihood_ratio(rest, former_bad_share)),
+                .map(|rest| likelihood_ratio(rest, baseline_bad_share)),
             responses_without_worst: rest.responses,
         }
     }
@@ -290,20 +291,21 @@
     // Counts one more good and one more bad response than measured, so that a tally without bad
     // responses does not yield a share of exactly 0.
     let responses = f64::from(tally.responses) + 2.0;
-    let part = (f64::from(tally.bad) + 1.0) / responses;
-    let error = (part * (1.0 - part) / responses).sqrt();
-    (part + STANDARD_ERRORS * error).clamp(MIN_BASELINE_BAD_SHARE, MAX_BASELINE_BAD_SHARE)
+    let bad_share = (f64::from(tally.bad) + 1.0) / responses;
+    let error = (bad_share * (1.0 - bad_share) / responses).sqrt();
+    (bad_share + BASELINE_STANDARD_ERRORS * error)
+        .clamp(MIN_BASELINE_BAD_SHARE, MAX_BASELINE_BAD_SHARE)
 }
 
 /// How many times likelier a tally is at a worse version than at a version whose share of bad
-/// responses is `former_bad_share`: the mean over [`EXCESS_BAD_SHARES`].
-fn likelihood_ratio(tally: Tally, former_bad_share: f64) -> f64 {
+/// responses is `baseline_bad_share`: the mean over [`EXCESS_BAD_SHARES`].
+fn likelihood_ratio(tally: Tally, baseline_bad_share: f64) -> f64 {
     let bad = f64::from(tally.bad);
     let good = f64::from(tally.responses) - bad;
     let of = |excess: f64| {
-        let part = former_bad_share + excess * (1.0 - former_bad_share);
-        let if_bad = (part / former_bad_share).ln();
-        let if_good = ((1.0 - part) / (1.0 - former_bad_share)).ln();
+        let worse_bad_share = baseline_bad_share + excess * (1.0 - baseline_bad_share);
+        let if_bad = (worse_bad_share / baseline_bad_share).ln();
+        let if_good = ((1.0 - worse_bad_share) / (1.0 - baseline_bad_share)).ln();
         (bad * if_bad + good * if_good).exp()
     };
     let sum: f64 = EXCESS_BAD_SHARES.iter().map(|excess| of(*excess)).sum();
--- a/crates/router/cloverpier_router_policy/src/rollout/evidence.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/evidence.rs
@@ -37,8 +37,9 @@
 /// The version at which a response was counted; a target version is divided into groups.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Arm {
-    /// One of the previous versions.
-    Former,
+    /// A previous version.
+    #[serde(rename = "Former")]
+    Previous,
     /// The target version, with the group of the upstream ([`super::versions::group_of`]).
     Target(u8),
 }
@@ -64,7 +65,7 @@
     pub arm: Arm,
 }
 
-/// Counts of one entry since the order became known.
+/// Counts of one entry since the order arrived at the router.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResponseCounts {
     /// Responses that were failures.
@@ -83,20 +84,21 @@
         self.pending.merge(&other.pending);
     }
 
-    pub(super) fn since(&self, former: &Self) -> Self {
+    pub(super) fn since(&self, earlier: &Self) -> Self {
         Self {
-            failed: self.failed.saturating_sub(former.failed),
-            times: self.times.since(&former.times),
+            failed: self.failed.saturating_sub(earlier.failed),
+            times: self.times.since(&earlier.times),
             pending: self.pending.clone(),
         }
     }
 }
 
-/// Attempts that were sent since the order became known.
+/// Numbers of attempts sent since the order arrived at the router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SentCounts {
     /// Attempts sent to the previous versions.
-    pub former: u32,
+    #[serde(rename = "former")]
+    pub previous: u32,
     /// Attempts sent to the target version.
     pub target: u32,
 }
@@ -109,10 +111,11 @@
     /// The stage by which the router chooses upstreams.
     pub stage: Stage,
     /// The router's requests that are in flight at the previous versions.
-    pub former_in_flight: u32,
-    /// All attempts that the router sent since the order became known to it.
+    #[serde(rename = "former_in_flight")]
+    pub previous_in_flight: u32,
+    /// All attempts that the router sent since the order arrived there.
     pub sent: SentCounts,
-    /// Counts of responses since the order became known to the router.
+    /// Counts of responses since the order arrived at the router.
     pub entries: Vec<(EvidenceKey, ResponseCounts)>,
 }
 
--- a/crates/router/cloverpier_router_policy/src/rollout/evidence/fleet.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/evidence/fleet.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// The number of windows that are assessed besides the one that starts with the order.
-const MAX_WINDOWS: usize = 4;
+const MAX_RECENT_WINDOWS: usize = 4;
 /// The time between the starts of two windows.
 const SNAPSHOT_PERIOD: Duration = Duration::from_millis(1_000);
 
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug)]
 struct RouterEvidence {
     stage: Stage,
-    former_in_flight: u32,
+    previous_in_flight: u32,
     sent: SentCounts,
     counts: Evidence,
 }
@@ -36,12 +36,12 @@
     /// Replaces the counts of a router for the keys in its report. A router's counts only grow while its
     /// process runs; after a restart its reports start from 0, and the earlier counts are lost.
     pub fn on_report(&mut self, router: SocketAddr, report: EvidenceReport) {
-        let known = self.by_router.remove(&router);
-        let mut counts = known.map_or_else(Evidence::new, |known| known.counts);
+        let earlier = self.by_router.remove(&router);
+        let mut counts = earlier.map_or_else(Evidence::new, |earlier| earlier.counts);
         counts.extend(report.entries);
         let evidence = RouterEvidence {
             stage: report.stage,
-            former_in_flight: report.former_in_flight,
+            previous_in_flight: report.previous_in_flight,
             sent: report.sent,
             counts,
         };
@@ -57,7 +57,7 @@
         total
     }
 
-    /// Stores the present totals as the start of another window, once per [`SNAPSHOT_PERIOD`].
+    /// Stores the present totals as the start of another window, at most once per `SNAPSHOT_PERIOD`.
     pub fn take_snapshot(&mut self, now: Instant) {
         let last = self.snapshots.back();
         let is_due = |at: &Instant| now.saturating_duration_since(*at) >= SNAPSHOT_PERIOD;
@@ -65,7 +65,7 @@
             let total = self.total();
             self.snapshots.push_back((now, total));
         }
-        if self.snapshots.len() > MAX_WINDOWS {
+        if self.snapshots.len() > MAX_RECENT_WINDOWS {
             self.snapshots.pop_front();
         }
     }
@@ -89,7 +89,7 @@
     pub fn sent(&self) -> SentCounts {
         let mut total = SentCounts::default();
         for report in self.by_router.values() {
-            total.former = total.former.saturating_add(report.sent.former);
+            total.previous = total.previous.saturating_add(report.sent.previous);
             total.target = total.target.saturating_add(report.sent.target);
         }
         total
@@ -102,8 +102,8 @@
 
     /// Whether a router has reported that it acts by this stage or a later one, and has no requests in
     /// flight at the previous versions.
-    pub fn has_drained_former(&self, router: &SocketAddr, stage: Stage) -> bool {
+    pub fn has_drained_previous(&self, router: &SocketAddr, stage: Stage) -> bool {
         let report = self.by_router.get(router);
-        report.is_some_and(|r| r.stage >= stage && r.former_in_flight == 0)
+        report.is_some_and(|r| r.stage >= stage && r.previous_in_flight == 0)
     }
 }
--- a/crates/router/cloverpier_router_policy/src/rollout/evidence/own.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/evidence/own.rs
@@ -1,4 +1,4 @@
-//! The results of attempts at this router since an order became known to it.
+//! The results of attempts at this router since an order arrived there.
 //!
 //! Counts attempts, failures and response times at either version, and makes the reports that the
 //! deciding routers add up. Owns these counts, the running measurements, and the broken attempts
@@ -52,7 +52,7 @@
         let arm = if self.is_target {
             Arm::Target(group_of(self.upstream.as_str()))
         } else {
-            Arm::Former
+            Arm::Previous
         };
         EvidenceKey {
             route: self.route,
@@ -62,7 +62,7 @@
     }
 }
 
-/// The results of attempts at this router since an order became known to it.
+/// The results of attempts at this router since an order arrived there.
 #[derive(Clone, Debug, Default)]
 pub struct OwnEvidence {
     counts: Evidence,
@@ -78,7 +78,7 @@
         let sent = if is_target {
             &mut self.sent.target
         } else {
-            &mut self.sent.former
+            &mut self.sent.previous
         };
         *sent = sent.saturating_add(1);
     }
@@ -161,12 +161,12 @@
     }
 
     /// Reports of all counts to the routers that decide, as many as the entries require; at least one.
-    /// `former_in_flight` is the number of this router's requests at the previous versions.
+    /// `previous_in_flight` is the number of this router's requests at the previous versions.
     pub fn reports(
         &self,
         order: OrderId,
         stage: Stage,
-        former_in_flight: u32,
+        previous_in_flight: u32,
         now: Instant,
     ) -> Vec<EvidenceReport> {
         let mut counts = self.counts.clone();
@@ -178,7 +178,7 @@
         let report = |entries: &[(EvidenceKey, ResponseCounts)]| EvidenceReport {
             order,
             stage,
-            former_in_flight,
+            previous_in_flight,
             sent: self.sent,
             entries: entries.to_vec(),
         };
--- a/crates/router/cloverpier_router_policy/src/rollout/mod.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! - **Question.** An operator orders that a service moves to a target version within a duration.
 //!   Which upstreams may receive an attempt during the roll-out, is the target version as good as
-//!   the previous versions (`former` in names), and when does the roll-out end?
+//!   the previous versions, and when does the roll-out end?
 //! - **Inputs.** The order, as the platform's store holds it; the versions of the upstreams; the
 //!   results of attempts at either version, at all routers; the operator's bound on the share of
 //!   all requests that a bad version may receive.
@@ -57,7 +57,7 @@
     pub id: OrderId,
     /// The version that receives all requests once the roll-out is completed.
     pub target: SoftwareVersion,
-    /// The time from the order until the target version should receive all new requests.
+    /// The time from the order until the target version should receive all requests.
     pub duration: Duration,
 }
 
@@ -96,7 +96,7 @@
     All,
     /// Streams that still run at the previous versions move to the target version.
     Moving,
-    /// The target version receives no more requests, as it is bad or too little is known of it.
+    /// The target version receives no more requests, as it is bad or returned too few responses.
     RolledBack,
     /// Only the target version is in use, and the upstreams of the previous versions may stop.
     Completed,
--- a/crates/router/cloverpier_router_policy/src/rollout/registry.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/registry.rs
@@ -34,7 +34,7 @@
     Unchanged,
     /// The view contained a new order.
     Ordered,
-    /// The progress of a known order advanced.
+    /// The progress of the service's order advanced.
     Progressed,
     /// The operator withdrew the order.
     Withdrawn,
@@ -47,7 +47,7 @@
     pub view: RolloutView,
     /// The moment of the order, as far as this router has it: when the order arrived here, or earlier
     /// by an estimate ([`RolloutRegistry::resume`]).
-    pub known_since: Instant,
+    pub ordered_at: Instant,
     /// When the present stage or round began at this router.
     pub stage_since: Instant,
     /// The responses and attempts that this router counted.
@@ -60,7 +60,7 @@
     fn new(view: RolloutView, now: Instant) -> Self {
         Self {
             view,
-            known_since: now,
+            ordered_at: now,
             stage_since: now,
             own: OwnEvidence::default(),
             fleet: FleetEvidence::default(),
@@ -110,7 +110,7 @@
     }
 
     /// The views that are sent to peers periodically: of running roll-outs, and of those whose progress
-    /// last changed within [`ENDED_VIEW_RESEND_TIME`].
+    /// last changed within `ENDED_VIEW_RESEND_TIME`.
     pub fn views_to_send(&self, now: Instant) -> Vec<RolloutView> {
         let is_sent = |r: &&Rollout| {
             r.active().is_some()
@@ -136,31 +136,31 @@
         active.map(|(service, _)| service.clone()).collect()
     }
 
-    /// Merges a view that a peer or the store sent. A view of another order replaces the known one
-    /// only if its revision is higher.
+    /// Merges a view that a peer or the store sent. A view of another order replaces the service's
+    /// present one only if its revision is higher.
     pub fn on_view(&mut self, view: RolloutView, now: Instant) -> OrderUpdate {
-        let Some(known) = self.rollouts.get_mut(&view.service) else {
-            let update = update_of(&view);
+        let Some(current) = self.rollouts.get_mut(&view.service) else {
+            let update = order_update_of(&view);
             self.readmit(&view);
             self.rollouts
                 .insert(view.service.clone(), Rollout::new(view, now));
             return update;
         };
-        if known.id() == view.order.as_ref().map(|order| order.id) {
-            known.view.revision = known.view.revision.max(view.revision);
-            return if known.join(view.progress, now) {
+        if current.id() == view.order.as_ref().map(|order| order.id) {
+            current.view.revision = current.view.revision.max(view.revision);
+            return if current.join(view.progress, now) {
                 OrderUpdate::Progressed
             } else {
                 OrderUpdate::Unchanged
             };
         }
-        if view.revision <= known.view.revision {
+        if view.revision <= current.view.revision {
             return OrderUpdate::Unchanged;
         }
-        let former = std::mem::replace(known, Rollout::new(view.clone(), now));
-        self.exclude_target_of(&former.view);
+        let previous = std::mem::replace(current, Rollout::new(view.clone(), now));
+        self.exclude_target_of(&previous.view);
         self.readmit(&view);
-        update_of(&view)
+        order_update_of(&view)
     }
 
     /// Moves the start of a service's order back by a fixed fraction of its duration, as the order was
@@ -171,15 +171,15 @@
         };
         let duration = rollout.view.order.as_ref().map(|order| order.duration);
         // A withdrawn order has no duration, and its start then stays.
-        let elapsed_fraction = duration
+        let elapsed = duration
             .unwrap_or_default()
             .mul_f64(RESUMED_ELAPSED_FRACTION);
-        let since = rollout.known_since.checked_sub(elapsed_fraction);
+        let since = rollout.ordered_at.checked_sub(elapsed);
         // `Instant` may not reach that far back, as shortly after a boot; the order then seems newer.
-        rollout.known_since = since.unwrap_or(rollout.known_since);
+        rollout.ordered_at = since.unwrap_or(rollout.ordered_at);
     }
 
-    /// Merges a progress that this router decided; returns whether it changed the known one.
+    /// Merges a progress that this router decided; returns whether that changed the order's progress.
     pub fn on_progress(&mut self, service: &ServiceName, to: Progress, now: Instant) -> bool {
         let rollout = self.rollouts.get_mut(service);
         rollout.is_some_and(|rollout| rollout.join(to, now))
@@ -194,11 +194,11 @@
     }
 
     /// Excludes the target version of an order that ends without being completed.
-    fn exclude_target_of(&mut self, former: &RolloutView) {
-        let is_completed = former.progress.stage == Stage::Completed;
-        if let Some(order) = former.order.as_ref().filter(|_| !is_completed) {
+    fn exclude_target_of(&mut self, previous: &RolloutView) {
+        let is_completed = previous.progress.stage == Stage::Completed;
+        if let Some(order) = previous.order.as_ref().filter(|_| !is_completed) {
             let target = order.target.clone();
-            self.excluded.insert((former.service.clone(), target));
+            self.excluded.insert((previous.service.clone(), target));
         }
     }
 
@@ -251,10 +251,10 @@
             ..
         } = rollout.view.progress;
         match stage {
-            Stage::RolledBack => rule.preferring_former(target),
+            Stage::RolledBack => rule.preferring_previous(target),
             Stage::All | Stage::Moving | Stage::Completed => rule.preferring_target(target),
             Stage::Canary | Stage::Load | Stage::Part if rng.f64() >= share.as_fraction() => {
-                rule.preferring_former(target)
+                rule.preferring_previous(target)
             }
             Stage::Part => rule.preferring_target(target),
             Stage::Canary | Stage::Load => {
@@ -282,7 +282,7 @@
     }
 }
 
-fn update_of(view: &RolloutView) -> OrderUpdate {
+fn order_update_of(view: &RolloutView) -> OrderUpdate {
     match view.order {
         Some(_) => OrderUpdate::Ordered,
         None => OrderUpdate::Withdrawn,
--- a/crates/router/cloverpier_router_policy/src/rollout/schedule.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/schedule.rs
@@ -1,7 +1,7 @@
 //! Which stage of a roll-out comes next, and when.
 //!
 //! - **Question.** What is the next progress of a roll-out now?
-//! - **Inputs.** The order and how long ago it became known; the present [`Progress`]; the counts
+//! - **Inputs.** The order and how long ago it was given; the present [`Progress`]; the counts
 //!   of all routers; the number of upstreams of the target version; the operator's bound on
 //!   exposure.
 //! - **Outcome.** A [`Step`].
@@ -10,7 +10,7 @@
 //!   under load or on one route. So the first stage has most of the time: its few requests leave
 //!   most of the bound to the later stages, and the remaining time suffices to move all requests. A
 //!   version with suspicious responses keeps its present share. A version with too few responses at
-//!   the decision deadline is rolled back, since the previous versions are known to work.
+//!   the decision deadline is rolled back, since the previous versions work for the callers.
 //!
 //! The moments are fractions of the order's duration, as the operator's deadline is the only time
 //! that an order contains.
@@ -44,11 +44,11 @@
 const MAX_CANARY_SHARE: f64 = 0.5;
 /// The smallest and the largest share of the requests in the second stage. With the largest share,
 /// one of four upstreams has the load of the completed roll-out.
-const LOAD_SHARES: [f64; 2] = [0.1, 0.25];
+const LOAD_SHARE_RANGE: [f64; 2] = [0.1, 0.25];
 /// The share of the requests in the third stage.
 const PART_SHARE: f64 = 0.35;
 /// The smallest number of upstreams that the first stage tries, so that one bad upstream is not
-/// taken for a bad version.
+/// mistaken for a bad version.
 const MIN_CANARIES: usize = 2;
 
 /// The load of a tried upstream, as a multiple of its load after the roll-out; the upstreams of a
@@ -57,11 +57,11 @@
 const CANARY_LOAD_FACTOR: f64 = 1.6;
 /// Responses of the target version that the first stage requires. A version that fails two of five
 /// requests returns five good responses in a row in one of 13 cases.
-const MIN_RESPONSES: u32 = 5;
+const MIN_CANARY_RESPONSES: u32 = 5;
 /// Responses of the other upstreams that clear the target version where one group of its upstreams
 /// is bad. A version that fails two of five requests returns ten good responses in a row in one of
 /// 165 cases.
-const MIN_OTHER_RESPONSES: u32 = 10;
+const MIN_CLEARING_RESPONSES: u32 = 10;
 /// The shortest time in a stage: enough for a response of the target version and its report.
 const MIN_STAGE_DURATION: Duration = Duration::from_millis(600);
 /// The shortest time between two updates of the first stage's share.
@@ -85,11 +85,11 @@
 pub struct StepInput<'a> {
     /// The present moment, on this router's monotonic clock.
     pub now: Instant,
-    /// When the order became known to this router, or an estimate of its start.
-    pub known_since: Instant,
+    /// When the order arrived at this router, or an earlier estimate of when the order was given.
+    pub ordered_at: Instant,
     /// When the present stage, or its present round, began at this router.
     pub stage_since: Instant,
-    /// The time from `known_since` until the roll-out should be completed.
+    /// The time from `ordered_at` until the target version should receive all requests.
     pub duration: Duration,
     /// The progress that the step starts from.
     pub progress: Progress,
@@ -162,7 +162,7 @@
 impl StepInput<'_> {
     /// The fraction of the order's duration that has elapsed; above 1 after the deadline.
     fn elapsed_fraction(&self) -> f64 {
-        let elapsed = self.now.saturating_duration_since(self.known_since);
+        let elapsed = self.now.saturating_duration_since(self.ordered_at);
         elapsed.as_secs_f64() / self.duration.as_secs_f64().max(f64::MIN_POSITIVE)
     }
 
@@ -176,7 +176,7 @@
 /// upstreams all the same, as an upstream that is bad under load may respond well without load.
 fn try_other_upstreams(input: &StepInput<'_>, regression: Regression) -> Step {
     let progress = input.progress;
-    let is_cleared = regression.responses_without_worst >= MIN_OTHER_RESPONSES;
+    let is_cleared = regression.responses_without_worst >= MIN_CLEARING_RESPONSES;
     let tries_others = match progress.stage {
         Stage::Canary => !is_cleared,
         Stage::Load => input.elapsed_fraction() < LOAD_END,
@@ -229,8 +229,8 @@
 
 /// Ends the first stage: the next one starts if enough responses of the target version arrived.
 fn end_canary_stage(input: &StepInput<'_>) -> Step {
-    if target_responses(input.evidence) >= MIN_RESPONSES {
-        let [least, most] = LOAD_SHARES;
+    if target_responses(input.evidence) >= MIN_CANARY_RESPONSES {
+        let [least, most] = LOAD_SHARE_RANGE;
         let one_upstream = 1.0 / input.upstreams.max(1) as f64;
         return enter_stage(Stage::Load, one_upstream.clamp(least, most), input.progress);
     }
@@ -254,7 +254,7 @@
     let total = evidence.total();
     let responses = total
         .iter()
-        .filter(|(key, _)| key.arm != Arm::Former && key.measure == Measure::Response);
+        .filter(|(key, _)| key.arm != Arm::Previous && key.measure == Measure::Response);
     responses.map(|(_, c)| c.failed + c.times.total()).sum()
 }
 
@@ -263,14 +263,16 @@
 /// unknown until every router has reported.
 fn update_share(input: &StepInput<'_>) -> Step {
     let evidence = input.evidence;
-    let elapsed = input.now.saturating_duration_since(input.known_since);
-    let is_known = input.routers.iter().all(|r| evidence.has_reported(r));
-    if elapsed < SHARE_UPDATE_INTERVAL || input.time_in_stage() < SHARE_UPDATE_INTERVAL || !is_known
+    let elapsed = input.now.saturating_duration_since(input.ordered_at);
+    let have_all_reported = input.routers.iter().all(|r| evidence.has_reported(r));
+    if elapsed < SHARE_UPDATE_INTERVAL
+        || input.time_in_stage() < SHARE_UPDATE_INTERVAL
+        || !have_all_reported
     {
         return Step::Stay;
     }
-    let SentCounts { former, target } = evidence.sent();
-    let sent = f64::from(former) + f64::from(target);
+    let SentCounts { previous, target } = evidence.sent();
+    let sent = f64::from(previous) + f64::from(target);
     let expected = sent / elapsed.as_secs_f64() * input.duration.as_secs_f64();
     let ExposureBounds { share, slack } = input.bounds;
     let allowed = CANARY_EXPOSURE_FRACTION * (share * expected + slack);
@@ -296,7 +298,7 @@
 /// without roll-outs, delays the completion: its requests would be lost.
 fn complete_if_drained(input: &StepInput<'_>) -> Step {
     let evidence = input.evidence;
-    let has_left = |router| evidence.has_drained_former(router, Stage::All);
+    let has_left = |router| evidence.has_drained_previous(router, Stage::All);
     let is_settled = input.time_in_stage() >= MIN_STAGE_DURATION;
     if is_settled && input.routers.iter().all(has_left) {
         return Step::Complete;
--- a/crates/router/cloverpier_router_policy/src/rollout/versions.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/versions.rs
@@ -24,8 +24,8 @@
     /// No version is preferred.
     #[default]
     None,
-    /// The versions other than this target are preferred.
-    Former(SoftwareVersion),
+    /// Only versions other than this target, if any upstream of these versions is listed.
+    Previous(SoftwareVersion),
     /// Some upstreams of this target are preferred, then the previous versions.
     Canary(SoftwareVersion, CanarySet),
     /// This target is preferred, then the previous versions.
@@ -57,8 +57,8 @@
 
     /// Allows only versions other than the target; the target only if no upstream of another is listed.
     #[must_use]
-    pub fn preferring_former(self, target: SoftwareVersion) -> Self {
-        let preference = Preference::Former(target);
+    pub fn preferring_previous(self, target: SoftwareVersion) -> Self {
+        let preference = Preference::Previous(target);
         Self { preference, ..self }
     }
 
@@ -92,14 +92,14 @@
         allowed.retain(|s| !self.excludes(s.upstream.version()));
         match &self.preference {
             Preference::None => vec![allowed],
-            Preference::Former(target) => vec![former_if_listed(allowed, target)],
+            Preference::Previous(target) => vec![previous_if_listed(allowed, target)],
             Preference::Canary(target, canaries) => {
-                let (new, former) = split_by_target(allowed, target);
-                vec![canaries.of(new), former]
+                let (target_upstreams, previous) = split_by_target(allowed, target);
+                vec![canaries.of(target_upstreams), previous]
             }
             Preference::Target(target) => {
-                let (new, former) = split_by_target(allowed, target);
-                vec![new, former]
+                let (target_upstreams, previous) = split_by_target(allowed, target);
+                vec![target_upstreams, previous]
             }
         }
     }
@@ -112,22 +112,22 @@
         !self.excludes(version)
             && match &self.preference {
                 Preference::None => true,
-                Preference::Former(target) | Preference::Canary(target, _) => !is(target),
+                Preference::Previous(target) | Preference::Canary(target, _) => !is(target),
                 Preference::Target(target) => is(target),
             }
     }
 }
 
 /// The upstreams of other versions than the target, or all upstreams if none of these is listed.
-fn former_if_listed<'a>(
+fn previous_if_listed<'a>(
     upstreams: Vec<&'a UpstreamState>,
     target: &SoftwareVersion,
 ) -> Vec<&'a UpstreamState> {
-    let (new, former) = split_by_target(upstreams, target);
-    if former.iter().any(|s| s.is_listed()) {
-        former
+    let (target_upstreams, previous) = split_by_target(upstreams, target);
+    if previous.iter().any(|s| s.is_listed()) {
+        previous
     } else {
-        [new, former].concat()
+        [target_upstreams, previous].concat()
     }
 }
 
--- a/crates/router/cloverpier_router_policy/src/singleton/autoscaling.rs
+++ b/crates/router/cloverpier_router_policy/src/singleton/autoscaling.rs
@@ -4,7 +4,7 @@
 //! - **Inputs.** The streams in progress at all routers and the KV cache that they take; the
 //!   operator's bounds and prices; the start time of an engine; the data centres that refuse spot
 //!   engines at present; the engines that are listed.
-//! - **Outcome.** A [`Plan`]: two numbers for each data centre.
+//! - **Outcome.** An [`EnginePlan`]: two numbers for each data centre.
 //! - **Why.** Every engine is billed by the second, and a rejected caller costs more than the engines
 //!   that would have served the request. The load that counts is the highest of the last
 //!   [`PEAK_WINDOW`], as an engine takes seconds to start, longer than callers wait. The plan has just
@@ -91,7 +91,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EngineKind {
-    /// The engine runs until the router releases it.
+    /// The engine runs until an order releases it.
     OnDemand,
     /// Cheaper; the provider may reclaim all engines of this kind in a data centre at once.
     Spot,
@@ -120,11 +120,11 @@
 }
 
 /// The number of engines that each data centre should hold, by kind.
-pub type Plan = BTreeMap<DataCentre, Engines>;
+pub type EnginePlan = BTreeMap<DataCentre, Engines>;
 
 /// An order to the platform for one kind of engines in one data centre.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct EngineOrder {
     /// The data centre that the order is for.
     pub data_centre: DataCentre,
     /// The kind of engines that the order sets the number of.
@@ -149,7 +149,7 @@
 pub struct Autoscaler {
     bounds: ScalingBounds,
     /// The last accepted order of each data centre, or the engines found there before any order.
-    ordered: Plan,
+    ordered: EnginePlan,
     /// The number of engines of all data centres at the creation of this planner.
     initial_total: u32,
     /// When a load above 0 was first recorded.
@@ -162,7 +162,8 @@
     spot_refusals: BTreeMap<DataCentre, SpotRefusals>,
 }
 
-/// When a data centre refused spot engines, without accepting an order in between.
+/// The first and the last refusal of spot engines by a data centre since it last accepted an order of
+/// them.
 #[derive(Clone, Copy, Debug)]
 struct SpotRefusals {
     first: Instant,
@@ -172,7 +173,7 @@
 impl Autoscaler {
     /// Creates a planner without any recorded load. `ordered` is the plan of the lease's previous holder,
     /// or the engines that the data centres hold if there is none.
-    pub fn new(bounds: ScalingBounds, ordered: Plan) -> Self {
+    pub fn new(bounds: ScalingBounds, ordered: EnginePlan) -> Self {
         Self {
             bounds,
             initial_total: ordered.values().map(|engines| engines.total()).sum(),
@@ -190,7 +191,7 @@
     }
 
     /// The last accepted order of each data centre, or the engines found there before any order.
-    pub fn ordered(&self) -> &Plan {
+    pub fn ordered(&self) -> &EnginePlan {
         &self.ordered
     }
 
@@ -215,7 +216,7 @@
     }
 
     /// Records the platform's response to an order.
-    pub fn on_result(&mut self, order: &Order, result: OrderResult, now: Instant) {
+    pub fn on_result(&mut self, order: &EngineOrder, result: OrderResult, now: Instant) {
         let data_centre = &order.data_centre;
         if result == OrderResult::Unavailable {
             if order.kind == EngineKind::Spot {
@@ -223,8 +224,8 @@
                     first: now,
                     last: now,
                 };
-                let known = self.spot_refusals.entry(data_centre.clone());
-                known.or_insert(refusals).last = now;
+                let refusal_entry = self.spot_refusals.entry(data_centre.clone());
+                refusal_entry.or_insert(refusals).last = now;
             }
             return;
         }
@@ -243,7 +244,7 @@
 
     /// The orders that are due now. `listed` is the number of engines in the list of upstreams, by data
     /// centre.
-    pub fn orders(&self, listed: &BTreeMap<DataCentre, u32>, now: Instant) -> Vec<Order> {
+    pub fn orders(&self, listed: &BTreeMap<DataCentre, u32>, now: Instant) -> Vec<EngineOrder> {
         let required_engines = self.required_engines(now);
         let mut due = Vec::new();
         for (data_centre, ordered) in &self.ordered {
@@ -316,7 +317,7 @@
         target: Engines,
         listed: u32,
         now: Instant,
-    ) -> Option<Order> {
+    ) -> Option<EngineOrder> {
         if let Some(refusals) = self.spot_refusals.get(data_centre) {
             let is_due = now.saturating_duration_since(refusals.last) >= SPOT_RETRY_INTERVAL;
             let count = target.spot.min(self.spot_capacity(ordered));
@@ -346,7 +347,7 @@
         ordered: Engines,
         target: Engines,
         listed: u32,
-    ) -> Option<Order> {
+    ) -> Option<EngineOrder> {
         let count = target.on_demand;
         let is_due = match count.cmp(&ordered.on_demand) {
             Ordering::Equal => false,
@@ -354,7 +355,7 @@
             // Only when the spot engines that replace them are listed.
             Ordering::Less => {
                 let replaced = target.spot.min(self.spot_capacity(ordered)) <= ordered.spot;
-                replaced && !is_short(ordered.total(), listed)
+                replaced && !is_below_ordered(ordered.total(), listed)
             }
         };
         let is_due = is_due && exceeds_min_change(ordered, ordered.on_demand, count);
@@ -374,7 +375,7 @@
             .last_growth
             .get(data_centre)
             .is_some_and(|at| now.saturating_duration_since(*at) < starting);
-        ordered.spot > 0 && !is_starting && is_short(ordered.total(), listed)
+        ordered.spot > 0 && !is_starting && is_below_ordered(ordered.total(), listed)
     }
 
     fn grew_recently(&self, data_centre: &DataCentre, now: Instant) -> bool {
@@ -384,7 +385,7 @@
     }
 }
 
-fn is_short(ordered: u32, listed: u32) -> bool {
+fn is_below_ordered(ordered: u32, listed: u32) -> bool {
     f64::from(listed) < f64::from(ordered) * (1.0 - MIN_CHANGE_FRACTION)
 }
 
@@ -393,8 +394,8 @@
     f64::from(current.abs_diff(target)) > f64::from(ordered.total()) * MIN_CHANGE_FRACTION
 }
 
-fn order(data_centre: &DataCentre, kind: EngineKind, count: u32) -> Order {
-    Order {
+fn order(data_centre: &DataCentre, kind: EngineKind, count: u32) -> EngineOrder {
+    EngineOrder {
         data_centre: data_centre.clone(),
         kind,
         count,
--- a/crates/router/cloverpier_router_policy/src/singleton/fleet_clock.rs
+++ b/crates/router/cloverpier_router_policy/src/singleton/fleet_clock.rs
@@ -43,13 +43,13 @@
         Self {
             start: now,
             readings: HashMap::new(),
-            offset_ms: signed(own_wall_ms),
+            offset_ms: to_i64(own_wall_ms),
         }
     }
 
     /// Records a router's time of day, in milliseconds since 1970, at the moment its report arrived.
     pub fn on_reading(&mut self, router: SocketAddr, wall_ms: u64, now: Instant) {
-        let offset_ms = signed(wall_ms) - self.since_start(now);
+        let offset_ms = to_i64(wall_ms) - self.since_start(now);
         let arrived = now;
         self.readings.insert(router, Reading { offset_ms, arrived });
     }
@@ -65,9 +65,10 @@
         }
     }
 
-    /// Sets the time of day to the one that the lease's holder sent, which receives all routers' readings.
+    /// Sets the time of day to the one that the lease's holder sent, as the holder receives the readings
+    /// of all routers.
     pub fn adopt(&mut self, fleet_ms: FleetMs, now: Instant) {
-        self.offset_ms = signed(fleet_ms) - self.since_start(now);
+        self.offset_ms = to_i64(fleet_ms) - self.since_start(now);
     }
 
     /// The time of day at a moment, before or after the start of this clock.
@@ -79,15 +80,15 @@
     fn since_start(&self, moment: Instant) -> i64 {
         let ahead = moment.saturating_duration_since(self.start).as_millis();
         let behind = self.start.saturating_duration_since(moment).as_millis();
-        clamped(ahead) - clamped(behind)
+        clamp_to_i64(ahead) - clamp_to_i64(behind)
     }
 }
 
-fn signed(ms: u64) -> i64 {
-    clamped(u128::from(ms))
+fn to_i64(ms: u64) -> i64 {
+    clamp_to_i64(u128::from(ms))
 }
 
 /// Limits a number of milliseconds to a value far beyond any time of day, so that sums cannot overflow.
-fn clamped(ms: u128) -> i64 {
+fn clamp_to_i64(ms: u128) -> i64 {
     i64::try_from(ms).unwrap_or(i64::MAX / 4).min(i64::MAX / 4)
 }
--- a/crates/router/cloverpier_router_policy/src/singleton/lease.rs
+++ b/crates/router/cloverpier_router_policy/src/singleton/lease.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// One process of a router on one VM.
+/// A process of a router, from its start to its end.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HolderId {
     /// The VM that the process runs on.
@@ -363,7 +363,8 @@
         self.hold = None;
     }
 
-    /// Records the era of a response or datagram; returns false for an earlier era, whose content is void.
+    /// Records the era of a response or datagram; returns false for an earlier era, whose content is
+    /// void.
     fn accept_era(&mut self, era: u64) -> bool {
         if era > self.era {
             self.era = era;
--- a/crates/router/cloverpier_router_policy/src/singleton/metering.rs
+++ b/crates/router/cloverpier_router_policy/src/singleton/metering.rs
@@ -27,7 +27,7 @@
 /// end of a window; the rest is for a change of the holder.
 const DECISION_DELAY_FRACTION: f64 = 0.4;
 /// The largest number of windows that are kept while they cannot be reported; older ones are dropped.
-const MAX_WINDOWS: usize = 64;
+const MAX_KEPT_WINDOWS: usize = 64;
 /// The largest number of counts in one report, which then fits into a datagram of
 /// [`crate::heartbeat::MAX_DATAGRAM`] bytes if account names have at most 64 bytes.
 pub const MAX_COUNTS_PER_REPORT: usize = 96;
@@ -94,7 +94,7 @@
         let counts = self.windows.entry(window).or_default();
         *counts.entry(account.clone()).or_default() += 1;
         self.has_updates = true;
-        while self.windows.len() > MAX_WINDOWS {
+        while self.windows.len() > MAX_KEPT_WINDOWS {
             self.windows.pop_first();
         }
     }
@@ -179,10 +179,10 @@
         let reported = self.routers.entry(from).or_default();
         reported.started = started;
         for (window, counts) in windows {
-            let known = reported.windows.entry(window).or_default();
+            let window_counts = reported.windows.entry(window).or_default();
             for (account, count) in counts {
-                let known = known.entry(account).or_default();
-                *known = count.max(*known);
+                let current = window_counts.entry(account).or_default();
+                *current = count.max(*current);
             }
         }
     }
@@ -210,12 +210,12 @@
         let (before, after) = self.sums(window, written);
         let mut counts = before;
         for (account, count) in recorded.into_iter().flat_map(|r| &r.counts) {
-            let known = counts.entry(account.clone()).or_default();
-            *known = (*known).max(*count);
+            let total = counts.entry(account.clone()).or_default();
+            *total = (*total).max(*count);
         }
         for (account, count) in after {
-            let known = counts.entry(account).or_default();
-            *known = known.saturating_add(count);
+            let total = counts.entry(account).or_default();
+            *total = total.saturating_add(count);
         }
         counts
     }
@@ -230,8 +230,8 @@
                 &mut after
             };
             for (account, count) in reported.windows.get(&window).into_iter().flatten() {
-                let known = sum.entry(account.clone()).or_default();
-                *known = known.saturating_add(*count);
+                let total = sum.entry(account.clone()).or_default();
+                *total = total.saturating_add(*count);
             }
         }
         (before, after)
@@ -250,7 +250,7 @@
 pub struct UsageJournal {
     /// The first window whose counts are not decided.
     pub undecided: Window,
-    /// Decided counts of windows whose report is not known to be accepted.
+    /// Decided counts of windows whose report the platform has not acknowledged.
     pub decided: BTreeMap<Window, WindowCounts>,
     /// The counts so far of windows that are not decided.
     pub open: BTreeMap<Window, WindowCounts>,
@@ -316,14 +316,16 @@
     /// Decides all windows that are due; returns whether there are any.
     pub fn decide(&mut self, fleet_usage: &FleetUsage, now: FleetMs) -> bool {
         let end = self.bounds.first_undecided(now);
-        let begin = self.undecided.max(end.saturating_sub(MAX_WINDOWS as u64));
+        let begin = self
+            .undecided
+            .max(end.saturating_sub(MAX_KEPT_WINDOWS as u64));
         for window in begin..end {
             let counts = fleet_usage.counts(window, self.inherited.get(&window));
             self.decided.insert(window, counts);
         }
         self.undecided = begin.max(end).max(self.undecided);
         self.inherited = self.inherited.split_off(&self.undecided);
-        while self.decided.len() > MAX_WINDOWS {
+        while self.decided.len() > MAX_KEPT_WINDOWS {
             self.decided.pop_first();
         }
         begin < end
@@ -331,8 +333,8 @@
 
     /// The journal that the next write puts into the record.
     pub fn journal(&self, fleet_usage: &FleetUsage, now: FleetMs) -> UsageJournal {
-        let known = fleet_usage.windows().chain(self.inherited.keys().copied());
-        let open = known.filter(|window| *window >= self.undecided);
+        let windows = fleet_usage.windows().chain(self.inherited.keys().copied());
+        let open = windows.filter(|window| *window >= self.undecided);
         let open = open.map(|w| (w, fleet_usage.counts(w, self.inherited.get(&w))));
         UsageJournal {
             undecided: self.undecided,
@@ -348,7 +350,7 @@
         self.recorded = journal.decided.keys().copied().collect();
     }
 
-    /// The windows that may be reported and are not known to be, the oldest first.
+    /// The recorded windows whose report the platform has not acknowledged, the oldest first.
     pub fn to_report(&self) -> Vec<(Window, WindowCounts)> {
         let windows = self.recorded.iter();
         let with_counts = windows.filter_map(|w| Some((*w, self.decided.get(w)?.clone())));
--- a/crates/router/cloverpier_router_policy/tests/autoscaling.rs
+++ b/crates/router/cloverpier_router_policy/tests/autoscaling.rs
@@ -3,8 +3,8 @@
 
 use cloverpier_core::DataCentre;
 use cloverpier_router_policy::singleton::autoscaling::{
-    Autoscaler, EngineCapacity, EngineKind, Engines, Order, OrderResult, Plan, ScalingBounds,
-    ServiceLoad,
+    Autoscaler, EngineCapacity, EngineKind, EngineOrder, EnginePlan, Engines, OrderResult,
+    ScalingBounds, ServiceLoad,
 };
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -38,7 +38,7 @@
     start: Instant,
     second: u64,
     data_centres: BTreeMap<DataCentre, DataCentreState>,
-    orders: Vec<(u64, Order)>,
+    orders: Vec<(u64, EngineOrder)>,
     /// The price of all engines so far, in seconds of one on-demand engine.
     cost: f64,
 }
@@ -49,7 +49,7 @@
             on_demand: INITIAL_ENGINES,
             spot: 0,
         };
-        let plan: Plan = DATA_CENTRES
+        let plan: EnginePlan = DATA_CENTRES
             .iter()
             .map(|dc| (DataCentre::new(dc), on_demand))
             .collect();
@@ -93,7 +93,7 @@
         }
     }
 
-    fn apply(&mut self, order: &Order) -> OrderResult {
+    fn apply(&mut self, order: &EngineOrder) -> OrderResult {
         let state = self.data_centres.get_mut(&order.data_centre).unwrap();
         match order.kind {
             EngineKind::OnDemand => state.engines.on_demand = order.count,
@@ -119,7 +119,7 @@
         self.total() - self.data_centres.values().map(of).max().unwrap_or(0)
     }
 
-    fn orders_since(&self, second: u64) -> Vec<&(u64, Order)> {
+    fn orders_since(&self, second: u64) -> Vec<&(u64, EngineOrder)> {
         self.orders.iter().filter(|(at, _)| *at > second).collect()
     }
 }
--- a/crates/router/cloverpier_router_policy/tests/rollout.rs
+++ b/crates/router/cloverpier_router_policy/tests/rollout.rs
@@ -184,7 +184,7 @@
 #[test]
 fn a_version_that_fails_or_is_slow_at_two_upstream_groups_is_bad() {
     let failing = evidence(&[
-        (Arm::Former, counts(2, 300, 30)),
+        (Arm::Previous, counts(2, 300, 30)),
         (Arm::Target(1), counts(5, 6, 30)),
         (Arm::Target(2), counts(4, 8, 30)),
     ]);
@@ -196,7 +196,7 @@
         (RegressionKind::Fails, 9, 23)
     );
     let slow = evidence(&[
-        (Arm::Former, counts(0, 300, 30)),
+        (Arm::Previous, counts(0, 300, 30)),
         (Arm::Target(1), counts(0, 8, 150)),
         (Arm::Target(2), counts(0, 8, 150)),
     ]);
@@ -210,7 +210,7 @@
         pending_counts.pending.add(Duration::from_millis(120));
     }
     let slow = evidence(&[
-        (Arm::Former, counts(0, 300, 30)),
+        (Arm::Previous, counts(0, 300, 30)),
         (Arm::Target(1), pending_counts.clone()),
         (Arm::Target(2), pending_counts),
     ]);
@@ -220,14 +220,14 @@
 #[test]
 fn one_bad_upstream_among_several_is_not_a_bad_version() {
     let one_bad_group = evidence(&[
-        (Arm::Former, counts(2, 300, 30)),
+        (Arm::Previous, counts(2, 300, 30)),
         (Arm::Target(1), counts(12, 12, 30)),
         (Arm::Target(2), counts(0, 24, 30)),
     ]);
     assert!(matches!(assess(&one_bad_group, 4), Assessment::OneGroup(_)));
     // A version with a single upstream has no other group that could clear it.
     let alone = evidence(&[
-        (Arm::Former, counts(2, 300, 30)),
+        (Arm::Previous, counts(2, 300, 30)),
         (Arm::Target(1), counts(12, 12, 30)),
     ]);
     assert!(matches!(assess(&alone, 1), Assessment::Bad(_)));
@@ -237,7 +237,7 @@
 fn failures_at_all_versions_are_no_regression() {
     // One kind of request fails in 14 of 100 cases at any version.
     let equal_failures = evidence(&[
-        (Arm::Former, counts(140, 860, 30)),
+        (Arm::Previous, counts(140, 860, 30)),
         (Arm::Target(1), counts(8, 42, 30)),
         (Arm::Target(2), counts(9, 41, 30)),
     ]);
@@ -247,12 +247,12 @@
 #[test]
 fn a_regression_on_one_route_is_detected_among_many_good_responses() {
     let mut one_route = evidence(&[
-        (Arm::Former, counts(0, 2_000, 30)),
+        (Arm::Previous, counts(0, 2_000, 30)),
         (Arm::Target(1), counts(0, 200, 30)),
         (Arm::Target(2), counts(0, 200, 30)),
     ]);
     let other = RouteKey(2);
-    one_route.insert(key(Arm::Former, other), counts(1, 100, 30));
+    one_route.insert(key(Arm::Previous, other), counts(1, 100, 30));
     one_route.insert(key(Arm::Target(1), other), counts(4, 3, 30));
     one_route.insert(key(Arm::Target(2), other), counts(3, 4, 30));
     assert!(matches!(assess(&one_route, 4), Assessment::Bad(o) if o.route == Some(other)));
@@ -314,11 +314,11 @@
     routers: &[SocketAddr],
     progress: Progress,
 ) -> Step {
-    let known_since = Instant::now();
+    let ordered_at = Instant::now();
     step(&StepInput {
-        now: known_since + Duration::from_secs(2),
-        known_since,
-        stage_since: known_since,
+        now: ordered_at + Duration::from_secs(2),
+        ordered_at,
+        stage_since: ordered_at,
         duration: Duration::from_secs(120),
         progress,
         evidence: fleet,
@@ -332,9 +332,9 @@
     EvidenceReport {
         order: OrderId(1),
         stage: Stage::Canary,
-        former_in_flight: 0,
+        previous_in_flight: 0,
         sent: SentCounts {
-            former: sent,
+            previous: sent,
             target: 0,
         },
         entries: Vec::new(),
--- a/tools/src/rollout_play/routers.rs
+++ b/tools/src/rollout_play/routers.rs
@@ -105,7 +105,7 @@
         let progress = rollout.view.progress;
         let decided = step(&StepInput {
             now,
-            known_since: rollout.known_since,
+            ordered_at: rollout.ordered_at,
             stage_since: rollout.stage_since,
             duration: order.duration,
             progress,
