--- a/crates/router/cloverpier_router/src/outcome.rs
+++ b/crates/router/cloverpier_router/src/outcome.rs
@@ -84,7 +84,7 @@
 
     /// Why the request is refused, as that decides when its caller should retry.
     fn refusal(&self, router: &Router, request: &RelayRequest) -> Refusal {
-        if let Some(NoUpstream::AllLimited { retry }) = self.no_upstream {
+        if let Some(NoUpstream::AllRateLimited { retry }) = self.no_upstream {
             return Refusal::UpstreamsLimited { turn: retry };
         }
         let table = router.upstreams.borrow();
@@ -100,8 +100,10 @@
         match self.no_upstream {
             Some(NoUpstream::AllFull) => "all servers are full",
             Some(NoUpstream::NoneUsable) => "no server is usable",
-            Some(NoUpstream::AllWait) => "all servers want nothing for now",
-            Some(NoUpstream::AllLimited { .. }) => "all servers limit themselves, and have no room",
+            Some(NoUpstream::AllPaused) => "all servers want nothing for now",
+            Some(NoUpstream::AllRateLimited { .. }) => {
+                "all servers limit themselves, and have no room"
+            }
             None => &self.reason,
         }
     }
--- a/crates/router/cloverpier_router/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -181,7 +181,7 @@
             tried: &self.tried,
             connected: &connected,
             now,
-            apart: None,
+            suspect_content: None,
             overcommit: false,
             reported: &ReportedLoad::default(),
             versions: &versions,
--- a/crates/router/cloverpier_router/src/stream/pick.rs
+++ b/crates/router/cloverpier_router/src/stream/pick.rs
@@ -147,7 +147,7 @@
             is_continuation: self.request.last_event.is_some(),
             tried: &self.tried,
             connected: &around.connected,
-            apart: self.admitted.admission.apart(self.request.content()),
+            suspect_content: self.admitted.admission.apart(self.request.content()),
             overcommit: self.is_resuming(),
             reported,
             versions: &around.versions,
--- a/crates/router/cloverpier_router/src/upstream_limits/offer.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/offer.rs
@@ -42,7 +42,7 @@
 /// Why nobody takes a request, where limits may be the reason.
 fn with_limits(reason: NoUpstream, search: &PermitSearch) -> NoUpstream {
     match (reason, search.retry()) {
-        (NoUpstream::NoneUsable, Some(retry)) => NoUpstream::AllLimited { retry },
+        (NoUpstream::NoneUsable, Some(retry)) => NoUpstream::AllRateLimited { retry },
         _ => reason,
     }
 }
--- a/crates/router/cloverpier_router_policy/src/choice.rs
+++ b/crates/router/cloverpier_router_policy/src/choice.rs
@@ -1,25 +1,24 @@
-//! The choice of an upstream for one attempt.
+//! Chooses the upstream that gets one attempt of a request.
 //!
 //! - **Question.** Which upstream gets this attempt?
-//! - **Inputs.** A [`Demand`]: service, the load that the request adds, upstreams that it
-//!   was sent to already, where its prompt was read, connections at hand. The table of
-//!   upstreams with this router's own load, exactly, and its peers', as reported up to a
-//!   heartbeat ago. What engines said of their load when they were asked
+//! - **Inputs.** A [`Demand`]: the service, the load that the request adds, the upstreams that have
+//!   failed the request, the engine that has read its prompt, and the upstreams with a reusable
+//!   connection. The table of upstreams, with this router's own load, which is exact, and the load of
+//!   its peers, which is up to a heartbeat old. The load that engines reported in reply to a query
 //!   ([`crate::load_query`]).
-//! - **Answer.** A [`Choice`].
-//! - **Why.** Upstreams that may be dead come last, whatever their load: trying one costs
-//!   hundreds of milliseconds. Among the others the cost is the time that the request would
-//!   wait for the load before it. Engines that cost about the same are ranked by the
-//!   prompt's hash: routers that see the same do not all choose the same engine, and a
-//!   prompt that is sent again reaches the engine that has read it.
+//! - **Result.** A [`Choice`].
+//! - **Why.** Upstreams that may be dead come last, whatever their load: an attempt at a dead upstream
+//!   costs hundreds of milliseconds. Among the others, the cost is the estimated time that the request
+//!   waits behind the load that is there already. Engines of about the same cost are ranked by the
+//!   prompt's hash. This spreads the choices of routers that have the same estimates, and a prompt
+//!   that is sent again reaches the engine that has read it.
 //!
-//! `cloverpierd` chooses in `cloverpier_route::choose`, by another rule: it asks its
-//! engines for their load, so two picked at random are compared; here engines are asked only
-//! where peers' reports are incomplete, and else all are compared by what routers have in
-//! flight there.
+//! `cloverpierd` uses another rule, in `cloverpier_route::choose`: it queries its engines for their load,
+//! so it compares two engines picked at random. A router queries engines only where its peers' reports are
+//! incomplete; elsewhere it compares all engines by the load that the routers have in flight there.
 //!
-//! Who may get the attempt is decided in `candidates`, what an upstream costs in `cost`. Owns no
-//! state.
+//! `candidates` decides which upstreams may get the attempt, `cost` estimates what each of them costs.
+//! This module owns no state.
 
 mod candidates;
 mod cost;
@@ -39,82 +38,85 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-/// Engines whose costs differ by less, in tokens, count as equal.
-const EQUAL_COST_TOKENS: f64 = 3_000.0;
+/// Engines whose costs exceed the lowest cost by at most this many prompt tokens count as equally cheap.
+const COST_TOLERANCE_TOKENS: f64 = 3_000.0;
 
-/// Later attempts of streams are spread over this part of the engines, the cheapest ones, so
-/// that streams that lost their engine together do not meet at one.
-const SPREAD_OVER: f64 = 0.25;
+/// Fraction of the candidate engines, the cheapest ones, over which second and later attempts of
+/// streams are spread, so that streams that lost their engines at the same time do not all go to one.
+const RETRY_SPREAD_FRACTION: f64 = 0.25;
 
-/// What an attempt asks of an upstream.
+/// The properties of one attempt that decide which upstream gets it.
 #[derive(Clone, Debug)]
 pub struct Demand<'a> {
-    /// The service.
+    /// The service whose upstreams are candidates.
     pub service: &'a ServiceName,
-    /// This router's data centre.
+    /// This router's data centre; plain upstreams elsewhere cost more.
     pub home: &'a DataCentre,
-    /// The load that the request adds.
+    /// The load that the request adds at the upstream that gets it.
     pub load: Load,
-    /// Tokens that fit into an engine's KV cache; `None` for a plain service.
+    /// Capacity of an engine's KV cache in tokens; `None` for a service whose upstreams are not model engines.
     pub engine_memory: Option<u64>,
-    /// A hash of the prompt: the same prompt prefers the same engine.
+    /// A hash of the prompt, by which the same prompt prefers the same engine; `None` for a request without
+    /// a prompt.
     pub affinity: Option<u64>,
-    /// The engine that has read the prompt, for a request that continues a former one.
+    /// The engine that has read the prompt, for a request that continues an earlier one; `None` where no such
+    /// engine is known.
     pub prompt_location: Option<UpstreamKey>,
-    /// Whether the request continues a former one, so that some engine has read its prompt.
+    /// Whether the request continues an earlier one, so that some engine has read its prompt.
     pub is_continuation: bool,
-    /// Upstreams that the request was sent to already.
+    /// Upstreams that have failed the request or that its stream was moved away from; they are no candidates.
     pub tried: &'a [UpstreamName],
-    /// Upstreams to which a connection is at hand.
+    /// Upstreams to which this router has an idle connection that can be used again.
     pub connected: &'a HashSet<UpstreamName>,
-    /// Set for a request that may be what ends upstreams, to a number that is its content's own: it
-    /// goes to the engine that has the fewest others.
-    pub apart: Option<u64>,
-    /// Whether a full upstream will do.
+    /// A hash of the request's content if that content may be what crashes upstreams, else `None`. Such a
+    /// request goes to the engine that runs the fewest other requests.
+    pub suspect_content: Option<u64>,
+    /// Whether upstreams without a free slot are candidates, too.
     pub overcommit: bool,
-    /// What engines said of their load just now.
+    /// The load that queried engines have just reported; empty where no engine was queried or replied.
     pub reported: &'a ReportedLoad,
-    /// Which versions of the service's software may get it.
+    /// The versions of the service's software that may get the request, in order of preference.
     pub versions: &'a VersionRule,
-    /// The upstreams that limit themselves.
+    /// The upstreams that limit their own request rate, and those of them for which no permit can be had.
     pub limits: &'a LimitedUpstreams,
-    /// The present moment.
+    /// The current time, by which suspicions and other observations expire.
     pub now: Instant,
 }
 
 impl Demand<'_> {
-    /// Whether an upstream has failed the request already.
+    /// Whether an earlier attempt of the request has ended at an upstream without completing the request.
     fn is_later_attempt(&self) -> bool {
         !self.tried.is_empty()
     }
 }
 
-/// The result of a choice.
+/// The result of [`choose_upstream`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Choice {
     /// This upstream gets the attempt.
     Upstream(Upstream),
-    /// None does.
+    /// No upstream gets the attempt, for this reason.
     None(NoUpstream),
 }
 
 /// Why no upstream gets an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoUpstream {
-    /// Some upstreams could take it, and all of them are full.
+    /// There are candidates, and none of them has a free slot or queue place.
     AllFull,
-    /// No upstream can take it.
+    /// There is no candidate: no upstream of the service is listed, or the attempt may use none of them.
     NoneUsable,
-    /// All that could take it want nothing for now.
-    AllWait,
-    /// Those that could take it limit themselves, and there is no permit for it.
-    AllLimited {
-        /// After what time its caller should retry.
+    /// All listed upstreams of the service have requested a pause (`Retry-After`) that has not ended.
+    AllPaused,
+    /// The candidates limit their own request rate, and there is no permit to send the request to one.
+    AllRateLimited {
+        /// The time after which the caller should retry.
         retry: Duration,
     },
 }
 
-/// Chooses an upstream: the one that has read the prompt, else the one of lowest cost.
+/// Chooses the upstream for an attempt: the engine that has read the prompt, else an upstream of about the
+/// lowest cost.
 pub fn choose_upstream(
     table: &UpstreamTable,
     demand: &Demand<'_>,
@@ -122,35 +124,35 @@
 ) -> Choice {
     let groups = candidate_groups(table, demand);
     if groups.is_empty() {
-        return Choice::None(why_none(table, demand));
+        return Choice::None(no_candidate_reason(table, demand));
     }
     let by_group = groups.iter().map(|g| with_capacity(table, g, demand));
     let Some(with_capacity) = by_group.into_iter().find(|group| !group.is_empty()) else {
         return Choice::None(NoUpstream::AllFull);
     };
-    match best_of(table, &with_capacity, demand, rng) {
+    match best_candidate(table, &with_capacity, demand, rng) {
         Some(state) => Choice::Upstream(state.upstream.clone()),
         None => Choice::None(NoUpstream::AllFull),
     }
 }
 
-/// Why nobody is a candidate.
-fn why_none(table: &UpstreamTable, demand: &Demand<'_>) -> NoUpstream {
+/// The reason why an attempt has no candidate.
+fn no_candidate_reason(table: &UpstreamTable, demand: &Demand<'_>) -> NoUpstream {
     match table.wait_of_service(demand.service, demand.now) {
-        Some(_) => NoUpstream::AllWait,
+        Some(_) => NoUpstream::AllPaused,
         None => NoUpstream::NoneUsable,
     }
 }
 
-/// The best of candidates with capacity.
-fn best_of<'a>(
+/// The preferred upstream among candidates that have capacity.
+fn best_candidate<'a>(
     table: &UpstreamTable,
     candidates: &[&'a UpstreamState],
     demand: &Demand<'_>,
     rng: &mut fastrand::Rng,
 ) -> Option<&'a UpstreamState> {
-    if let (Some(content), Some(_)) = (demand.apart, demand.engine_memory) {
-        return least_shared(table, candidates, demand, content);
+    if let (Some(content), Some(_)) = (demand.suspect_content, demand.engine_memory) {
+        return fewest_requests(table, candidates, demand, content);
     }
     let has_read_prompt = candidates
         .iter()
@@ -169,13 +171,13 @@
     }
 }
 
-/// The engine that runs the fewest requests; of several the one that the content's number prefers, so
-/// that two contents that lost the same engines part.
+/// The engine that runs the fewest requests. Ties are broken by the hash of the request's content, so that
+/// two contents that lost the same engines go to different engines.
 ///
-/// A request that ends its engine takes the streams beside it along, and a request that lost two
-/// engines beside another one must not meet it at a third: routers that choose at the same moment by
-/// the same rule send both to the same engine.
-fn least_shared<'a>(
+/// A request that crashes its engine also ends the other streams there. Two requests that both ran at two
+/// crashed engines must not share a third: the crash could not be attributed to either of them. Without
+/// the hash, routers that choose at the same moment send both to the same engine.
+fn fewest_requests<'a>(
     table: &UpstreamTable,
     engines: &[&'a UpstreamState],
     demand: &Demand<'_>,
@@ -188,8 +190,8 @@
     ranked.first().map(|s| **s)
 }
 
-/// The candidates of a group with capacity: those that said how busy they are, if any did, as too little is
-/// known of the others.
+/// The candidates of a group that have capacity. If any of them has reported its load in reply to a query,
+/// only these count, as the load of the others is not known well enough.
 fn with_capacity<'a>(
     table: &UpstreamTable,
     candidates: &[&'a UpstreamState],
@@ -198,13 +200,17 @@
     let free = filtered(candidates, |s| {
         demand.overcommit || has_capacity(table, demand, s)
     });
-    let answered = filtered(&free, |s| demand.reported.of(s.key).is_some());
-    if answered.is_empty() { free } else { answered }
+    let with_report = filtered(&free, |s| demand.reported.of(s.key).is_some());
+    if with_report.is_empty() {
+        free
+    } else {
+        with_report
+    }
 }
 
-/// The engines that may get the attempt, those of about the least cost first, by what this
-/// router believes; among these in the order that the prompt's hash gives, or in a random one.
-pub(crate) fn by_believed_cost<'a>(
+/// The engines of the first candidate group in order of estimated cost. Those of about the lowest cost come
+/// first, ordered by the prompt's hash, or at random where the request has no prompt hash.
+pub(crate) fn by_estimated_cost<'a>(
     table: &'a UpstreamTable,
     demand: &Demand<'_>,
     rng: &mut fastrand::Rng,
@@ -228,18 +234,19 @@
     ranked.into_iter().copied().chain(dearer).collect()
 }
 
-/// How much more than the cheapest, in tokens, an engine may cost that counts as equal.
+/// The excess over the lowest cost, in prompt tokens, up to which an engine counts as equally cheap.
 ///
-/// The engine that has read the prompt of a continuation is worth the reading that it spares.
+/// For a continuation it is at least the length of the prompt: the engine that has read the prompt saves that
+/// reading, and the prompt's hash ranks this engine first among equals.
 fn tolerance(demand: &Demand<'_>) -> f64 {
     if demand.is_continuation {
-        f64::from(demand.load.unread_tokens).max(EQUAL_COST_TOKENS)
+        f64::from(demand.load.unread_tokens).max(COST_TOLERANCE_TOKENS)
     } else {
-        EQUAL_COST_TOKENS
+        COST_TOLERANCE_TOKENS
     }
 }
 
-/// Among the engines of about the least cost, the one that the prompt's hash prefers.
+/// The engine that the prompt's hash prefers among the engines of about the lowest cost.
 fn preferred_by_prompt<'a>(
     engines: &[&'a UpstreamState],
     cost: impl Fn(&UpstreamState) -> f64,
@@ -256,10 +263,11 @@
     ranked.first().map(|s| **s)
 }
 
-/// Among the cheaper engines, the one that the prompt's hash prefers, whichever is the cheapest.
+/// The engine that the prompt's hash prefers among the cheapest [`RETRY_SPREAD_FRACTION`] of the engines.
 ///
-/// Where an engine dies or a data centre does, many routers choose anew within milliseconds, by
-/// the same beliefs: the one engine that has just lost its streams, too, seems the only idle one.
+/// When an engine or a whole data centre fails, many routers choose again within milliseconds and with the
+/// same load estimates. The one engine that seems idle to all of them may seem so only because it has just
+/// lost its own streams, and choosing the cheapest engine would send all streams there.
 fn spread_by_prompt<'a>(
     engines: &[&'a UpstreamState],
     cost: impl Fn(&UpstreamState) -> f64,
@@ -267,14 +275,14 @@
 ) -> Option<&'a UpstreamState> {
     let mut by_cost: Vec<(f64, &UpstreamState)> = engines.iter().map(|s| (cost(s), *s)).collect();
     by_cost.sort_by(|(one, _), (other, _)| one.total_cmp(other));
-    let count = (by_cost.len() as f64 * SPREAD_OVER).ceil() as usize;
+    let count = (by_cost.len() as f64 * RETRY_SPREAD_FRACTION).ceil() as usize;
     by_cost.truncate(count);
     let cheaper: Vec<&UpstreamState> = by_cost.into_iter().map(|(_, s)| s).collect();
     let ranked = rank(prompt, &cheaper, |s| s.upstream.name.as_str());
     ranked.first().map(|s| **s)
 }
 
-/// The upstream of lowest cost; equal ones have the same chance.
+/// The upstream of lowest cost; ties are broken at random with equal probability.
 fn cheapest<'a>(
     states: &[&'a UpstreamState],
     cost: impl Fn(&UpstreamState) -> f64,
@@ -290,7 +298,7 @@
             best = Some((cost, state));
             ties = 1;
         } else if is_tie {
-            // Reservoir sampling keeps each of equal ones with the same chance.
+            // Reservoir sampling: each of the tied upstreams is kept with the same probability.
             ties += 1;
             if rng.usize(..ties) == 0 {
                 best = Some((cost, state));
--- a/crates/router/cloverpier_router_policy/src/choice/candidates.rs
+++ b/crates/router/cloverpier_router_policy/src/choice/candidates.rs
@@ -1,37 +1,42 @@
-//! Who may get an attempt, and who only if the others are full.
+//! The upstreams that may get an attempt, in groups by preference.
 //!
-//! Relies on the suspicions that the table of upstreams holds. Owns no state.
+//! Relies on the listings, suspicions and announced departures in the table of upstreams, and on the
+//! permits for upstreams that limit their request rate. Owns no state.
 
 use super::Demand;
 use crate::upstream::UpstreamState;
 use crate::upstream_table::UpstreamTable;
 use cloverpier_core::DataCentre;
 
-/// Those who may get the attempt, in groups: a later one only counts where all of those before
-/// are full. No group is empty. Of each set of versions, in the order of the rule on versions:
+/// The upstreams that may get the attempt, in groups by preference; a later group counts only where all
+/// upstreams of the earlier groups are full. No group is empty.
 ///
-/// 1. for a stream that was lost, usable engines that no peer suspects, in data centres that do not
-///    seem dead and in which none has failed it;
+/// An upstream is usable if it is listed and this router does not suspect it. For each set of software
+/// versions, in the order of the version rule, the groups are:
+///
+/// 1. for a stream that was lost: usable engines that no peer suspects, in data centres that do not seem
+///    dead and in which no engine has failed the stream;
 /// 2. usable upstreams that no peer suspects, in data centres that do not seem dead;
-/// 3. usable ones that no peer suspects;
-/// 4. usable ones.
+/// 3. usable upstreams that no peer suspects;
+/// 4. usable upstreams.
 ///
-/// Where none is usable there is one group:
+/// Where no upstream is usable there is one group, the first of these that is not empty:
 ///
-/// 5. all that are listed, suspected ones among them;
-/// 6. only where nothing of the service is listed: those whose entries vanished within
-///    [`crate::suspicion::RETURN_WINDOW`], as outages of the store do that to living ones;
-/// 7. only where there is none of these either: those that have said that they leave within
-///    [`crate::leaving::LAST_RESORT_FOR`], as they still serve.
+/// 5. all listed upstreams, including suspected ones;
+/// 6. upstreams whose entries vanished within [`crate::suspicion::RETURN_WINDOW`], where no upstream of the
+///    service is listed: an outage of the store removes the entries of running upstreams, too;
+/// 7. upstreams that announced within [`crate::leaving::LAST_RESORT_FOR`] that they leave, as they still
+///    serve requests.
 ///
-/// The engines of a data centre die together, and the first that fails says so before three are
-/// suspected.
+/// Group 1 exists because the engines of a data centre fail together, and the first failure is seen before
+/// three engines are suspected.
 ///
-/// One that wants nothing for now is in no group ([`cloverpier_core::wait`]), and none for which there is
-/// no permit ([`crate::permit`]).
+/// No group contains an upstream that has requested a pause which has not ended ([`cloverpier_core::wait`]),
+/// or an upstream for which there is no permit ([`crate::permit`]).
 ///
-/// A peer's suspicion is no proof. While upstreams lose a part of their answers by resets, some of many
-/// routers suspect each of them at any time; all requests would go to the few that nobody suspects.
+/// A peer's suspicion lowers the preference and excludes no upstream, as it is no proof. While upstreams lose
+/// some of their responses to connection resets, each of them is suspected by some of many routers at any
+/// time; if suspicions excluded upstreams, all requests would go to the few that no router suspects.
 pub(super) fn candidate_groups<'a>(
     table: &'a UpstreamTable,
     demand: &Demand<'_>,
@@ -48,13 +53,13 @@
     for set in &sets {
         let usable = filtered(set, |s| s.is_usable(demand.now) && untried(s));
         let unsuspected = filtered(&usable, |s| !s.is_suspected_by_peer(demand.now));
-        let sound = filtered(&unsuspected, |s| {
+        let healthy = filtered(&unsuspected, |s| {
             !suspect_data_centres.contains(&s.upstream.data_centre)
         });
-        let elsewhere = filtered(&sound, |s| {
+        let elsewhere = filtered(&healthy, |s| {
             !failed_data_centres.contains(&&s.upstream.data_centre)
         });
-        groups.extend([elsewhere, sound, unsuspected, usable]);
+        groups.extend([elsewhere, healthy, unsuspected, usable]);
     }
     groups.retain(|group| !group.is_empty());
     if groups.is_empty() {
@@ -65,17 +70,17 @@
     groups
 }
 
-/// The data centres of the engines that have failed a stream.
+/// The data centres of the engines that have failed the demand's stream; empty for plain services.
 fn failed_data_centres<'a>(table: &'a UpstreamTable, demand: &Demand<'_>) -> Vec<&'a DataCentre> {
     if demand.engine_memory.is_none() {
         return Vec::new();
     }
-    // Of an engine that is forgotten by now nothing follows.
+    // The data centre of an engine that is no longer in the table is not known.
     let tried = demand.tried.iter().filter_map(|name| table.get(name));
     tried.map(|s| &s.upstream.data_centre).collect()
 }
 
-/// Groups 5 to 7, of those that don't want nothing.
+/// The first of the groups 5 to 7 that is not empty, without upstreams that have requested a pause.
 fn last_resort<'a>(
     of_service: &[&'a UpstreamState],
     demand: &Demand<'_>,
@@ -93,10 +98,10 @@
     filtered(of_service, |s| s.is_last_resort(demand.now))
 }
 
-/// The upstreams of a list for which something holds.
+/// The upstreams of a list that satisfy a predicate, in the list's order.
 pub(crate) fn filtered<'a>(
     states: &[&'a UpstreamState],
-    holds: impl Fn(&UpstreamState) -> bool,
+    predicate: impl Fn(&UpstreamState) -> bool,
 ) -> Vec<&'a UpstreamState> {
-    states.iter().copied().filter(|s| holds(s)).collect()
+    states.iter().copied().filter(|s| predicate(s)).collect()
 }
--- a/crates/router/cloverpier_router_policy/src/choice/cost.rs
+++ b/crates/router/cloverpier_router_policy/src/choice/cost.rs
@@ -1,39 +1,42 @@
-//! What an attempt would wait for at an upstream.
+//! Estimates what an attempt costs at an upstream.
 //!
-//! Costs are in prompt tokens for model engines and in requests for plain upstreams. They rely
-//! on the load that [`known_load`] gives; who is a candidate, and what follows from the costs, is
-//! the parent module's. Owns no state.
+//! A cost stands for the time that the request would wait. It is counted in prompt tokens for model
+//! engines and in requests for plain upstreams. The parent module selects the candidates and compares their
+//! costs. Relies on the load that [`known_load`] returns. Owns no state.
 
 use super::Demand;
 use crate::load::Load;
 use crate::upstream::UpstreamState;
 use crate::upstream_table::UpstreamTable;
 
-/// A running stream delays a newcomer like this many unread prompt tokens, and is delayed by it:
-/// reading 8,000 tokens holds up each stream beside it for about 0.8 s.
-const TOKENS_PER_RUNNING: f64 = 6_000.0;
-/// Part of an engine's KV cache that may be filled; beyond it an engine preempts runs and reads
-/// their prompts again.
-const MAX_MEMORY_SHARE: f64 = 0.92;
-/// Cost, in tokens, of an engine whose KV cache would overflow: more than that of any load that its
-/// slots allow.
-const OVERFULL_TOKENS: f64 = 200_000.0;
+/// Cost of one running stream at an engine, in prompt tokens. A running stream delays a new request, and the
+/// new request delays it: reading a prompt of 8,000 tokens holds up each stream at the engine for about
+/// 0.8 s.
+const RUNNING_STREAM_COST_TOKENS: f64 = 6_000.0;
+/// Fraction of an engine's KV cache that may be filled. Beyond it, the engine preempts running requests and
+/// later reads their prompts again.
+const MAX_KV_CACHE_FRACTION: f64 = 0.92;
+/// Extra cost, in prompt tokens, of an engine whose KV cache would overflow: higher than the cost of any load
+/// that an engine's slots allow.
+const KV_CACHE_OVERFLOW_COST_TOKENS: f64 = 200_000.0;
 
-/// A plain upstream at which every request fails costs as much as one with this many requests more.
-const FAILURE_REQUESTS: f64 = 12.0;
-/// A plain upstream in another data centre costs as much as this many requests: a round trip of 2
-/// to 3 ms against the time of a lookup.
-const FAR_REQUESTS: f64 = 0.4;
-/// A connection at hand saves as much as this many requests: new connections have a price and take
-/// a round trip.
-const CONNECTED_REQUESTS: f64 = 1.2;
-/// Requests that may wait at a plain upstream, for each of its slots.
-const WAITING_PER_SLOT: u32 = 2;
-/// A pace below this many milliseconds is measurement noise.
+/// Extra cost, in requests, of a plain upstream at which every request fails; it scales with the failure rate.
+const FAILURE_COST_REQUESTS: f64 = 12.0;
+/// Extra cost, in requests, of a plain upstream in another data centre. The value relates the round trip of 2
+/// to 3 ms between data centres to the time that an upstream takes for a lookup.
+const REMOTE_COST_REQUESTS: f64 = 0.4;
+/// Discount, in requests, for a plain upstream to which an idle connection can be used again: a new connection
+/// has a cost of its own and takes a round trip.
+const CONNECTION_DISCOUNT_REQUESTS: f64 = 1.2;
+/// Requests per slot that may wait in the queue of a plain upstream.
+const QUEUED_PER_SLOT: u32 = 2;
+/// Smoothed request times below this many milliseconds do not count as the best time, as measurement noise
+/// dominates them.
 const MIN_PACE_MS: f64 = 1.0;
 
-/// The load at an upstream: what it said just now, or what this router has there if that is
-/// more, as a report is some 100 ms old; else all that is believed.
+/// The load at an upstream. If the upstream replied to the attempt's load query, it is the reported load or
+/// this router's own load there, whichever is higher in each field, as a report is about 100 ms old. Otherwise
+/// it is the sum of this router's load and the load that peers reported.
 pub(crate) fn known_load(
     table: &UpstreamTable,
     demand: &Demand<'_>,
@@ -45,7 +48,7 @@
     }
 }
 
-/// Whether an upstream has a free slot, or a place in the queue of a plain one.
+/// Whether an engine has a free slot, or a plain upstream a free slot or queue place.
 pub(super) fn has_capacity(
     table: &UpstreamTable,
     demand: &Demand<'_>,
@@ -55,11 +58,12 @@
     let slots = state.upstream.slots.max(1);
     match demand.engine_memory {
         Some(_) => requests < slots,
-        None => requests < slots * (1 + WAITING_PER_SLOT),
+        None => requests < slots * (1 + QUEUED_PER_SLOT),
     }
 }
 
-/// Whether what the request adds fits into an engine's KV cache of `memory` tokens.
+/// Whether the tokens that the request adds fit into an engine's KV cache of `memory` tokens, up to
+/// [`MAX_KV_CACHE_FRACTION`].
 pub(crate) fn fits(
     table: &UpstreamTable,
     demand: &Demand<'_>,
@@ -68,17 +72,17 @@
 ) -> bool {
     let known = known_load(table, demand, state);
     let used = f64::from(known.memory_tokens) + f64::from(demand.load.memory_tokens);
-    used <= memory as f64 * MAX_MEMORY_SHARE
+    used <= memory as f64 * MAX_KV_CACHE_FRACTION
 }
 
-/// The shortest known pace, in milliseconds; infinite where none is known.
+/// The shortest smoothed request time of the upstreams, in milliseconds; infinite where none is known.
 pub(super) fn best_pace(states: &[&UpstreamState]) -> f64 {
     let paces = states.iter().map(|s| s.pace_ms);
     let known = paces.filter(|p| *p >= MIN_PACE_MS);
     known.fold(f64::INFINITY, f64::min)
 }
 
-/// How many times slower than the best an upstream is, 1 or more.
+/// The ratio of an upstream's smoothed request time to the best one, at least 1; 1 where no time is known.
 fn slowness(state: &UpstreamState, best_pace: f64) -> f64 {
     if best_pace.is_finite() && state.pace_ms > best_pace {
         state.pace_ms / best_pace
@@ -87,7 +91,7 @@
     }
 }
 
-/// What the attempt would wait for at an upstream, in the unit of its kind.
+/// The cost of an attempt at an upstream: prompt tokens for an engine, requests for a plain upstream.
 pub(super) fn cost(
     table: &UpstreamTable,
     demand: &Demand<'_>,
@@ -100,7 +104,7 @@
     }
 }
 
-/// Cost of an engine, in prompt tokens to be read before the first event.
+/// The cost of an engine, in prompt tokens that it has to read before the request's first event.
 fn engine_cost(
     table: &UpstreamTable,
     demand: &Demand<'_>,
@@ -110,16 +114,16 @@
 ) -> f64 {
     let load = known_load(table, demand, state);
     let unread = f64::from(load.unread_tokens) + f64::from(demand.load.unread_tokens);
-    let running = f64::from(load.requests) * TOKENS_PER_RUNNING;
+    let running = f64::from(load.requests) * RUNNING_STREAM_COST_TOKENS;
     let mut cost = (unread + running) * slowness(state, best_pace).sqrt();
     cost *= 1.0 + state.failure_rate;
     if !fits(table, demand, state, memory) {
-        cost += OVERFULL_TOKENS;
+        cost += KV_CACHE_OVERFLOW_COST_TOKENS;
     }
     cost
 }
 
-/// Cost of a plain upstream, in requests before this one.
+/// The cost of a plain upstream, in requests that it has to serve before this one.
 fn plain_cost(
     table: &UpstreamTable,
     demand: &Demand<'_>,
@@ -128,12 +132,12 @@
 ) -> f64 {
     let requests = f64::from(known_load(table, demand, state).requests);
     let mut cost = requests + slowness(state, best_pace) - 1.0;
-    cost += state.failure_rate * FAILURE_REQUESTS;
+    cost += state.failure_rate * FAILURE_COST_REQUESTS;
     if state.upstream.data_centre != *demand.home {
-        cost += FAR_REQUESTS;
+        cost += REMOTE_COST_REQUESTS;
     }
     if demand.connected.contains(&state.upstream.name) {
-        cost -= CONNECTED_REQUESTS;
+        cost -= CONNECTION_DISCOUNT_REQUESTS;
     }
     cost
 }
--- a/crates/router/cloverpier_router_policy/src/load_query.rs
+++ b/crates/router/cloverpier_router_policy/src/load_query.rs
@@ -15,7 +15,7 @@
 //!
 //! Owns no state.
 
-use crate::choice::{Demand, by_believed_cost};
+use crate::choice::{Demand, by_estimated_cost};
 use crate::heartbeat::reaches_all_peers;
 use crate::load::Load;
 use crate::upstream::{Upstream, UpstreamKey};
@@ -98,7 +98,7 @@
         return Vec::new();
     }
     // A question is a request, too.
-    let by_cost = by_believed_cost(table, demand, rng).into_iter();
+    let by_cost = by_estimated_cost(table, demand, rng).into_iter();
     let unlimited = by_cost.filter(|s| !demand.limits.is_limited(s.key));
     let first = unlimited.take(QUERIED_ENGINES);
     first.map(|s| s.upstream.clone()).collect()
@@ -118,7 +118,7 @@
     if is_known || demand.engine_memory.is_none() || !demand.limits.limits_any() {
         return None;
     }
-    let first = by_believed_cost(table, demand, rng).into_iter().next()?;
+    let first = by_estimated_cost(table, demand, rng).into_iter().next()?;
     let is_limited = demand.limits.is_limited(first.key);
     is_limited.then(|| first.upstream.clone())
 }
--- a/crates/router/cloverpier_router_policy/tests/later_attempts.rs
+++ b/crates/router/cloverpier_router_policy/tests/later_attempts.rs
@@ -1,11 +1,10 @@
-//! Where streams go on whose engines have died, all at the same moment.
+//! Which engine a later attempt gets after the engine of the earlier one has failed.
 //!
-//! What was seen: a data centre's engines crash, and within 18 ms 18 routers sent the second attempt
-//! of different prompts to one engine, as it alone seemed idle; it has memory for nine, and 11
-//! streams waited there for 5 s.
-//!
-//! And where a request goes that may be what ended its engines: a request that crashes whoever runs it
-//! and one beside it were sent to the same two engines in turn, so that both seemed to end them.
+//! Guards against two failures. When the engines of a data centre crash, many routers choose again within
+//! milliseconds and with the same load estimates: within 18 ms, 18 routers sent the second attempts of
+//! different prompts to the one engine that seemed idle, which has memory for nine; 11 streams waited 5 s.
+//! And when a request that crashes its engine and another request that ran there are sent to the same two
+//! engines in turn, the crashes can't be attributed: both requests seem to cause them.
 
 use cloverpier_core::{DataCentre, ServiceName, UpstreamName};
 use cloverpier_router_policy::prelude::*;
@@ -14,17 +13,17 @@
 
 const ENGINES: u16 = 280;
 const DATA_CENTRES: u16 = 4;
-/// The engines' memory, and what a stream takes of it.
+/// Capacity of an engine's KV cache, in tokens.
 const MEMORY: u64 = 55_000;
 const STREAM: Load = Load {
     requests: 1,
     unread_tokens: 5_200,
     memory_tokens: 6_000,
 };
-/// Routers that lose a stream before they hear of each other's choices.
+/// Routers that lose a stream and choose again before reports of each other's choices arrive.
 const ROUTERS: u64 = 18;
-/// Streams that one engine may get of them.
-const MOST: usize = 3;
+/// Upper bound on the streams of [`ROUTERS`] routers that one engine may get.
+const MAX_PER_ENGINE: usize = 3;
 
 fn engine(index: u16) -> Upstream {
     Upstream {
@@ -38,7 +37,8 @@
     }
 }
 
-/// What every router believes: each engine has a stream, but one, which has just lost its own.
+/// The table that all routers have: every engine runs one stream, except the engine `idle`, which has just
+/// lost its own.
 fn table(idle: u16, now: Instant) -> UpstreamTable {
     let mut table = UpstreamTable::default();
     table.apply_list((0..ENGINES).map(engine).collect(), 1, now);
@@ -54,13 +54,13 @@
 }
 
 fn choose(table: &UpstreamTable, prompt: u64, tried: &[UpstreamName], now: Instant) -> Upstream {
-    choose_apart(table, prompt, None, tried, now)
+    choose_for_content(table, prompt, None, tried, now)
 }
 
-fn choose_apart(
+fn choose_for_content(
     table: &UpstreamTable,
     prompt: u64,
-    apart: Option<u64>,
+    suspect_content: Option<u64>,
     tried: &[UpstreamName],
     now: Instant,
 ) -> Upstream {
@@ -74,7 +74,7 @@
         is_continuation: false,
         tried,
         connected: &HashSet::new(),
-        apart,
+        suspect_content,
         overcommit: false,
         reported: &ReportedLoad::default(),
         versions: &VersionRule::ANY,
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn streams_that_are_lost_together_do_not_meet_at_the_engine_that_seems_idle() {
+fn streams_lost_together_are_not_all_sent_to_the_idle_engine() {
     let now = Instant::now();
     for round in 0..20 {
         let table = table(ENGINES - 1, now);
@@ -100,12 +100,15 @@
             *chosen.entry(engine.name).or_default() += 1;
         }
         let most = chosen.values().max().copied().unwrap_or_default();
-        assert!(most <= MOST, "round {round}: {most} streams at one engine");
+        assert!(
+            most <= MAX_PER_ENGINE,
+            "round {round}: {most} streams at one engine"
+        );
     }
 }
 
 #[test]
-fn a_first_attempt_still_goes_to_the_engine_that_is_idle() {
+fn a_first_attempt_goes_to_the_idle_engine() {
     let now = Instant::now();
     let table = table(7, now);
     for prompt in 0..20 {
@@ -114,7 +117,7 @@
 }
 
 #[test]
-fn a_stream_that_is_lost_goes_on_in_another_data_centre() {
+fn a_lost_stream_resumes_in_another_data_centre() {
     let now = Instant::now();
     let table = table(0, now);
     for prompt in 0..100 {
@@ -126,28 +129,28 @@
 }
 
 #[test]
-fn a_request_that_may_end_its_engine_goes_where_it_meets_the_fewest_others() {
+fn a_suspect_request_goes_to_the_engine_with_the_fewest_requests() {
     let now = Instant::now();
     let idle = 91;
     let table = table(idle, now);
     for content in 0..20 {
-        let chosen = choose_apart(&table, 5, Some(content), &[engine(2).name], now);
+        let chosen = choose_for_content(&table, 5, Some(content), &[engine(2).name], now);
         assert_eq!(chosen.name, engine(idle).name);
     }
 }
 
 #[test]
-fn two_requests_that_lost_the_same_engines_part() {
+fn two_suspect_requests_that_lost_the_same_engines_go_to_different_engines() {
     let now = Instant::now();
     let mut table = UpstreamTable::default();
     table.apply_list((0..ENGINES).map(engine).collect(), 1, now);
     let tried = [engine(3).name, engine(7).name];
-    let meetings = (0..200u64).filter(|pair| {
-        // Their contents' numbers are hashes.
+    let shared = (0..200u64).filter(|pair| {
+        // In production, these values are hashes of the contents.
         let content = |n: u64| Some(cloverpier_core::hash_of(&n.to_string()));
-        let one = choose_apart(&table, 5, content(*pair), &tried, now);
-        let other = choose_apart(&table, 5, content(*pair + 1_000), &tried, now);
-        one.name == other.name
+        let first = choose_for_content(&table, 5, content(*pair), &tried, now);
+        let second = choose_for_content(&table, 5, content(*pair + 1_000), &tried, now);
+        first.name == second.name
     });
-    assert!(meetings.count() <= 3);
+    assert!(shared.count() <= 3);
 }
--- a/crates/router/cloverpier_router_policy/tests/leaving.rs
+++ b/crates/router/cloverpier_router_policy/tests/leaving.rs
@@ -50,7 +50,7 @@
         is_continuation: false,
         tried: &[],
         connected: &HashSet::new(),
-        apart: None,
+        suspect_content: None,
         overcommit: false,
         reported: &ReportedLoad::default(),
         versions: &VersionRule::ANY,
--- a/crates/router/cloverpier_router_policy/tests/load_query.rs
+++ b/crates/router/cloverpier_router_policy/tests/load_query.rs
@@ -66,7 +66,7 @@
             is_continuation: false,
             tried: &[],
             connected: &self.connected,
-            apart: None,
+            suspect_content: None,
             overcommit: false,
             reported,
             versions: &ANY_VERSION,
--- a/crates/router/cloverpier_router_policy/tests/placement/world.rs
+++ b/crates/router/cloverpier_router_policy/tests/placement/world.rs
@@ -184,7 +184,7 @@
             is_continuation: false,
             tried: &tried,
             connected: &connected,
-            apart: None,
+            suspect_content: None,
             overcommit: false,
             reported: &not_asked,
             versions: &VersionRule::ANY,
--- a/crates/router/cloverpier_router_policy/tests/wait.rs
+++ b/crates/router/cloverpier_router_policy/tests/wait.rs
@@ -45,7 +45,7 @@
         is_continuation: false,
         tried: &tried,
         connected: &HashSet::new(),
-        apart: None,
+        suspect_content: None,
         overcommit: false,
         reported: &ReportedLoad::default(),
         versions: &VersionRule::ANY,
@@ -108,7 +108,10 @@
     table.on_wait(&"a".into(), 2 * WAIT, now);
     assert_eq!(table.wait_of_service(&service, now), None);
     table.on_wait(&"b".into(), WAIT, now);
-    assert_eq!(choose(&table, &[], now), Choice::None(NoUpstream::AllWait));
+    assert_eq!(
+        choose(&table, &[], now),
+        Choice::None(NoUpstream::AllPaused)
+    );
     let wait = table.wait_of_service(&service, now).unwrap();
     assert_eq!((wait.left, wait.passed), (WAIT, Duration::ZERO));
     let later = now + WAIT / 3;
--- a/tools/src/crash_play/requests.rs
+++ b/tools/src/crash_play/requests.rs
@@ -231,7 +231,7 @@
             is_continuation: false,
             tried: &request.tried,
             connected: &HashSet::new(),
-            apart,
+            suspect_content: apart,
             overcommit: false,
             reported: &ReportedLoad::default(),
             versions: &VersionRule::default(),
--- a/tools/src/return_play/world.rs
+++ b/tools/src/return_play/world.rs
@@ -212,7 +212,7 @@
             is_continuation: false,
             tried: &sending.tried,
             connected: &HashSet::new(),
-            apart: None,
+            suspect_content: None,
             overcommit: false,
             reported: &ReportedLoad::default(),
             versions: &VersionRule::ANY,
--- a/tools/src/rollout_play/requests.rs
+++ b/tools/src/rollout_play/requests.rs
@@ -82,7 +82,7 @@
             is_continuation: false,
             tried: &[],
             connected: &HashSet::new(),
-            apart: None,
+            suspect_content: None,
             overcommit: true,
             reported: &reported,
             versions: rule,
--- a/tools/src/statement_play/requests.rs
+++ b/tools/src/statement_play/requests.rs
@@ -61,7 +61,7 @@
             is_continuation: false,
             tried,
             connected: &HashSet::new(),
-            apart: None,
+            suspect_content: None,
             overcommit: false,
             reported: &ReportedLoad::default(),
             versions: &VersionRule::ANY,
