--- a/crates/router/cloverpier_router_policy/src/budget.rs
+++ b/crates/router/cloverpier_router_policy/src/budget.rs
@@ -1,14 +1,14 @@
-//! The retry budget: whether a retry may be sent.
+//! The retry budget: decides whether a retry may be sent.
 //!
 //! - **Question.** May this router send one more retry to a service?
-//! - **Inputs.** Requests and retries of this router within a sliding window; what live peers
-//!   reported of theirs, and how old that may be; the operator's bounds for all routers.
-//! - **Answer.** Yes, and the retry is counted, or no.
-//! - **Why.** Retries multiply load just when upstreams fail, so all routers together keep within a
-//!   budget. Each may spend its share without asking anybody. A burst of failures at one router may
-//!   exceed its share while the fleet has hardly spent anything: then it continues slowly, as long as
-//!   the fleet is known to have spent little. Even if one router has spent all of that little and then
-//!   all spend their shares at the same moment, they stay within the budget: 0.25 and 0.7 of it.
+//! - **Inputs.** Requests and retries of this router within a sliding window; those that live peers reported,
+//!   and how old the reports may be; the operator's bounds, which hold for all routers together.
+//! - **Result.** Yes, and the retry is counted, or no.
+//! - **Why.** Retries multiply load just when upstreams fail, so all routers together keep within a budget.
+//!   Each router may spend its share without coordination. A burst of failures at one router may exceed that
+//!   router's share while the fleet has spent little: the router then continues at a limited rate for as
+//!   long as its peers' reports show little use. The budget holds even if one router has spent all that counts
+//!   as little (0.25 of the budget) and then all routers spend their shares (0.7 of it) at the same moment.
 //!
 //! [`RetryBudget`] owns the times of one service's requests and retries.
 
@@ -16,46 +16,48 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Part of the budget that routers spend by their shares; the rest covers what they cannot see.
-const SHARED_PART: f64 = 0.7;
-/// A router exceeds its share only while the fleet is known to have spent less than this part of
-/// the budget.
-const LITTLE_SHARE: f64 = 0.25;
-/// The part of its share that a router may add within the time in which routers learn of each other.
-const MAX_EXCESS: f64 = 0.4;
+/// Fraction of the budget that is divided into the routers' shares. The rest covers retries beyond the shares,
+/// which other routers do not see until they are reported.
+const SHARES_FRACTION: f64 = 0.7;
+/// A router may exceed its share only while the retries of all routers, as far as reported, are less than this
+/// fraction of the budget.
+const LOW_USE_FRACTION: f64 = 0.25;
+/// A router beyond its share may send at most this fraction of its share within the time that its peers' reports
+/// may lag behind ([`PeerBudgetUse::staleness`]).
+const MAX_EXCESS_FRACTION: f64 = 0.4;
 
-/// The bound on retries that all routers keep together, for each service.
+/// The operator's bounds on the retries of all routers together, for each service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetBounds {
-    /// Retries allowed for each request.
+    /// Retries allowed per request of a caller; 0.2 allows one retry for five requests.
     pub ratio: f64,
-    /// Retries allowed besides, for all routers together.
+    /// Retries allowed within the window in addition, independent of the number of requests.
     pub slack: f64,
-    /// The sliding window.
+    /// The sliding window within which requests and retries count.
     pub window: Duration,
 }
 
-/// Use of a service's budget within the window.
+/// The requests and retries that count towards a service's budget within the window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetUse {
-    /// Requests of callers.
+    /// Requests received from callers.
     pub requests: u32,
-    /// Retries.
+    /// Retries sent to upstreams.
     pub retries: u32,
 }
 
-/// What a router knows of the other routers' use.
+/// The other routers' use of a service's budget, by their reports.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerBudgetUse {
-    /// Their use together, as far as they reported it.
+    /// The sum of the reported use; an estimate from some of the peers in a large fleet.
     pub total: BudgetUse,
-    /// Number of routers that are alive, this one included.
+    /// Number of live routers, including this router.
     pub routers: usize,
-    /// How old their reports may be.
+    /// The maximum age of the reports that `total` contains.
     pub staleness: Duration,
 }
 
-/// Requests and retries of one service within the window.
+/// This router's requests and retries of one service within the window.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     bounds: BudgetBounds,
@@ -64,7 +66,7 @@
 }
 
 impl RetryBudget {
-    /// A budget that is not used yet.
+    /// Creates an unused budget.
     pub fn new(bounds: BudgetBounds) -> Self {
         Self {
             bounds,
@@ -73,20 +75,20 @@
         }
     }
 
-    /// Sets other bounds, as after a reload.
+    /// Replaces the bounds, for example after a reload of the settings; requests and retries stay counted.
     pub fn set_bounds(&mut self, bounds: BudgetBounds) {
         self.bounds = bounds;
     }
 
-    /// Counts a request of a caller.
+    /// Counts a request of a caller, which raises the number of retries allowed.
     pub fn on_request(&mut self, now: Instant) {
-        self.forget(now);
+        self.remove_expired(now);
         self.requests.push_back(now);
     }
 
-    /// This router's use.
+    /// This router's own requests and retries within the window, for reports to peers.
     pub fn usage(&mut self, now: Instant) -> BudgetUse {
-        self.forget(now);
+        self.remove_expired(now);
         let count = |times: &VecDeque<Instant>| u32::try_from(times.len()).unwrap_or(u32::MAX);
         BudgetUse {
             requests: count(&self.requests),
@@ -94,35 +96,39 @@
         }
     }
 
-    /// Takes one repeat, if this router's share or what the fleet has left allows it.
+    /// Takes one retry if this router's share or the fleet's unused budget allows it; returns whether it was
+    /// taken.
     pub fn try_take_retry(&mut self, now: Instant, peers: &PeerBudgetUse) -> bool {
-        self.forget(now);
+        self.remove_expired(now);
         let share = self.share(peers.routers);
         let is_within_share = (self.retries.len() as f64) < share;
-        if !is_within_share && !self.may_exceed(share, now, peers) {
+        if !is_within_share && !self.may_exceed_share(share, now, peers) {
             return false;
         }
         self.retries.push_back(now);
         true
     }
 
+    /// The number of retries that this router may send within the window whatever its peers report:
+    /// [`SHARES_FRACTION`] of what its own requests allow and of an equal part of the slack.
     fn share(&self, routers: usize) -> f64 {
         let own = self.bounds.ratio * self.requests.len() as f64;
         let slack = self.bounds.slack / routers.max(1) as f64;
-        SHARED_PART * (own + slack)
+        SHARES_FRACTION * (own + slack)
     }
 
-    /// Whether the fleet has spent little, and this router has added little recently.
-    fn may_exceed(&self, share: f64, now: Instant, peers: &PeerBudgetUse) -> bool {
+    /// Whether this router may exceed its share: the fleet has spent little of the budget, and this router has
+    /// sent few retries since the oldest of its peers' reports.
+    fn may_exceed_share(&self, share: f64, now: Instant, peers: &PeerBudgetUse) -> bool {
         let requests = self.requests.len() as f64 + f64::from(peers.total.requests);
         let retries = self.retries.len() as f64 + f64::from(peers.total.retries);
         let budget = self.bounds.ratio * requests + self.bounds.slack;
-        let is_late = |at: &&Instant| now.saturating_duration_since(**at) <= peers.staleness;
-        let added = self.retries.iter().rev().take_while(is_late).count();
-        retries < LITTLE_SHARE * budget && (added as f64) < MAX_EXCESS * share
+        let is_recent = |at: &&Instant| now.saturating_duration_since(**at) <= peers.staleness;
+        let recent = self.retries.iter().rev().take_while(is_recent).count();
+        retries < LOW_USE_FRACTION * budget && (recent as f64) < MAX_EXCESS_FRACTION * share
     }
 
-    fn forget(&mut self, now: Instant) {
+    fn remove_expired(&mut self, now: Instant) {
         let window = self.bounds.window;
         for times in [&mut self.requests, &mut self.retries] {
             while times
--- a/crates/router/cloverpier_router_policy/tests/budget.rs
+++ b/crates/router/cloverpier_router_policy/tests/budget.rs
@@ -1,9 +1,9 @@
-//! The retry budget, kept by many routers together.
+//! The retry budget holds for all routers together, also when one or all of them have bursts of failures.
 
 use cloverpier_router_policy::prelude::*;
 use std::time::{Duration, Instant};
 
-/// What a router knows of its peers, up to a second old.
+/// Reports of `routers - 1` peers, up to a second old, that used the budget as `spent` says.
 fn peers(spent: BudgetUse, routers: usize) -> PeerBudgetUse {
     PeerBudgetUse {
         total: spent,
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn routers_keep_the_budget_together() {
+fn all_routers_together_keep_the_budget() {
     let bounds = BudgetBounds {
         ratio: 0.2,
         slack: 40.0,
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_budget_comes_back_as_the_window_slides() {
+fn retries_are_returned_to_the_budget_as_the_window_slides() {
     let bounds = BudgetBounds {
         ratio: 0.0,
         slack: 10.0,
@@ -44,16 +44,16 @@
     };
     let start = Instant::now();
     let mut budget = RetryBudget::new(bounds);
-    let alone = peers(BudgetUse::default(), 1);
-    while budget.try_take_retry(start, &alone) {}
-    assert!(!budget.try_take_retry(start + Duration::from_secs(5), &alone));
-    assert!(budget.try_take_retry(start + Duration::from_secs(11), &alone));
+    let no_peers = peers(BudgetUse::default(), 1);
+    while budget.try_take_retry(start, &no_peers) {}
+    assert!(!budget.try_take_retry(start + Duration::from_secs(5), &no_peers));
+    assert!(budget.try_take_retry(start + Duration::from_secs(11), &no_peers));
 }
 
 const ROUTERS: u32 = 65;
 const REQUESTS_EACH: u32 = 10;
 
-/// Budgets of a fleet whose routers have all had some requests.
+/// One budget per router of a fleet; each router has received [`REQUESTS_EACH`] requests.
 fn fleet_budgets(start: Instant) -> Vec<RetryBudget> {
     let bounds = BudgetBounds {
         ratio: 0.8,
@@ -67,7 +67,8 @@
     budgets
 }
 
-/// What the others have spent, when one alone has spent `retries`.
+/// The reports that a router gets when each of the others has received [`REQUESTS_EACH`] requests and all of them
+/// together have sent `retries` retries.
 fn others(retries: u32) -> PeerBudgetUse {
     let spent = BudgetUse {
         requests: REQUESTS_EACH * (ROUTERS - 1),
@@ -76,8 +77,12 @@
     peers(spent, ROUTERS as usize)
 }
 
-/// All that one router can take in nine seconds, a try each ten milliseconds.
-fn take_all_alone(budget: &mut RetryBudget, start: Instant, others: &PeerBudgetUse) -> u32 {
+/// The retries that one router can take within nine seconds, trying once every ten milliseconds.
+fn take_all_in_nine_seconds(
+    budget: &mut RetryBudget,
+    start: Instant,
+    others: &PeerBudgetUse,
+) -> u32 {
     let tries = (0..900).map(|n| start + Duration::from_millis(10 * n));
     let taken = tries.filter(|now| budget.try_take_retry(*now, others));
     u32::try_from(taken.count()).unwrap()
@@ -88,10 +93,13 @@
     let start = Instant::now();
     let mut budgets = fleet_budgets(start);
     let share = 0.7 * (0.8 * f64::from(REQUESTS_EACH) + 150.0 / f64::from(ROUTERS));
-    let alone = take_all_alone(&mut budgets[0], start, &others(0));
-    assert!(f64::from(alone) > 2.0 * share, "{alone} of {share}");
-    let beside = take_all_alone(&mut budgets[1], start, &others(400));
-    assert!(f64::from(beside) <= share.ceil(), "{beside} of {share}");
+    let burst = take_all_in_nine_seconds(&mut budgets[0], start, &others(0));
+    assert!(f64::from(burst) > 2.0 * share, "{burst} of {share}");
+    let after_spending = take_all_in_nine_seconds(&mut budgets[1], start, &others(400));
+    assert!(
+        f64::from(after_spending) <= share.ceil(),
+        "{after_spending} of {share}"
+    );
 }
 
 #[test]
@@ -99,8 +107,8 @@
     let start = Instant::now();
     let mut budgets = fleet_budgets(start);
     let budget = 0.8 * f64::from(REQUESTS_EACH * ROUTERS) + 150.0;
-    let mut total = take_all_alone(&mut budgets[0], start, &others(0));
-    // All others spend what they can at one moment, knowing only of the first one.
+    let mut total = take_all_in_nine_seconds(&mut budgets[0], start, &others(0));
+    // All others take what they can at the same moment; only the first router's retries are reported.
     let now = start + Duration::from_secs(9);
     let known = others(total);
     for budget in &mut budgets[1..] {
