--- a/crates/router/cloverpier_router/src/prompt_search.rs
+++ b/crates/router/cloverpier_router/src/prompt_search.rs
@@ -13,7 +13,7 @@
 use cloverpier_core::{ServiceName, hash_of};
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::prompt_search::{
-    ANSWER_TIMEOUT, ASKED_FIRST, FIRST_ANSWERS_WAIT, search_order, search_timeout,
+    FIRST_QUERIED, FIRST_RESPONSES_TIMEOUT, RESPONSE_TIMEOUT, search_order, search_timeout,
 };
 use std::rc::Rc;
 
@@ -36,7 +36,7 @@
             request: &request.id,
             service: service.as_str(),
             prompt,
-            engines_asked: router.prompts.searches.borrow().asked_recently(),
+            engines_asked: router.prompts.searches.borrow().recently_queried(),
             found: is_located(router, prompt),
             took_ms: ms_since(begun, router.now()),
         },
@@ -55,10 +55,10 @@
     let engines = engines.into_iter();
     let engines = engines.filter(|engine| !router.upstream_limits.is_limited(engine));
     for (index, engine) in engines.enumerate() {
-        if index == ASKED_FIRST {
+        if index == FIRST_QUERIED {
             let first = wait_for_answers(router, prompt);
             // The result does not matter: the loop checks whether the prompt is located.
-            let _ = router.timers.timeout(FIRST_ANSWERS_WAIT, first).await;
+            let _ = router.timers.timeout(FIRST_RESPONSES_TIMEOUT, first).await;
         }
         while !prompts.searches.borrow().has_capacity() {
             prompts.question_ended.notified().await;
@@ -78,7 +78,7 @@
 /// Waits until all questions have ended or one has found the prompt.
 async fn wait_for_answers(router: &Router, prompt: PromptKey) {
     let prompts = &router.prompts;
-    while prompts.searches.borrow().open() > 0 && !is_located(router, prompt) {
+    while prompts.searches.borrow().open_queries() > 0 && !is_located(router, prompt) {
         prompts.question_ended.notified().await;
     }
 }
@@ -87,7 +87,7 @@
 async fn ask(router: Rc<Router>, engine: Upstream) {
     let path = router.wire_names.paths.engine_cache;
     let asking = ask_engine(&router, &engine, path, Via::CacheQuestion);
-    let answer = router.timers.timeout(ANSWER_TIMEOUT, asking).await;
+    let answer = router.timers.timeout(RESPONSE_TIMEOUT, asking).await;
     match answer {
         Ok(Ok(asked)) if asked.answer.status.is_success() => {
             router.metrics.probes.count("cache");
@@ -108,6 +108,6 @@
     let key = UpstreamKey::of(&engine.name);
     let mut locations = router.prompts.locations.borrow_mut();
     for part in parts {
-        locations.on_found(PromptKey(hash_of(part)), key, now);
+        locations.on_search_result(PromptKey(hash_of(part)), key, now);
     }
 }
--- a/crates/router/cloverpier_router/src/restart.rs
+++ b/crates/router/cloverpier_router/src/restart.rs
@@ -48,7 +48,7 @@
         router.health.renew(upstream, now);
     }
     let mut locations = router.prompts.locations.borrow_mut();
-    locations.forget_upstream(UpstreamKey::of(name));
+    locations.remove_upstream(UpstreamKey::of(name));
     drop(locations);
     log_belief(
         &router.log,
--- a/crates/router/cloverpier_router_policy/src/prompt_search.rs
+++ b/crates/router/cloverpier_router_policy/src/prompt_search.rs
@@ -1,13 +1,15 @@
-//! Asking engines which of them has read a prompt.
+//! Prompt search: engines are queried for the prompts that they have read.
 //!
-//! - **Question.** A caller continues a stream whose engine no router knows, as after the
-//!   death of all routers: which engines are asked for the prompt, in which order, and how
-//!   long does the request wait for that?
-//! - **Inputs.** The usable engines; the prompt's hash; the time that the request has left;
-//!   which engines were asked recently.
-//! - **Answer.** An order; a timeout; whether an engine may be asked.
-//! - **Why.** Reading a prompt again costs an engine about a second. But asking every
-//!   engine from every router costs connections, so the likely ones are asked first.
+//! - **Question.** A caller continues a stream whose engine no router has recorded, for example after a crash of
+//!   all routers. Which engines are queried for the prompt, in which order, and how long does the request wait?
+//! - **Inputs.** The usable engines; the prompt's hash; the time that the request has left; the engines that were
+//!   queried recently.
+//! - **Result.** An order of engines; timeouts; whether an engine may be queried now.
+//! - **Why.** Reading a prompt again takes an engine about a second. But if every router queried every engine, that
+//!   would open many connections, so the engines that are likely to have the prompt are queried first.
+//!
+//! [`SearchState`] owns the queries of one router. Relies on routers choosing engines by the prompt's hash
+//! ([`crate::choice`]).
 
 use crate::load_query::QUERIED_ENGINES;
 use crate::prompt_locations::PromptKey;
@@ -17,32 +19,33 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Upper bound on the time a request waits for a search.
+/// Upper bound on the time that a request waits for a search.
 const MAX_WAIT: Duration = Duration::from_millis(250);
-/// And this part of the time that it has left: a request with little time is better sent anywhere
-/// than held.
+/// Upper bound on the wait as a fraction of the time that the request has left: a request with little time left
+/// is sent to any engine rather than held.
 const MAX_WAIT_SHARE: f64 = 0.1;
-/// An engine is asked again only after this time; its answer covers all prompts that it has read.
-const ASK_AGAIN_AFTER: Duration = Duration::from_secs(10);
-/// Engines asked at the same time by one router.
-const MAX_CONCURRENT: usize = 8;
-/// Engines that a search asks first: as many as are asked before a stream is placed
-/// ([`crate::load_query`]), since one of these most often has the prompt.
-pub const ASKED_FIRST: usize = QUERIED_ENGINES;
-/// How long their answers are awaited before others are asked: about two answers with a new
-/// connection.
-pub const FIRST_ANSWERS_WAIT: Duration = Duration::from_millis(15);
-/// How long one engine's answer is awaited.
-pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Minimum time between two queries to the same engine; a response lists all prompts that the engine has read.
+const REQUERY_INTERVAL: Duration = Duration::from_secs(10);
+/// Maximum number of open queries of one router.
+const MAX_CONCURRENT_QUERIES: usize = 8;
+/// Number of engines that a search queries first: as many as receive a load query before a stream is placed
+/// ([`crate::load_query`]), since most often one of these engines has the prompt.
+pub const FIRST_QUERIED: usize = QUERIED_ENGINES;
+/// Time to wait for the responses of the first engines before further engines are queried: about twice the time of
+/// a response on a new connection.
+pub const FIRST_RESPONSES_TIMEOUT: Duration = Duration::from_millis(15);
+/// Timeout of the query to one engine.
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a request waits for a search.
+/// The time that a request waits for a search, given the time that it has left until its deadline.
 pub fn search_timeout(time_left: Duration) -> Duration {
     time_left.mul_f64(MAX_WAIT_SHARE).min(MAX_WAIT)
 }
 
-/// The engines of a service in the order in which they are likely to have read a prompt.
+/// The usable engines of a service, ordered by decreasing likelihood that they have read a prompt.
 ///
-/// Routers follow the prompt's hash among engines that seem equal ([`crate::choice`]).
+/// The order is that of the prompt's hash, by which routers choose among engines of about equal cost
+/// ([`crate::choice`]).
 pub fn search_order(
     table: &UpstreamTable,
     service: &ServiceName,
@@ -55,43 +58,44 @@
     ranked.into_iter().map(|s| s.upstream.clone()).collect()
 }
 
-/// The questions of one router: whom it asked when, and how many are open.
+/// The search queries of one router: when each engine was queried, and how many queries are open.
 #[derive(Clone, Debug, Default)]
 pub struct SearchState {
-    asked: HashMap<UpstreamKey, Instant>,
-    open: usize,
+    queried_at: HashMap<UpstreamKey, Instant>,
+    open_queries: usize,
 }
 
 impl SearchState {
-    /// Begins a question unless the engine was asked recently; returns whether it is asked.
+    /// Begins a query unless the engine was queried within [`REQUERY_INTERVAL`]; returns whether the query is to be
+    /// sent.
     pub fn begin(&mut self, engine: UpstreamKey, now: Instant) -> bool {
-        self.asked
-            .retain(|_, at| now.saturating_duration_since(*at) < ASK_AGAIN_AFTER);
-        let is_new = !self.asked.contains_key(&engine);
+        self.queried_at
+            .retain(|_, at| now.saturating_duration_since(*at) < REQUERY_INTERVAL);
+        let is_new = !self.queried_at.contains_key(&engine);
         if is_new {
-            self.asked.insert(engine, now);
-            self.open += 1;
+            self.queried_at.insert(engine, now);
+            self.open_queries += 1;
         }
         is_new
     }
 
-    /// Ends a question, answered or not.
+    /// Ends a query, after a response or a timeout.
     pub fn end(&mut self) {
-        self.open = self.open.saturating_sub(1);
+        self.open_queries = self.open_queries.saturating_sub(1);
     }
 
-    /// Number of questions without an answer yet.
-    pub fn open(&self) -> usize {
-        self.open
+    /// Number of queries that have neither a response nor timed out.
+    pub fn open_queries(&self) -> usize {
+        self.open_queries
     }
 
-    /// Whether another question may begin.
+    /// Whether the number of open queries allows another query.
     pub fn has_capacity(&self) -> bool {
-        self.open < MAX_CONCURRENT
+        self.open_queries < MAX_CONCURRENT_QUERIES
     }
 
-    /// Number of engines that were asked recently.
-    pub fn asked_recently(&self) -> usize {
-        self.asked.len()
+    /// Number of engines that were queried within [`REQUERY_INTERVAL`] before the last query began, for logs.
+    pub fn recently_queried(&self) -> usize {
+        self.queried_at.len()
     }
 }
--- a/crates/router/cloverpier_router_policy/src/replica.rs
+++ b/crates/router/cloverpier_router_policy/src/replica.rs
@@ -1,13 +1,15 @@
-//! The engine that keeps a replica of a run's KV cache.
+//! Chooses the engine that keeps a replica of a stream's KV cache, and decides whether a replica can be used.
 //!
-//! - **Question.** Where does a run's KV cache grow a second time, so that the stream
-//!   continues there when its engine dies?
-//! - **Inputs.** The engines and the load known there, the run's own load, its engine.
-//! - **Answer.** An engine, or none where no engine has room.
-//! - **Why.** Without a replica a stream whose engine dies waits about a second while its
-//!   prompt is read again. Engines of one data centre die together, so the replica is kept
-//!   in another one that does not seem dead. Routers see the same engine as the emptiest; if
-//!   all chose it they would fill it, and it would let replicas go.
+//! - **Question.** At which engine is the KV cache of a running stream replicated, so that the stream continues
+//!   there when its own engine fails?
+//! - **Inputs.** The engines and their load; the load of the stream; the engine that runs the stream.
+//! - **Result.** An engine, or `None` where no engine has enough free KV cache.
+//! - **Why.** Without a replica, a stream whose engine fails waits about a second while another engine reads the
+//!   prompt again. The engines of a data centre fail together, so the replica is kept in another data centre
+//!   that does not seem dead. All routers see the same engine as the emptiest. If all chose it, they would fill
+//!   it, and it would evict replicas; so the choice among about equally empty engines is random.
+//!
+//! Relies on the table of upstreams and on the estimates in [`crate::choice`]. Owns no state.
 
 use crate::choice::{Demand, filtered, fits, known_load};
 use crate::permit::LimitedUpstreams;
@@ -16,7 +18,8 @@
 use crate::upstream_table::UpstreamTable;
 use std::time::Instant;
 
-/// Chooses an engine for the replica of a run at `primary`.
+/// Chooses an engine for the replica of a stream that runs at `primary`; `None` if the service has no engines or
+/// none has enough free KV cache.
 pub fn choose_replica(
     table: &UpstreamTable,
     demand: &Demand<'_>,
@@ -27,21 +30,21 @@
     let memory_at = |s: &UpstreamState| known_load(table, demand, s).memory_tokens;
     let least = candidates.iter().map(|s| memory_at(s)).min()?;
     let most = least.saturating_add(demand.load.memory_tokens);
-    let about_as_empty = candidates.into_iter().filter(|s| memory_at(s) <= most);
-    let chosen = rng.choice(about_as_empty.collect::<Vec<_>>());
+    let about_equally_empty = candidates.into_iter().filter(|s| memory_at(s) <= most);
+    let chosen = rng.choice(about_equally_empty.collect::<Vec<_>>());
     chosen.map(|s| s.upstream.clone())
 }
 
-/// A replica of a run's KV cache, at one start of an engine.
+/// A replica of a stream's KV cache. It belongs to one start of an engine and is lost when the engine restarts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Replica {
     engine: Upstream,
-    /// `None` where the engine was forgotten before the replica began.
+    /// `None` if the engine was no longer in the table when the replica was created; such a replica is never used.
     start: Option<StartNumber>,
 }
 
 impl Replica {
-    /// A replica that begins to grow at an engine.
+    /// Records a replica that is created at an engine's current start.
     pub fn begin(table: &UpstreamTable, engine: Upstream) -> Self {
         let state = table.get(&engine.name);
         Self {
@@ -51,8 +54,8 @@
     }
 }
 
-/// The engine with the replica of a lost run, if it can take the run and has not started again
-/// since: streams resume there before anywhere else.
+/// The engine with the replica of a lost stream, if it can take the stream and has not restarted since the
+/// replica was created. Streams resume there in preference to all other engines.
 pub fn usable_replica(
     table: &UpstreamTable,
     versions: &VersionRule,
@@ -70,8 +73,9 @@
     (is_kept && is_allowed).then(|| replica.engine.clone())
 }
 
-/// Engines with room: those in another data centre that does not seem dead, and of them those
-/// that answered a load query if any did; else those in another data centre, else any.
+/// The engines that have enough free KV cache for a replica, from the first of these lists that is not empty:
+/// engines in another data centre that does not seem dead and that responded to a load query; engines in another
+/// data centre that does not seem dead; engines in another data centre; engines in any data centre.
 fn preferred<'a>(
     table: &'a UpstreamTable,
     demand: &Demand<'_>,
@@ -80,23 +84,23 @@
     let Some(memory) = demand.engine_memory else {
         return Vec::new();
     };
-    let with_room: Vec<&UpstreamState> = table
+    let with_capacity: Vec<&UpstreamState> = table
         .of_service(demand.service)
         .filter(|s| s.is_usable(demand.now) && s.upstream.name != primary.name)
         .filter(|s| !s.is_suspected_by_peer(demand.now))
         .filter(|s| demand.versions.takes_replica(s))
-        // What is copied there is work that it did not ask for.
+        // Copying a KV cache would add load at an engine that limits its request rate.
         .filter(|s| !demand.limits.is_limited(s.key))
         .filter(|s| fits(table, demand, s, memory))
         .collect();
     let suspect_data_centres = table.suspect_data_centres(demand.service, demand.now);
-    let is_far = |s: &UpstreamState| s.upstream.data_centre != primary.data_centre;
-    let is_sound = |s: &UpstreamState| !suspect_data_centres.contains(&s.upstream.data_centre);
-    let far = filtered(&with_room, is_far);
-    let far_and_sound = filtered(&far, is_sound);
-    let asked = filtered(&far_and_sound, |s| demand.reported.of(s.key).is_some());
-    let by_preference = [asked, far_and_sound, far, with_room];
+    let is_remote = |s: &UpstreamState| s.upstream.data_centre != primary.data_centre;
+    let is_healthy = |s: &UpstreamState| !suspect_data_centres.contains(&s.upstream.data_centre);
+    let remote = filtered(&with_capacity, is_remote);
+    let remote_and_healthy = filtered(&remote, is_healthy);
+    let with_report = filtered(&remote_and_healthy, |s| demand.reported.of(s.key).is_some());
+    let by_preference = [with_report, remote_and_healthy, remote, with_capacity];
     let found = by_preference.into_iter().find(|list| !list.is_empty());
-    // All lists are empty: no engine can hold a replica.
+    // If all lists are empty, no engine can keep a replica.
     found.unwrap_or_default()
 }
