--- a/crates/router/cloverpier_router/src/engine_call.rs
+++ b/crates/router/cloverpier_router/src/engine_call.rs
@@ -10,7 +10,7 @@
 use crate::send::keep;
 use crate::statements::Call;
 use crate::via::Via;
-use cloverpier_router_policy::connection_reuse::{CONNECT_TIMEOUT, DEFAULT_IDLE_LIMIT};
+use cloverpier_router_policy::connection_reuse::{CONNECT_TIMEOUT, DEFAULT_IDLE_TIMEOUT};
 use cloverpier_router_policy::prelude::*;
 use http_body_util::BodyExt;
 use std::rc::Rc;
@@ -78,7 +78,7 @@
     let opened = Connection::open(
         engine.address,
         CONNECT_TIMEOUT,
-        DEFAULT_IDLE_LIMIT,
+        DEFAULT_IDLE_TIMEOUT,
         &router.timers,
     )
     .await;
--- a/crates/router/cloverpier_router/src/held_bytes.rs
+++ b/crates/router/cloverpier_router/src/held_bytes.rs
@@ -1,23 +1,23 @@
 //! Bytes of bodies and answers that are held, counted until they are let go.
 //!
 //! [`HeldBytes`] owns the count of one body or answer; what all may hold is decided in
-//! `cloverpier_router_policy::held_memory`.
+//! `cloverpier_router_policy::buffer_memory`.
 
-use cloverpier_router_policy::held_memory::{HeldFor, HeldMemory};
+use cloverpier_router_policy::buffer_memory::{BufferKind, BufferMemory};
 use std::cell::RefCell;
 use std::rc::Rc;
 
 /// The bytes that one body or answer holds.
 #[derive(Debug)]
 pub(crate) struct HeldBytes {
-    memory: Rc<RefCell<HeldMemory>>,
-    held_for: HeldFor,
+    memory: Rc<RefCell<BufferMemory>>,
+    held_for: BufferKind,
     bytes: u64,
 }
 
 impl HeldBytes {
     /// Nothing held yet.
-    pub fn new(memory: &Rc<RefCell<HeldMemory>>, held_for: HeldFor) -> Self {
+    pub fn new(memory: &Rc<RefCell<BufferMemory>>, held_for: BufferKind) -> Self {
         Self {
             memory: Rc::clone(memory),
             held_for,
@@ -29,7 +29,7 @@
     pub fn try_grow(&mut self, bytes: usize) -> bool {
         let bytes = bytes as u64;
         let mut held = self.memory.borrow_mut();
-        let is_taken = held.try_take(bytes, self.bytes, self.held_for);
+        let is_taken = held.try_reserve(bytes, self.bytes, self.held_for);
         if is_taken {
             self.bytes += bytes;
         }
@@ -39,7 +39,7 @@
     /// Holds bytes more, whatever others hold.
     pub fn grow(&mut self, bytes: usize) {
         let bytes = bytes as u64;
-        self.memory.borrow_mut().take(bytes);
+        self.memory.borrow_mut().reserve(bytes);
         self.bytes += bytes;
     }
 }
@@ -47,6 +47,6 @@
 impl Drop for HeldBytes {
     fn drop(&mut self) {
         let mut held = self.memory.borrow_mut();
-        held.give_back(self.bytes);
+        held.release(self.bytes);
     }
 }
--- a/crates/router/cloverpier_router/src/intake.rs
+++ b/crates/router/cloverpier_router/src/intake.rs
@@ -15,8 +15,8 @@
 use cloverpier_router_policy::arrival::{
     Rejection, find_account, find_route, pick_service, priority,
 };
-use cloverpier_router_policy::deadline::CallerLimit;
-use cloverpier_router_policy::held_memory::HeldFor;
+use cloverpier_router_policy::buffer_memory::BufferKind;
+use cloverpier_router_policy::deadline::CallerTimeout;
 use cloverpier_router_policy::lifecycle::holds_until;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::refusal::Refusal;
@@ -51,13 +51,13 @@
 
 fn status_of(rejection: Rejection) -> StatusCode {
     match rejection {
-        Rejection::Starting | Rejection::UnknownService | Rejection::TooMuchHeld => {
+        Rejection::Starting | Rejection::UnknownService | Rejection::BufferMemoryFull => {
             StatusCode::SERVICE_UNAVAILABLE
         }
         Rejection::NoRoute => StatusCode::NOT_FOUND,
         Rejection::UnknownKey => StatusCode::UNAUTHORIZED,
         Rejection::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
-        Rejection::BodyBroke => StatusCode::BAD_REQUEST,
+        Rejection::BodyIncomplete => StatusCode::BAD_REQUEST,
     }
 }
 
@@ -65,7 +65,7 @@
     let status = status_of(rejection);
     let reason = rejection.to_string();
     match rejection {
-        Rejection::TooMuchHeld => refusal_reply(&reason, Refusal::OutOfMemory),
+        Rejection::BufferMemoryFull => refusal_reply(&reason, Refusal::BufferMemoryFull),
         _ if status == StatusCode::SERVICE_UNAVAILABLE => refusal_reply(&reason, Refusal::Starting),
         _ => own_reply(status, &reason),
     }
@@ -103,7 +103,7 @@
     let route = find_route(&configuration, host, head.uri.path())?;
     let key = text_of(&head.headers, &names.key);
     let account = find_account(&configuration, &route, key)?;
-    let mut held = HeldBytes::new(&router.held_memory, HeldFor::Body);
+    let mut held = HeldBytes::new(&router.held_memory, BufferKind::Body);
     let body = read_body(body, configuration.limits().body_bytes, &mut held).await?;
     // The configuration may have changed while the body arrived; a route that is gone from
     // the new one still takes the requests that it admitted.
@@ -117,7 +117,7 @@
         target: target_of(&head),
         body,
         _held: held,
-        deadline: now + limit.time_on_route(route.timeout),
+        deadline: now + limit.effective_timeout(route.timeout),
         last_event: last_event(router, &head.headers, id),
         size: prompt_size(router, &head.headers, id),
         prompt: prompt_key(router, &head.headers),
@@ -135,7 +135,7 @@
 
 /// Holds a request that arrives before this router can serve it, as long as the rule on that
 /// allows.
-async fn hold_until_serving(router: &Router, arrived: Instant, limit: CallerLimit) {
+async fn hold_until_serving(router: &Router, arrived: Instant, limit: CallerTimeout) {
     let store = &router.store;
     let started = router.lifecycle.started();
     while !store.is_serving() {
@@ -172,14 +172,14 @@
     let mut whole = BytesMut::new();
     while let Some(frame) = body.frame().await {
         // The cause lies with the caller or its connection; all are one rejection.
-        let frame = frame.map_err(|_| Rejection::BodyBroke)?;
+        let frame = frame.map_err(|_| Rejection::BodyIncomplete)?;
         // A frame without data holds trailers, which are not passed on.
         let data = frame.into_data().unwrap_or_default();
         if whole.len() + data.len() > max_bytes {
             return Err(Rejection::BodyTooLong);
         }
         if !held.try_grow(data.len()) {
-            return Err(Rejection::TooMuchHeld);
+            return Err(Rejection::BufferMemoryFull);
         }
         whole.extend_from_slice(&data);
     }
@@ -192,10 +192,10 @@
 }
 
 /// The time that the caller asks for; one that cannot be read is logged and does not count.
-fn caller_limit(router: &Router, headers: &HeaderMap, id: &str) -> CallerLimit {
+fn caller_limit(router: &Router, headers: &HeaderMap, id: &str) -> CallerTimeout {
     let name = &router.wire_names.headers.deadline_ms;
-    let limit = CallerLimit::parse(text_of(headers, name));
-    if limit == CallerLimit::Unreadable {
+    let limit = CallerTimeout::parse(text_of(headers, name));
+    if limit == CallerTimeout::Unreadable {
         log_unreadable(router, id, name);
     }
     limit
--- a/crates/router/cloverpier_router/src/outcome.rs
+++ b/crates/router/cloverpier_router/src/outcome.rs
@@ -85,12 +85,14 @@
     /// Why the request is refused, as that decides when its caller should retry.
     fn refusal(&self, router: &Router, request: &RelayRequest) -> Refusal {
         if let Some(NoUpstream::AllRateLimited { retry }) = self.no_upstream {
-            return Refusal::UpstreamsLimited { turn: retry };
+            return Refusal::UpstreamsRateLimited {
+                permit_delay: retry,
+            };
         }
         let table = router.upstreams.borrow();
         let objective = request.route.objective;
         match table.wait_of_service(&request.service.name, router.now()) {
-            Some(wait) => Refusal::UpstreamsWait { wait, objective },
+            Some(wait) => Refusal::UpstreamsPaused { wait, objective },
             None => Refusal::NoUpstream { objective },
         }
     }
--- a/crates/router/cloverpier_router/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -23,7 +23,7 @@
 use bytes::{Bytes, BytesMut};
 use cloverpier_core::UpstreamName;
 use cloverpier_crashes::Admission;
-use cloverpier_router_policy::held_memory::HeldFor;
+use cloverpier_router_policy::buffer_memory::BufferKind;
 use cloverpier_router_policy::permit::PermitSearch;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::rollout::evidence::Measure;
@@ -256,7 +256,7 @@
             stop: None,
         };
         let mut held = BytesMut::new();
-        let mut counted = HeldBytes::new(&self.router.held_memory, HeldFor::Answer);
+        let mut counted = HeldBytes::new(&self.router.held_memory, BufferKind::Response);
         while let Some(data) = next_data(&awaited, liveness, &mut body).await? {
             liveness.on_event(self.router.now());
             let is_room = counted.try_grow(data.len());
--- a/crates/router/cloverpier_router/src/router.rs
+++ b/crates/router/cloverpier_router/src/router.rs
@@ -40,8 +40,8 @@
 use crate::wire_names::WireNames;
 use cloverpier_core::{ServiceName, UpstreamName, wall_ms};
 use cloverpier_observe::Log;
+use cloverpier_router_policy::buffer_memory::BufferMemory;
 use cloverpier_router_policy::heartbeat::peer_timeout;
-use cloverpier_router_policy::held_memory::HeldMemory;
 use cloverpier_router_policy::lifecycle::router_state;
 use cloverpier_router_policy::membership::{MEMBER_TIMEOUT, MemberState, MemberUpdate};
 use cloverpier_router_policy::prelude::*;
@@ -83,7 +83,7 @@
     pub(crate) last_leaving: Cell<Option<Instant>>,
     pub(crate) copy_pacing: RefCell<CopyPacing>,
     /// What bodies and answers take.
-    pub(crate) held_memory: Rc<RefCell<HeldMemory>>,
+    pub(crate) held_memory: Rc<RefCell<BufferMemory>>,
     pub(crate) list_copies: RefCell<ListCopies>,
     pub(crate) lifecycle: Lifecycle,
 }
@@ -141,7 +141,7 @@
             suspected: Notify::new(),
             last_leaving: Cell::default(),
             copy_pacing: RefCell::new(CopyPacing::default()),
-            held_memory: Rc::new(RefCell::new(HeldMemory::of(settings.memory_bytes))),
+            held_memory: Rc::new(RefCell::new(BufferMemory::for_vm(settings.memory_bytes))),
             list_copies: RefCell::default(),
             lifecycle,
             timers,
--- a/crates/router/cloverpier_router/src/send.rs
+++ b/crates/router/cloverpier_router/src/send.rs
@@ -20,8 +20,10 @@
 use cloverpier_router_policy::attempt_failure::{
     RequestIdMatch, ResponseHead, check_response, may_mean_process_gone,
 };
-use cloverpier_router_policy::connection_reuse::{CONNECT_TIMEOUT, DEFAULT_IDLE_LIMIT, kept_limit};
-use cloverpier_router_policy::deadline::is_worth_sending;
+use cloverpier_router_policy::connection_reuse::{
+    CONNECT_TIMEOUT, DEFAULT_IDLE_TIMEOUT, idle_connection_limit,
+};
+use cloverpier_router_policy::deadline::has_time_to_send;
 use cloverpier_router_policy::prelude::*;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -75,7 +77,7 @@
         let mut connection = connect(router, request, upstream).await?;
         let is_kept = connection.requests > 0;
         let now = router.now();
-        if !is_worth_sending(request.time_left(now)) {
+        if !has_time_to_send(request.time_left(now)) {
             return Err(AttemptFailure::DeadlinePassedUnsent);
         }
         let message = message(router, request, upstream, extras, now)?;
@@ -137,7 +139,7 @@
     let opened = Connection::open(
         upstream.address,
         timeout,
-        DEFAULT_IDLE_LIMIT,
+        DEFAULT_IDLE_TIMEOUT,
         &router.timers,
     )
     .await;
@@ -296,5 +298,7 @@
     let configuration = router.store.configuration();
     let service = configuration.and_then(|c| c.service(service).cloned());
     let routers = router.peers.count() + 1;
-    service.map_or(0, |service| kept_limit(service.max_connections, routers))
+    service.map_or(0, |service| {
+        idle_connection_limit(service.max_connections, routers)
+    })
 }
--- a/crates/router/cloverpier_router/src/start.rs
+++ b/crates/router/cloverpier_router/src/start.rs
@@ -20,7 +20,7 @@
 use crate::store_view::Watched;
 use crate::web::{bind, on_caller, on_directory, on_metrics, on_ready, serve};
 use cloverpier_observe::{LogProgress, NoFields};
-use cloverpier_router_policy::connection_reuse::SWEEP_PERIOD;
+use cloverpier_router_policy::connection_reuse::IDLE_SWEEP_PERIOD;
 use cloverpier_router_policy::prelude::UpstreamState;
 use snafu::{ResultExt, Snafu};
 use std::io;
@@ -140,7 +140,7 @@
 /// Drops what cannot be used again, until the process ends.
 async fn sweep(router: Rc<Router>, log_progress: LogProgress) {
     loop {
-        router.timers.sleep(SWEEP_PERIOD).await;
+        router.timers.sleep(IDLE_SWEEP_PERIOD).await;
         router.pool.borrow_mut().close_stale(router.now());
         let table = router.upstreams.borrow();
         router
--- a/crates/router/cloverpier_router/src/web.rs
+++ b/crates/router/cloverpier_router/src/web.rs
@@ -15,7 +15,7 @@
 use crate::reply::{Reply, own_reply, refusal_reply};
 use crate::router::Router;
 use crate::stream::relay_stream;
-use cloverpier_router_policy::held_memory::HeldFor;
+use cloverpier_router_policy::buffer_memory::BufferKind;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::refusal::Refusal;
 use cloverpier_timers::Timers;
@@ -113,7 +113,7 @@
         let close = HeaderValue::from_static("close");
         reply.headers_mut().insert(CONNECTION, close);
     }
-    let held = HeldBytes::new(&router.held_memory, HeldFor::Answer);
+    let held = HeldBytes::new(&router.held_memory, BufferKind::Response);
     hold_until_sent(reply.map(|body| body.counted(held)), in_flight)
 }
 
@@ -179,7 +179,7 @@
         .peers
         .addresses_for_callers(own, now, router.peer_timeout());
     if addresses.is_empty() {
-        return refusal_reply("no router is known to serve", Refusal::NoRouterKnown);
+        return refusal_reply("no router is known to serve", Refusal::NoReadyRouter);
     }
     let answer = (router.wire_names.directory_answer)(&addresses, settings.directory_keep);
     let mut reply = Response::new(ReplyBody::whole(answer));
--- a/crates/router/cloverpier_router_policy/src/arrival.rs
+++ b/crates/router/cloverpier_router_policy/src/arrival.rs
@@ -1,44 +1,46 @@
-//! Admit or reject a request at arrival.
+//! Admits or rejects a request on arrival.
 //!
-//! - **Question.** Is this request relayed at all, and on whose account?
-//! - **Inputs.** The configuration in force, if any; host and path; the caller's key.
-//! - **Answer.** The route and the client account, or a [`Rejection`].
-//! - **Why.** What the configuration does not allow is turned down before a byte of it
-//!   reaches an upstream, so a rejection always means "not run".
+//! - **Question.** Is this request forwarded, and under which client account?
+//! - **Inputs.** The configuration in force, if any; the request's host and path; the caller's key.
+//! - **Result.** The route, the service and the client account, or a [`Rejection`].
+//! - **Why.** A request that the configuration does not allow is rejected before any of its bytes reach an
+//!   upstream, so a rejection always means that the request has not run.
 //!
-//! Owns the list of rejections. The carrying-out crate maps them to HTTP statuses and
-//! reads bodies; the bound on a body's length is the configuration's.
+//! Owns the list of rejections. `cloverpier_router` maps them to HTTP statuses and reads the bodies; the
+//! configuration limits the length of a body.
 
 use crate::configuration::{ClientAccount, ConfigurationIndex, Route, ServiceConfig};
 use std::fmt;
 use std::sync::Arc;
 
-/// Lowest rank that upstreams know; 0 is the highest.  The bound of the platform's protocol.
+/// The lowest request priority of the platform's protocol; 0 is the highest.
 const LOWEST_PRIORITY: u8 = 9;
-/// Rank of a stream that resumes after a loss, before everything that is new: its caller has waited
-/// already.
+/// Priority of a stream that resumes after its upstream was lost. It is the highest one, so that the stream goes
+/// before all new requests, as its caller has already waited.
 pub const RESUMED_PRIORITY: u8 = 0;
 
-/// Why a request is turned down before it is sent anywhere.
+/// The reason why a request is rejected before it is sent to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// Configuration or upstreams are not known yet.
+    /// This router has not received a configuration or the list of upstreams yet.
     Starting,
-    /// No route matches host and path.
+    /// No route of the configuration matches the request's host and path.
     NoRoute,
-    /// The route needs a key and the caller's is not known.
+    /// The route requires a key, and the caller sent none or one of no client account.
     UnknownKey,
-    /// The route names a service that the configuration lacks.
+    /// The route names a service that the configuration does not contain.
     UnknownService,
     /// The body is longer than the configuration allows.
     BodyTooLong,
-    /// The body ended before its announced length.
-    BodyBroke,
-    /// This router holds as much of other bodies and answers as its VM's memory allows.
-    TooMuchHeld,
+    /// The body could not be read to its end, for example because the caller's connection broke.
+    BodyIncomplete,
+    /// The buffered bodies of other requests take the memory that a router may use for them
+    /// ([`crate::buffer_memory`]).
+    BufferMemoryFull,
 }
 
-/// The texts reach callers in error bodies and on-call engineers in logs, so they stay.
+/// Callers receive these messages in error bodies and on-call engineers search logs for them, so the wording
+/// is part of the interface.
 impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -47,17 +49,17 @@
             Self::UnknownKey => "the key is unknown",
             Self::UnknownService => "the route's service is unknown",
             Self::BodyTooLong => "the body is too long",
-            Self::BodyBroke => "the body broke off",
-            Self::TooMuchHeld => "other requests take this router's memory",
+            Self::BodyIncomplete => "the body broke off",
+            Self::BufferMemoryFull => "other requests take this router's memory",
         })
     }
 }
 
-/// Finds the route of a request; `host` is without a port, in any case.
+/// Finds the route of a request by its host and path. `host` has no port; upper and lower case are equal.
 ///
 /// # Errors
 ///
-/// [`Rejection::NoRoute`].
+/// [`Rejection::NoRoute`] if no route matches.
 pub fn find_route(
     configuration: &ConfigurationIndex,
     host: &str,
@@ -67,12 +69,12 @@
     route.cloned().ok_or(Rejection::NoRoute)
 }
 
-/// Finds the client account that a request runs under; `None` on public routes and where
-/// requests carry no keys.
+/// Finds the client account of a request by the caller's key. The result is `None` if the configuration has no
+/// client accounts, or if the route is public and the key is missing or unknown.
 ///
 /// # Errors
 ///
-/// [`Rejection::UnknownKey`].
+/// [`Rejection::UnknownKey`] if the route is not public and the key is missing or unknown.
 pub fn find_account(
     configuration: &ConfigurationIndex,
     route: &Route,
@@ -88,11 +90,12 @@
     Ok(account.cloned())
 }
 
-/// Picks the service that gets a request of a route, by the route's weights.
+/// Picks the service that gets a request, at random by the weights of the route's targets.
 ///
 /// # Errors
 ///
-/// [`Rejection::UnknownService`].
+/// [`Rejection::UnknownService`] if the configuration does not contain the picked service, or if the route has
+/// no target.
 pub fn pick_service(
     configuration: &ConfigurationIndex,
     route: &Route,
@@ -103,9 +106,10 @@
     service.cloned().ok_or(Rejection::UnknownService)
 }
 
-/// The rank of a request at upstreams, 0 the highest: the client account's, else the route's.
+/// The priority of a request at upstreams, from 0, the highest, to 9: the client account's if it has one, else
+/// the route's.
 pub fn priority(route: &Route, account: Option<&ClientAccount>) -> u8 {
     let own = account.and_then(|account| account.priority);
-    // An account without a rank of its own has that of the route.
+    // The route's priority also applies to requests without an account.
     own.unwrap_or(route.priority).min(LOWEST_PRIORITY)
 }
--- a/crates/router/cloverpier_router_policy/src/deadline.rs
+++ b/crates/router/cloverpier_router_policy/src/deadline.rs
@@ -1,32 +1,32 @@
-//! The deadline of a request.
+//! Computes the deadline of a request.
 //!
-//! - **Question.** How long may this request be held, and is what is left of that worth an
-//!   attempt?
-//! - **Inputs.** The caller's own limit in milliseconds, as text; the route's timeout.
-//! - **Answer.** A duration from the arrival of the request's head.
-//! - **Why.** The operator's bound is the upper one; a caller may ask for less. A caller's
-//!   limit that cannot be read is treated as absent, since the route's bound still holds.
+//! - **Question.** How long may this request take, and is the remaining time enough for an attempt?
+//! - **Inputs.** The caller's own timeout in milliseconds, as header text; the route's timeout.
+//! - **Result.** A duration from the arrival of the request's head.
+//! - **Why.** The operator's timeout of the route is the upper bound, and a caller may ask for less. A caller's
+//!   timeout that can't be parsed counts as absent, as the route's timeout still applies.
+//!
+//! Owns no state.
 
 use std::time::Duration;
 
-/// With less time left than this, a request is not sent: no answer could arrive in time.
-///
-/// Two one-way delays between data centres are 2 to 3 ms (the brief).
+/// A request with less time left than this is not sent, as no response could arrive in time: a round trip between
+/// data centres takes 2 to 3 ms (from the requirements).
 pub const MIN_SEND_TIME: Duration = Duration::from_millis(5);
 
-/// What a caller asks for.
+/// A caller's own timeout for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallerLimit {
-    /// Nothing.
+pub enum CallerTimeout {
+    /// The caller set no timeout.
     Absent,
-    /// Something that is not a number of milliseconds, or one that no duration can be.
+    /// The caller's value is no number of milliseconds, or a [`Duration`] can't hold it.
     Unreadable,
-    /// An answer within this time.
+    /// The caller expects the response within this time.
     Within(Duration),
 }
 
-impl CallerLimit {
-    /// Reads a limit in milliseconds.
+impl CallerTimeout {
+    /// Parses a timeout in milliseconds, which may have a fraction; `None` is an absent header.
     pub fn parse(text: Option<&str>) -> Self {
         let Some(text) = text else {
             return Self::Absent;
@@ -35,22 +35,22 @@
             return Self::Unreadable;
         };
         match Duration::try_from_secs_f64(ms / 1e3) {
-            Ok(limit) => Self::Within(limit),
-            // Negative or too large for a time; the header is logged as ignored.
+            Ok(timeout) => Self::Within(timeout),
+            // The number is negative or too large. The caller of `parse` logs that the header is ignored.
             Err(_) => Self::Unreadable,
         }
     }
 
-    /// The time that a request with this limit has on a route.
-    pub fn time_on_route(self, route_timeout: Duration) -> Duration {
+    /// The time that a request has: the shorter of the caller's timeout and the route's timeout.
+    pub fn effective_timeout(self, route_timeout: Duration) -> Duration {
         match self {
-            Self::Within(limit) => limit.min(route_timeout),
+            Self::Within(timeout) => timeout.min(route_timeout),
             Self::Absent | Self::Unreadable => route_timeout,
         }
     }
 }
 
-/// Whether an attempt that begins with this much time left can succeed.
-pub fn is_worth_sending(time_left: Duration) -> bool {
+/// Whether a request with this much time left until its deadline may still be sent.
+pub fn has_time_to_send(time_left: Duration) -> bool {
     time_left >= MIN_SEND_TIME
 }
--- a/crates/router/cloverpier_router_policy/src/lib.rs
+++ b/crates/router/cloverpier_router_policy/src/lib.rs
@@ -1,32 +1,32 @@
-//! Every decision of the router: opaque requests and event streams taken to upstreams.
+//! All decisions of the router, which forwards requests and event streams to upstreams.
 //!
-//! The router forwards requests that it does not interpret. Each rule that routes, admits,
-//! places, retries or gives up is a function or a small state machine over plain data here;
-//! nothing here knows sockets, HTTP or a clock. The crate `cloverpier_router` carries the
-//! decisions out and holds none of its own.
+//! The router does not interpret the requests that it forwards. Each rule that routes, admits, places, retries
+//! or ends a request is a function or a small state machine over plain data in this crate. The crate uses no
+//! sockets, no HTTP library and no clock: callers pass the current time. The crate `cloverpier_router` carries
+//! the decisions out and makes none of its own.
 //!
-//! The modules, in the order in which a request meets them; each begins with its question,
-//! its inputs, its answer, the reason, and constants with their sources:
+//! The modules, in the order in which a request passes them. Each begins with its question, its inputs, its
+//! result and the reason for its rules:
 //!
 //! | question | module |
 //! | --- | --- |
 //! | which route and service; what was configured | [`configuration`] |
-//! | admit or reject at arrival | [`arrival`] |
-//! | how much of bodies and answers is held | [`held_memory`] |
-//! | until when is it held | [`deadline`] |
-//! | which engine has read its prompt | [`prompt_locations`], [`prompt_search`] |
-//! | which engines are asked for their load first | [`load_query`] |
-//! | which upstream gets it | [`choice`] |
-//! | which engine keeps a replica | [`replica`] |
-//! | over which connection | [`connection_reuse`] |
+//! | is a request admitted or rejected on arrival | [`arrival`] |
+//! | how much memory do buffered bodies take | [`buffer_memory`] |
+//! | how long may a request take | [`deadline`] |
+//! | which engine has read a prompt | [`prompt_locations`], [`prompt_search`] |
+//! | which engines are queried for their load | [`load_query`] |
+//! | which upstream gets an attempt | [`choice`] |
+//! | which engine keeps a replica of a stream's KV cache | [`replica`] |
+//! | which idle connections are used again | [`connection_reuse`] |
 //! | when is a silent upstream probed, dead, or a stream stalled | [`liveness`] |
-//! | what does an answer, or its absence, prove | [`attempt_failure`] |
+//! | is a response valid; did the request of a failed attempt run | [`attempt_failure`] |
 //! | of which upstream does an answer say something | [`statement`] |
 //! | which upstreams have said that they leave | [`leaving`] |
 //! | how many requests a second does an upstream take | [`limit`] |
 //! | may a request be sent to one that limits itself | [`permit`] |
 //! | which upstreams want nothing for a while | [`cloverpier_core::wait`] |
-//! | retry or stop | [`attempts`], [`budget`] |
+//! | is a failed attempt retried | [`attempts`], [`budget`] |
 //! | when should a refused caller retry | [`refusal`] |
 //! | which upstreams may be dead, which data centres | [`suspicion`] |
 //! | does the process at a dead upstream's address belong to its service | [`successor`] |
@@ -45,13 +45,13 @@
 //! | which software versions get requests during a roll-out, and how it ends | [`rollout`] |
 //! | what does one router at a time do for all, and which one | [`singleton`] |
 //!
-//! State that several of them use: [`upstream_table`], [`upstream`], [`load`]. [`events`]
-//! cuts streams into events.
+//! Several modules share the state in [`upstream_table`], [`upstream`] and [`load`]. [`events`] splits streams
+//! into events.
 //!
 //! ```
 //! use cloverpier_router_policy::prelude::*;
 //!
-//! // A request that runs at most once was sent, and the connection broke.
+//! // A request that may run at most once was sent, and the connection broke before a response arrived.
 //! let mut attempts = Attempts::new(RetryRule::AtMostOnce, 3);
 //! attempts.on_send();
 //! let next = attempts.on_outcome(AttemptOutcome::Unknown, true, || true);
@@ -64,6 +64,7 @@
 pub mod attempt_failure;
 pub mod attempts;
 pub mod budget;
+pub mod buffer_memory;
 pub mod choice;
 pub mod configuration;
 pub mod connection_reuse;
@@ -73,7 +74,6 @@
 pub mod events;
 pub mod first_read;
 pub mod heartbeat;
-pub mod held_memory;
 pub mod leaving;
 pub mod lifecycle;
 pub mod limit;
@@ -100,7 +100,7 @@
 pub mod version_serving;
 pub mod watcher_beats;
 
-/// The types that users of the crate need daily; rules and constants are named by module.
+/// The types that users of the crate need most; functions and constants are imported from their modules.
 pub mod prelude {
     pub use crate::attempt_failure::AttemptFailure;
     pub use crate::attempts::{AttemptOutcome, Attempts, NextStep, RetryRule};
--- a/crates/router/cloverpier_router_policy/src/lifecycle.rs
+++ b/crates/router/cloverpier_router_policy/src/lifecycle.rs
@@ -10,7 +10,7 @@
 //!   so a stopping router goes on serving; and it must be gone before the platform kills
 //!   it, which would cut what is in flight.
 
-use crate::deadline::CallerLimit;
+use crate::deadline::CallerTimeout;
 use crate::peers::PeerState;
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -62,13 +62,13 @@
     started: Instant,
     store_fails: bool,
     arrived: Instant,
-    limit: CallerLimit,
+    limit: CallerTimeout,
 ) -> Option<Instant> {
     let until = started + START_HOLD;
     let caller_until = match limit {
         // A limit beyond all moments is none.
-        CallerLimit::Within(limit) => arrived.checked_add(limit.mul_f64(HELD_SHARE)),
-        CallerLimit::Absent | CallerLimit::Unreadable => None,
+        CallerTimeout::Within(limit) => arrived.checked_add(limit.mul_f64(HELD_SHARE)),
+        CallerTimeout::Absent | CallerTimeout::Unreadable => None,
     };
     (!store_fails).then_some(caller_until.map_or(until, |at| until.min(at)))
 }
--- a/crates/router/cloverpier_router_policy/src/refusal.rs
+++ b/crates/router/cloverpier_router_policy/src/refusal.rs
@@ -1,81 +1,87 @@
-//! When a refused caller should retry.
+//! Computes when a refused caller should retry.
 //!
-//! - **Question.** A request was refused and has not run: after what time is it worth
-//!   sending again?
-//! - **Inputs.** Why it was refused; for a request that was tried, its route's objective, or the time
-//!   for which all upstreams of its service want nothing, or its turn where they limit themselves.
-//! - **Answer.** A duration, which callers get as `Retry-After`.
-//! - **Why.** The request is refused at once, never held. Coming back too soon meets the
-//!   same state; too late misses the objective, the time within which an answer counts. Callers that wait
-//!   for the same moment return one after the other, in their order.
+//! - **Question.** A request was refused and has not run. After which time should its caller retry?
+//! - **Inputs.** The reason for the refusal; for a request that no upstream could take, the route's objective; the
+//!   pause that the upstreams of the service have requested; the delay until a permit is free where they limit
+//!   their request rate.
+//! - **Result.** A duration, which callers receive as `Retry-After`.
+//! - **Why.** A router refuses such a request at once and does not hold it. A caller that retries too early meets
+//!   the same state; a caller that retries too late misses the objective, which is the time within which a
+//!   response counts as on time. Callers that wait for the same moment retry one after the other, in the order of
+//!   their refusals.
+//!
+//! Owns no state.
 
 use crate::upstream_table::ServiceWait;
 use std::time::Duration;
 
-/// After a request that was tried: this part of its route's objective, so that a second try still
-/// has most of it.
-const OBJECTIVE_SHARE: f64 = 0.4;
-/// Callers that were refused while a service wanted nothing return within this part of what their
-/// objective leaves after that.
-const RETURN_SHARE: f64 = 0.2;
-/// The least time, whatever the objective.
-const MIN_WAIT: Duration = Duration::from_millis(40);
-/// The longest time, whatever the objective.
-const MAX_WAIT: Duration = Duration::from_millis(1_000);
-/// A router that starts learns the configuration soon or not at all.
-const STARTING_WAIT: Duration = Duration::from_millis(300);
-/// Another router serves at once.
-const STOPPING_WAIT: Duration = Duration::from_millis(10);
-/// A directory without a ready router learns of one by the next heartbeat (200 ms, the setting's
-/// default).
-const DIRECTORY_WAIT: Duration = Duration::from_millis(200);
+/// `Retry-After` of a request that no upstream could take, as a fraction of its route's objective: the retry still
+/// has most of the objective left.
+const RETRY_OBJECTIVE_FRACTION: f64 = 0.4;
+/// Callers that were refused during a pause of all upstreams are spread over at most this fraction of the time that
+/// their objective leaves after the pause.
+const SPREAD_OBJECTIVE_FRACTION: f64 = 0.2;
+/// Minimum `Retry-After`, however short the objective is.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(40);
+/// Maximum `Retry-After` of a request that no upstream could take, however long the objective is.
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(1_000);
+/// `Retry-After` of a router that is starting: it receives the configuration within about this time or not at all.
+const STARTING_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// `Retry-After` where the cause is this router alone: another router can serve the request at once.
+const OTHER_ROUTER_RETRY_AFTER: Duration = Duration::from_millis(10);
+/// `Retry-After` of a directory without a ready router: the next heartbeat may report one. Heartbeats are sent every
+/// 200 ms by default.
+const DIRECTORY_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Why a caller is refused.
+/// The reason why a request is refused before it has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// This router has no configuration or no list of upstreams yet.
+    /// This router has no configuration or no list of upstreams yet, or its configuration lacks the service.
     Starting,
-    /// This router stops and the request would outlive it.
+    /// This router shuts down, and the request would take longer than the shutdown.
     Stopping,
-    /// This router's memory is taken by others' bodies and answers.
-    OutOfMemory,
-    /// This router knows no router that callers could use.
-    NoRouterKnown,
-    /// No upstream could be given the request.
+    /// The buffered bodies of other requests take the memory that this router may use for them.
+    BufferMemoryFull,
+    /// A directory request found no router that is ready for callers.
+    NoReadyRouter,
+    /// No upstream could take the request.
     NoUpstream {
-        /// The route's objective.
+        /// The time within which a response of the route counts as on time.
         objective: Duration,
     },
-    /// All upstreams of the service want nothing for now.
-    UpstreamsWait {
-        /// For how long.
+    /// All upstreams of the service have requested a pause (`Retry-After`).
+    UpstreamsPaused {
+        /// The time until the first upstream accepts requests again, and the time since the last pause began.
         wait: ServiceWait,
-        /// The route's objective.
+        /// The time within which a response of the route counts as on time.
         objective: Duration,
     },
-    /// All upstreams of the service limit themselves.
-    UpstreamsLimited {
-        /// When it is this caller's turn, after those that were refused before.
-        turn: Duration,
+    /// All upstreams of the service limit their request rate.
+    UpstreamsRateLimited {
+        /// The time until a permit is free for this caller, after the callers that were refused before.
+        permit_delay: Duration,
     },
 }
 
-/// The time after which the caller should retry.
+/// The time after which a refused caller should retry.
 pub fn retry_after(refusal: Refusal) -> Duration {
     match refusal {
-        Refusal::Starting => STARTING_WAIT,
-        Refusal::Stopping | Refusal::OutOfMemory => STOPPING_WAIT,
-        Refusal::NoRouterKnown => DIRECTORY_WAIT,
+        Refusal::Starting => STARTING_RETRY_AFTER,
+        Refusal::Stopping | Refusal::BufferMemoryFull => OTHER_ROUTER_RETRY_AFTER,
+        Refusal::NoReadyRouter => DIRECTORY_RETRY_AFTER,
         Refusal::NoUpstream { objective } => {
-            let wait = objective.mul_f64(OBJECTIVE_SHARE);
-            wait.clamp(MIN_WAIT, MAX_WAIT)
+            let wait = objective.mul_f64(RETRY_OBJECTIVE_FRACTION);
+            wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
         }
-        Refusal::UpstreamsWait { wait, objective } => {
-            // Earlier nobody serves it, however short its objective is; all at once, they would meet full upstreams.
-            let room = objective.saturating_sub(wait.left);
-            let later = wait.passed.min(room.mul_f64(RETURN_SHARE));
-            (wait.left + later).max(MIN_WAIT)
+        Refusal::UpstreamsPaused { wait, objective } => {
+            // Before the pause ends, no upstream serves the request, however short its objective is. If all callers
+            // retried when the pause ends, they would meet full upstreams.
+            let time_left = objective.saturating_sub(wait.left);
+            let spread = wait
+                .passed
+                .min(time_left.mul_f64(SPREAD_OBJECTIVE_FRACTION));
+            (wait.left + spread).max(MIN_RETRY_AFTER)
         }
-        Refusal::UpstreamsLimited { turn } => turn.max(MIN_WAIT),
+        Refusal::UpstreamsRateLimited { permit_delay } => permit_delay.max(MIN_RETRY_AFTER),
     }
 }
--- a/crates/router/cloverpier_router_policy/tests/events.rs
+++ b/crates/router/cloverpier_router_policy/tests/events.rs
@@ -1,4 +1,4 @@
-//! Events come out whole and in order, however their bytes arrive.
+//! Events are returned whole and in order, whatever the sizes of the pieces in which their bytes arrive.
 
 use cloverpier_router_policy::prelude::*;
 use quickcheck::quickcheck;
@@ -20,7 +20,7 @@
 }
 
 quickcheck! {
-    fn events_do_not_depend_on_how_bytes_arrive(count: u8, size: usize) -> bool {
+    fn events_do_not_depend_on_the_chunks_of_the_input(count: u8, size: usize) -> bool {
         let events: Vec<Vec<u8>> = (0..u64::from(count % 20)).map(|id| event(id, "text")).collect();
         let bytes = events.concat();
         let chunks: Vec<&[u8]> = bytes.chunks(size % 40 + 1).collect();
@@ -29,7 +29,7 @@
         same && !has_partial
     }
 
-    fn what_follows_the_last_whole_event_is_never_passed_on(cut: usize) -> bool {
+    fn a_partial_event_is_never_returned(cut: usize) -> bool {
         let whole = event(1, "first");
         let second = event(2, "second");
         let cut = cut % second.len();
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_stream_without_ends_of_events_is_an_error() {
+fn a_stream_without_event_boundaries_is_an_error() {
     let mut splitter = EventSplitter::default();
     let line = [b'x'; 4_096];
     let ended = (0..1_000).any(|_| splitter.push(&line).is_err());
--- a/crates/router/cloverpier_router_policy/tests/log_values.rs
+++ b/crates/router/cloverpier_router_policy/tests/log_values.rs
@@ -1,17 +1,17 @@
-//! Words of decisions as log lines have them; on-call engineers search for these.
+//! The values by which log lines name decisions do not change, as on-call engineers search for them.
 
 use cloverpier_router_policy::prelude::*;
 use serde::Serialize;
 
 #[track_caller]
-fn assert_written<T: Serialize>(values: &[T], words: &[&str]) {
+fn assert_log_values<T: Serialize>(values: &[T], expected: &[&str]) {
     let written: Vec<_> = values.iter().map(|v| serde_json::json!(v)).collect();
-    assert_eq!(written, words);
+    assert_eq!(written, expected);
 }
 
 #[test]
-fn decisions_are_logged_in_the_words_of_72eb395() {
-    assert_written(
+fn decisions_are_logged_under_stable_names() {
+    assert_log_values(
         &[
             AttemptOutcome::NotSent,
             AttemptOutcome::Misdirected,
@@ -21,7 +21,7 @@
         ],
         &["not-sent", "misdirected", "refused", "unknown", "failed"],
     );
-    assert_written(
+    assert_log_values(
         &[
             NextStep::Retry,
             NextStep::Refuse,
@@ -30,7 +30,7 @@
         ],
         &["send-again", "refuse", "fail", "pass-on"],
     );
-    assert_written(
+    assert_log_values(
         &[
             WatcherRole::Chosen,
             WatcherRole::Fallback,
--- a/crates/router/cloverpier_router_policy/tests/pace.rs
+++ b/crates/router/cloverpier_router_policy/tests/pace.rs
@@ -1,7 +1,9 @@
 //! Rules about time between routers, to the store, on connections and at the end.
 
-use cloverpier_router_policy::connection_reuse::{MAX_KEPT, is_reusable, kept_limit};
-use cloverpier_router_policy::deadline::CallerLimit;
+use cloverpier_router_policy::connection_reuse::{
+    MAX_IDLE_CONNECTIONS, idle_connection_limit, is_reusable,
+};
+use cloverpier_router_policy::deadline::CallerTimeout;
 use cloverpier_router_policy::first_read::{FirstRead, Starting, first_read};
 use cloverpier_router_policy::heartbeat::{HeartbeatTurn, change_peers, load_ttl, peer_timeout};
 use cloverpier_router_policy::lifecycle::{
@@ -57,11 +59,11 @@
 fn a_router_that_starts_holds_requests_unless_the_store_fails() {
     let started = Instant::now();
     let arrived = started + ms(100);
-    let until = holds_until(started, false, arrived, CallerLimit::Absent).unwrap();
+    let until = holds_until(started, false, arrived, CallerTimeout::Absent).unwrap();
     // 0.48 s after the start the last of 295 routers had its upstreams.
     assert!(until >= started + ms(500) && until <= started + ms(1_000));
     assert_eq!(
-        holds_until(started, true, arrived, CallerLimit::Absent),
+        holds_until(started, true, arrived, CallerTimeout::Absent),
         None
     );
 }
@@ -71,11 +73,11 @@
 fn a_request_is_held_no_longer_than_its_caller_waits() {
     let started = Instant::now();
     let arrived = started + ms(50);
-    let limit = CallerLimit::Within(ms(55));
+    let limit = CallerTimeout::Within(ms(55));
     let until = holds_until(started, false, arrived, limit).unwrap();
     assert!(until < arrived + ms(55), "it gets its answer");
     for limit in [ms(25_000), Duration::MAX] {
-        let patient = CallerLimit::Within(limit);
+        let patient = CallerTimeout::Within(limit);
         let until = holds_until(started, false, arrived, patient).unwrap();
         assert!(until >= started + ms(500) && until <= started + ms(1_000));
     }
@@ -231,16 +233,16 @@
 fn routers_together_keep_fewer_connections_than_an_upstream_takes() {
     for routers in [1, 8, 60, 295, 986] {
         for max_connections in [1, 32, 110, 370, 1_800] {
-            let kept = kept_limit(max_connections, routers);
-            assert!(kept <= MAX_KEPT);
+            let kept = idle_connection_limit(max_connections, routers);
+            assert!(kept <= MAX_IDLE_CONNECTIONS);
             assert!(
                 kept * routers <= max_connections as usize,
                 "{routers} {max_connections}"
             );
         }
     }
-    assert_eq!(kept_limit(1_800, 8), MAX_KEPT);
-    assert_eq!(kept_limit(1_800, 986), 1);
-    assert_eq!(kept_limit(110, 8), 10);
-    assert_eq!(kept_limit(0, 986), MAX_KEPT);
+    assert_eq!(idle_connection_limit(1_800, 8), MAX_IDLE_CONNECTIONS);
+    assert_eq!(idle_connection_limit(1_800, 986), 1);
+    assert_eq!(idle_connection_limit(110, 8), 10);
+    assert_eq!(idle_connection_limit(0, 986), MAX_IDLE_CONNECTIONS);
 }
--- a/crates/router/cloverpier_router_policy/tests/responses.rs
+++ b/crates/router/cloverpier_router_policy/tests/responses.rs
@@ -5,7 +5,7 @@
 use cloverpier_router_policy::attempt_failure::{
     RequestIdMatch, ResponseHead, check_response, may_mean_process_gone,
 };
-use cloverpier_router_policy::deadline::{CallerLimit, is_worth_sending};
+use cloverpier_router_policy::deadline::{CallerTimeout, has_time_to_send};
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::refusal::{Refusal, retry_after};
 use std::io::ErrorKind;
@@ -120,20 +120,20 @@
 #[test]
 fn a_request_has_the_shorter_of_the_callers_and_the_routes_timeout() {
     let route = Duration::from_secs(3);
-    let time = |text| CallerLimit::parse(text).time_on_route(route);
+    let time = |text| CallerTimeout::parse(text).effective_timeout(route);
     assert_eq!(time(Some("1500.5")), Duration::from_micros(1_500_500));
     assert_eq!(time(Some(" 9000 ")), route);
     assert_eq!(time(None), route);
     // The last of these is longer than a `Duration` can hold.
     for unreadable in ["soon", "-1", "NaN", "inf", "", "1e300"] {
         assert_eq!(
-            CallerLimit::parse(Some(unreadable)),
-            CallerLimit::Unreadable
+            CallerTimeout::parse(Some(unreadable)),
+            CallerTimeout::Unreadable
         );
         assert_eq!(time(Some(unreadable)), route);
     }
-    assert!(is_worth_sending(Duration::from_millis(5)));
-    assert!(!is_worth_sending(Duration::from_millis(4)));
+    assert!(has_time_to_send(Duration::from_millis(5)));
+    assert!(!has_time_to_send(Duration::from_millis(4)));
 }
 
 #[test]
--- a/crates/router/cloverpier_router_policy/tests/wait.rs
+++ b/crates/router/cloverpier_router_policy/tests/wait.rs
@@ -119,7 +119,7 @@
     assert_eq!((wait.left, wait.passed), (WAIT - WAIT / 3, WAIT / 3));
     // Nobody who comes too late for its objective is kept longer.
     let objective = WAIT / 2;
-    let refusal = Refusal::UpstreamsWait { wait, objective };
+    let refusal = Refusal::UpstreamsPaused { wait, objective };
     assert_eq!(retry_after(refusal), WAIT - WAIT / 3);
 }
 
@@ -132,7 +132,7 @@
             left: WAIT - passed,
             passed,
         };
-        retry_after(Refusal::UpstreamsWait { wait, objective })
+        retry_after(Refusal::UpstreamsPaused { wait, objective })
     };
     let returns: Vec<Duration> = (0..10)
         .map(|n| WAIT * n / 10 + after(WAIT * n / 10))
--- a/tools/src/return_play/mod.rs
+++ b/tools/src/return_play/mod.rs
@@ -24,13 +24,15 @@
 impl Returns {
     fn after(self, refusal: Refusal) -> Duration {
         let refusal = match (self, refusal) {
-            (Self::AtOnce, Refusal::UpstreamsWait { wait, objective }) => Refusal::UpstreamsWait {
-                wait: ServiceWait {
-                    passed: Duration::ZERO,
-                    ..wait
-                },
-                objective,
-            },
+            (Self::AtOnce, Refusal::UpstreamsPaused { wait, objective }) => {
+                Refusal::UpstreamsPaused {
+                    wait: ServiceWait {
+                        passed: Duration::ZERO,
+                        ..wait
+                    },
+                    objective,
+                }
+            }
             _ => refusal,
         };
         retry_after(refusal)
--- a/tools/src/return_play/world.rs
+++ b/tools/src/return_play/world.rs
@@ -228,7 +228,7 @@
             return Ok(index);
         }
         Err(match table.wait_of_service(&service, now) {
-            Some(wait) => Refusal::UpstreamsWait { wait, objective },
+            Some(wait) => Refusal::UpstreamsPaused { wait, objective },
             None => Refusal::NoUpstream { objective },
         })
     }
