--- a/crates/router/cloverpier_router_policy/tests/pace.rs
+++ b/crates/router/cloverpier_router_policy/tests/pace.rs
@@ -1,4 +1,4 @@
-//! Rules about time between routers, to the store, on connections and at the end.
+//! Timeouts and intervals: heartbeats between routers, startup, calls to the store, idle connections and shutdown.
 
 use cloverpier_router_policy::connection_reuse::{
     MAX_IDLE_CONNECTIONS, idle_connection_limit, is_reusable,
@@ -25,17 +25,17 @@
 }
 
 #[test]
-fn a_peer_may_miss_three_heartbeats_of_its_turn() {
+fn a_peer_is_live_until_three_of_its_heartbeats_are_lost() {
     assert_eq!(peer_timeout(ms(200), 8), ms(1_100));
     assert_eq!(peer_timeout(ms(400), 8), ms(1_200));
-    // 64 peers are four turns.
+    // A router sends to 64 peers in four rounds.
     assert_eq!(peer_timeout(ms(200), 64), ms(2_400));
     assert_eq!(load_ttl(ms(1_100)), ms(1_500));
     assert_eq!(load_ttl(ms(2_400)), ms(2_400));
 }
 
 #[test]
-fn heartbeats_reach_every_peer_in_turns() {
+fn heartbeats_reach_every_peer_in_rotation() {
     let mut turn = HeartbeatTurn::default();
     let all = peers(64);
     let reached: HashSet<SocketAddr> = (0..4)
@@ -47,20 +47,20 @@
 }
 
 #[test]
-fn changes_reach_a_bounded_number_of_peers() {
+fn a_change_is_sent_to_a_bounded_number_of_peers() {
     let mut rng = fastrand::Rng::with_seed(1);
     assert_eq!(change_peers(peers(96), &mut rng).len(), 96);
     assert_eq!(change_peers(peers(300), &mut rng).len(), 96);
 }
 
-/// After the loss of all routers callers came back while no router had its upstreams yet; turned
-/// away, most met another one that was not ready.
+/// Guards against refusals after the loss of all routers. Callers return before any router has its list of
+/// upstreams; a caller that is refused mostly retries at another router that is not ready.
 #[test]
-fn a_router_that_starts_holds_requests_unless_the_store_fails() {
+fn a_starting_router_holds_requests_unless_the_store_fails() {
     let started = Instant::now();
     let arrived = started + ms(100);
     let until = holds_until(started, false, arrived, CallerTimeout::Absent).unwrap();
-    // 0.48 s after the start the last of 295 routers had its upstreams.
+    // Of 295 routers that start together, the last one has its list of upstreams 0.48 s after the start.
     assert!(until >= started + ms(500) && until <= started + ms(1_000));
     assert_eq!(
         holds_until(started, true, arrived, CallerTimeout::Absent),
@@ -68,30 +68,35 @@
     );
 }
 
-/// A lookup that came back with 55 ms left was held until its caller had gone.
+/// Guards against requests that a starting router holds until their callers have left, such as a retried lookup with
+/// 55 ms left.
 #[test]
-fn a_request_is_held_no_longer_than_its_caller_waits() {
+fn a_request_is_held_no_longer_than_its_callers_timeout() {
     let started = Instant::now();
     let arrived = started + ms(50);
     let limit = CallerTimeout::Within(ms(55));
     let until = holds_until(started, false, arrived, limit).unwrap();
-    assert!(until < arrived + ms(55), "it gets its answer");
+    assert!(
+        until < arrived + ms(55),
+        "the hold ends before the caller's timeout"
+    );
     for limit in [ms(25_000), Duration::MAX] {
-        let patient = CallerTimeout::Within(limit);
-        let until = holds_until(started, false, arrived, patient).unwrap();
+        let long_timeout = CallerTimeout::Within(limit);
+        let until = holds_until(started, false, arrived, long_timeout).unwrap();
         assert!(until >= started + ms(500) && until <= started + ms(1_000));
     }
 }
 
 #[test]
-fn a_router_that_starts_hears_its_peers_before_it_watches() {
+fn a_starting_router_receives_heartbeats_before_it_watches_the_store() {
     let now = Instant::now();
-    // Two heartbeats of 200 ms; a change has to be in force within 2 s of its acceptance.
+    // The wait is at least two heartbeat intervals of 200 ms. A change of the configuration has to be in force within
+    // 2 s of its acceptance.
     assert!(watches_from(now) >= now + ms(400) && watches_from(now) <= now + ms(800));
 }
 
 #[test]
-fn a_fallback_calls_the_store_only_after_an_answered_ping() {
+fn a_fallback_watcher_calls_the_store_only_after_an_answered_ping() {
     assert!(may_call(WatcherRole::Chosen, false));
     assert!(!may_call(WatcherRole::Fallback, false));
     assert!(may_call(WatcherRole::Fallback, true));
@@ -99,7 +104,7 @@
 }
 
 #[test]
-fn routers_that_step_in_spread_their_first_pings_and_then_take_turns() {
+fn fallback_watchers_spread_their_first_pings_and_back_off() {
     let mut pacing = PingPacing::default();
     assert_eq!(pacing.pause(WatcherRole::Standby, 72, || 0.5), None);
     assert_eq!(pacing.pause(WatcherRole::Chosen, 72, || 0.5), Some(ms(250)));
@@ -118,7 +123,7 @@
         pacing.pause(WatcherRole::Fallback, 72, || 1.0),
         Some(ms(250))
     );
-    // Stepping in again begins anew, within a bound at any size.
+    // After a time as standby the first ping is spread again, over at most 150 ms at any fleet size.
     assert_eq!(pacing.pause(WatcherRole::Standby, 300, || 1.0), None);
     assert_eq!(
         pacing.pause(WatcherRole::Fallback, 300, || 1.0),
@@ -127,7 +132,7 @@
 }
 
 #[test]
-fn a_fallback_serves_peers_while_its_calls_are_fresh() {
+fn a_fallback_watcher_serves_peers_while_its_store_calls_are_recent() {
     let now = Instant::now();
     let later = now + ms(1_400);
     assert!(WatcherRole::Chosen.serves_peers(None, now));
@@ -136,14 +141,14 @@
 }
 
 #[test]
-fn a_connection_is_given_up_before_its_upstream_closes_it() {
+fn an_idle_connection_is_not_reused_shortly_before_its_upstream_closes_it() {
     assert!(is_reusable(ms(3_299), ms(4_000)));
     assert!(!is_reusable(ms(3_300), ms(4_000)));
     assert!(!is_reusable(ms(0), ms(700)));
 }
 
 #[test]
-fn a_stopping_router_serves_a_while_and_exits_before_it_is_killed() {
+fn a_router_that_shuts_down_serves_for_a_while_and_exits_before_it_is_killed() {
     let grace = ms(8_000);
     assert_eq!(stop_step(ms(3_499), 0, grace), StopStep::Serve);
     assert_eq!(stop_step(ms(3_500), 0, grace), StopStep::Exit);
@@ -159,20 +164,20 @@
 }
 
 #[test]
-fn a_stopping_router_leaves_streams_to_others_that_it_would_cut() {
+fn a_router_that_shuts_down_rejects_streams_that_it_would_cut_off() {
     let mut durations = StreamDurations::default();
     assert_eq!(durations.expected(), None);
     for duration in 1..=40 {
         durations.on_completed(ms(duration * 100));
     }
-    // The longest took 4 s; one may take a quarter more.
+    // The longest stream took 4 s; the estimate allows a quarter more.
     let expected = durations.expected();
     assert_eq!(expected, Some(ms(5_000)));
     let grace = ms(7_000);
     assert!(takes_streams(Some(ms(1_700)), expected, grace));
     assert!(!takes_streams(Some(ms(1_701)), expected, grace));
-    // Streams that take about the whole grace period are not taken at all, and short ones
-    // not for longer than callers need for another address.
+    // Streams that take about the whole grace period are rejected at once. Short streams are rejected once callers have
+    // had the time to switch to another address.
     assert!(!takes_streams(Some(ms(1)), Some(ms(6_700)), grace));
     assert!(takes_streams(Some(ms(2_500)), Some(ms(10)), grace));
     assert!(!takes_streams(Some(ms(2_501)), Some(ms(10)), grace));
@@ -189,7 +194,7 @@
 }
 
 #[test]
-fn seeds_read_at_once_and_routers_of_small_fleets_if_nothing_is_handed_on() {
+fn seeds_read_the_store_at_once_and_routers_of_small_fleets_after_a_delay() {
     let seed = Starting {
         is_seed: true,
         ..starting(ms(0), 985)
@@ -203,7 +208,7 @@
 }
 
 #[test]
-fn a_router_without_a_word_from_peers_reads_soon() {
+fn a_router_without_peers_reads_the_store_soon() {
     assert_eq!(
         first_read(&starting(ms(100), 0)),
         FirstRead::NotBefore(ms(250))
@@ -212,31 +217,35 @@
 }
 
 #[test]
-fn routers_of_a_large_fleet_wait_for_a_copy_and_few_read_if_none_comes() {
-    let one = |random, age| {
+fn in_a_large_fleet_few_routers_read_the_store_if_no_copy_arrives() {
+    let read_decision = |random, age| {
         first_read(&Starting {
             random,
             ..starting(age, 1_024)
         })
     };
-    // Three others come before it; then eight; then half of all.
-    assert_eq!(one(3.0 / 1_024.0, ms(0)), FirstRead::Now);
+    // The random number places three, then eight, then half of the routers before this one.
+    assert_eq!(read_decision(3.0 / 1_024.0, ms(0)), FirstRead::Now);
     let doubled = FirstRead::NotBefore(ms(4_500));
-    assert_eq!(one(8.0 / 1_024.0, ms(300)), doubled);
-    assert_eq!(one(8.0 / 1_024.0, ms(4_500)), FirstRead::Now);
-    assert_eq!(one(0.5, ms(5_000)), FirstRead::NotBefore(ms(13_500)));
-    assert_eq!(one(0.5, ms(13_500)), FirstRead::Now);
+    assert_eq!(read_decision(8.0 / 1_024.0, ms(300)), doubled);
+    assert_eq!(read_decision(8.0 / 1_024.0, ms(4_500)), FirstRead::Now);
+    assert_eq!(
+        read_decision(0.5, ms(5_000)),
+        FirstRead::NotBefore(ms(13_500))
+    );
+    assert_eq!(read_decision(0.5, ms(13_500)), FirstRead::Now);
 }
 
-/// Guards against upstreams that reset requests, as idle connections of all routers fill what they take.
+/// Guards against resets of requests by upstreams, because the idle connections of all routers use up the number of
+/// connections that an upstream accepts.
 #[test]
-fn routers_together_keep_fewer_connections_than_an_upstream_takes() {
+fn all_routers_together_keep_fewer_idle_connections_than_an_upstream_accepts() {
     for routers in [1, 8, 60, 295, 986] {
         for max_connections in [1, 32, 110, 370, 1_800] {
-            let kept = idle_connection_limit(max_connections, routers);
-            assert!(kept <= MAX_IDLE_CONNECTIONS);
+            let idle = idle_connection_limit(max_connections, routers);
+            assert!(idle <= MAX_IDLE_CONNECTIONS);
             assert!(
-                kept * routers <= max_connections as usize,
+                idle * routers <= max_connections as usize,
                 "{routers} {max_connections}"
             );
         }
