--- a/crates/router/cloverpier_router_policy/src/arrival.rs
+++ b/crates/router/cloverpier_router_policy/src/arrival.rs
@@ -26,7 +26,7 @@
     Starting,
     /// No route of the configuration matches the request's host and path.
     NoRoute,
-    /// The route requires a key, and the caller sent none or one of no client account.
+    /// The route requires a key, and the caller sent no key or a key that belongs to no client account.
     UnknownKey,
     /// The route names a service that the configuration does not contain.
     UnknownService,
--- a/crates/router/cloverpier_router_policy/src/attempt_failure.rs
+++ b/crates/router/cloverpier_router_policy/src/attempt_failure.rs
@@ -9,8 +9,8 @@
 //!   a message for logs and callers.
 //! - **Why.** Connections are reused, and upstreams crash in the middle of responses. So bytes that arrive
 //!   may belong to another request, to another process at the same address, or to no response at all. Only
-//!   an upstream's explicit declaration proves that a request which was sent did not run; in all other cases
-//!   the request may have run.
+//!   an explicit declaration by the responding process proves that a request which was sent did not run; in
+//!   all other cases the request may have run.
 //!
 //! No decision depends on the text of an error message: [`io::ErrorKind`] distinguishes connection errors.
 //! Relies only on the values passed in and owns no state.
@@ -86,7 +86,7 @@
     Unsigned,
     /// A response with a success status has a content encoding, although no caller asked for one.
     ContentEncoded,
-    /// The upstream responded with an error status of its own.
+    /// The upstream responded with an error status and did not declare that the request was not run.
     UpstreamError {
         /// The HTTP status of the response.
         status: u16,
--- a/crates/router/cloverpier_router_policy/src/attempts.rs
+++ b/crates/router/cloverpier_router_policy/src/attempts.rs
@@ -76,10 +76,11 @@
     Stop,
 }
 
-/// Maximum number of attempts of one request that never reach an upstream.
+/// Maximum number of attempts of one request that end as [`AttemptOutcome::NotSent`] or
+/// [`AttemptOutcome::Misdirected`].
 ///
 /// Such attempts put no load on upstreams, so they do not count against the route's limit on upstreams. This
-/// limit only ends the search when no address responds.
+/// limit only ends the search when every address is dead.
 const MAX_UNSENT: u32 = 12;
 
 /// The attempts of one request: how many reached an upstream, and whether one of them may have run it.
@@ -143,8 +144,9 @@
         }
     }
 
-    /// Whether a stream that makes progress may be moved to another upstream, as when the software
-    /// version of its upstream is about to be stopped. `try_take_retry` takes a retry from the budget and returns false if none is left.
+    /// Whether a stream that makes progress may be moved to another upstream, as when the software version of its
+    /// upstream is about to be shut down. `try_take_retry` takes a retry from the budget and returns false if none is
+    /// left.
     pub fn try_move(&mut self, try_take_retry: impl FnOnce() -> bool) -> bool {
         let is_allowed = self.rule == RetryRule::Resumable && self.sent < self.max_upstreams;
         let moves = is_allowed && try_take_retry();
--- a/crates/router/cloverpier_router_policy/src/budget.rs
+++ b/crates/router/cloverpier_router_policy/src/budget.rs
@@ -117,8 +117,8 @@
         SHARES_FRACTION * (own + slack)
     }
 
-    /// Whether this router may exceed its share: the fleet has spent little of the budget, and this router has
-    /// sent few retries since the oldest of its peers' reports.
+    /// Whether this router may exceed its share: the fleet has spent little of the budget, and this router has sent
+    /// few retries that its peers' reports may not contain yet.
     fn may_exceed_share(&self, share: f64, now: Instant, peers: &PeerBudgetUse) -> bool {
         let requests = self.requests.len() as f64 + f64::from(peers.total.requests);
         let retries = self.retries.len() as f64 + f64::from(peers.total.retries);
--- a/crates/router/cloverpier_router_policy/src/buffer_memory.rs
+++ b/crates/router/cloverpier_router_policy/src/buffer_memory.rs
@@ -21,12 +21,12 @@
 /// A request body up to this length is always buffered, whatever the sum is; most bodies are shorter.
 const SHORT_BODY_BYTES: u64 = 16 * 1024;
 
-/// The kind of body that is buffered.
+/// The kind of body that bytes belong to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BufferKind {
-    /// The body of a request that has not been sent.
+    /// The body of a request, which stays in memory for retries until the request ends.
     Body,
-    /// The body of a response that has not been passed on.
+    /// The bytes of a response that have not been passed on to the caller.
     Response,
 }
 
--- a/crates/router/cloverpier_router_policy/src/choice.rs
+++ b/crates/router/cloverpier_router_policy/src/choice.rs
@@ -24,7 +24,7 @@
 mod cost;
 
 pub(crate) use candidates::filtered;
-pub(crate) use cost::{fits, known_load};
+pub(crate) use cost::{estimated_load, fits};
 
 use crate::load::Load;
 use crate::load_query::ReportedLoad;
@@ -77,7 +77,8 @@
     pub reported: &'a ReportedLoad,
     /// The versions of the service's software that may get the request, in order of preference.
     pub versions: &'a VersionRule,
-    /// The upstreams that limit their own request rate, and those of them for which no permit can be had.
+    /// The upstreams that limit their own request rate. Those of them for which no permit is available are no
+    /// candidates.
     pub limits: &'a LimitedUpstreams,
     /// The current time, by which suspicions and other observations expire.
     pub now: Instant,
@@ -99,7 +100,7 @@
     None(NoUpstream),
 }
 
-/// Why no upstream gets an attempt.
+/// The reason why no upstream gets an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoUpstream {
     /// There are candidates, and none of them has a free slot or queue place.
@@ -183,7 +184,7 @@
     demand: &Demand<'_>,
     content: u64,
 ) -> Option<&'a UpstreamState> {
-    let requests = |s: &UpstreamState| known_load(table, demand, s).requests;
+    let requests = |s: &UpstreamState| estimated_load(table, demand, s).requests;
     let fewest = engines.iter().map(|s| requests(s)).min()?;
     let least = filtered(engines, |s| requests(s) == fewest);
     let ranked = rank(content, &least, |s| s.upstream.name.as_str());
@@ -208,8 +209,8 @@
     }
 }
 
-/// The engines of the first candidate group in order of estimated cost. Those of about the lowest cost come
-/// first, ordered by the prompt's hash, or at random where the request has no prompt hash.
+/// The engines of the first candidate group by estimated cost. The engines of about the lowest cost come first, in
+/// the order of the prompt's hash, or in random order for a request without a prompt; the others follow by cost.
 pub(crate) fn by_estimated_cost<'a>(
     table: &'a UpstreamTable,
     demand: &Demand<'_>,
@@ -274,7 +275,7 @@
     prompt: u64,
 ) -> Option<&'a UpstreamState> {
     let mut by_cost: Vec<(f64, &UpstreamState)> = engines.iter().map(|s| (cost(s), *s)).collect();
-    by_cost.sort_by(|(one, _), (other, _)| one.total_cmp(other));
+    by_cost.sort_by(|(a, _), (b, _)| a.total_cmp(b));
     let count = (by_cost.len() as f64 * RETRY_SPREAD_FRACTION).ceil() as usize;
     by_cost.truncate(count);
     let cheaper: Vec<&UpstreamState> = by_cost.into_iter().map(|(_, s)| s).collect();
--- a/crates/router/cloverpier_router_policy/src/choice/candidates.rs
+++ b/crates/router/cloverpier_router_policy/src/choice/candidates.rs
@@ -56,10 +56,10 @@
         let healthy = filtered(&unsuspected, |s| {
             !suspect_data_centres.contains(&s.upstream.data_centre)
         });
-        let elsewhere = filtered(&healthy, |s| {
+        let other_data_centres = filtered(&healthy, |s| {
             !failed_data_centres.contains(&&s.upstream.data_centre)
         });
-        groups.extend([elsewhere, healthy, unsuspected, usable]);
+        groups.extend([other_data_centres, healthy, unsuspected, usable]);
     }
     groups.retain(|group| !group.is_empty());
     if groups.is_empty() {
--- a/crates/router/cloverpier_router_policy/src/choice/cost.rs
+++ b/crates/router/cloverpier_router_policy/src/choice/cost.rs
@@ -2,7 +2,7 @@
 //!
 //! A cost stands for the time that the request would wait. It is counted in prompt tokens for model
 //! engines and in requests for plain upstreams. The parent module selects the candidates and compares their
-//! costs. Relies on the load that [`known_load`] returns. Owns no state.
+//! costs. Relies on the load that [`estimated_load`] returns. Owns no state.
 
 use super::Demand;
 use crate::load::Load;
@@ -37,7 +37,7 @@
 /// The load at an upstream. If the upstream replied to the attempt's load query, it is the reported load or
 /// this router's own load there, whichever is higher in each field, as a report is about 100 ms old. Otherwise
 /// it is the sum of this router's load and the load that peers reported.
-pub(crate) fn known_load(
+pub(crate) fn estimated_load(
     table: &UpstreamTable,
     demand: &Demand<'_>,
     state: &UpstreamState,
@@ -54,7 +54,7 @@
     demand: &Demand<'_>,
     state: &UpstreamState,
 ) -> bool {
-    let requests = known_load(table, demand, state).requests;
+    let requests = estimated_load(table, demand, state).requests;
     let slots = state.upstream.slots.max(1);
     match demand.engine_memory {
         Some(_) => requests < slots,
@@ -70,8 +70,8 @@
     state: &UpstreamState,
     memory: u64,
 ) -> bool {
-    let known = known_load(table, demand, state);
-    let used = f64::from(known.memory_tokens) + f64::from(demand.load.memory_tokens);
+    let load = estimated_load(table, demand, state);
+    let used = f64::from(load.memory_tokens) + f64::from(demand.load.memory_tokens);
     used <= memory as f64 * MAX_KV_CACHE_FRACTION
 }
 
@@ -112,7 +112,7 @@
     best_pace: f64,
     memory: u64,
 ) -> f64 {
-    let load = known_load(table, demand, state);
+    let load = estimated_load(table, demand, state);
     let unread = f64::from(load.unread_tokens) + f64::from(demand.load.unread_tokens);
     let running = f64::from(load.requests) * RUNNING_STREAM_COST_TOKENS;
     let mut cost = (unread + running) * slowness(state, best_pace).sqrt();
@@ -130,7 +130,7 @@
     state: &UpstreamState,
     best_pace: f64,
 ) -> f64 {
-    let requests = f64::from(known_load(table, demand, state).requests);
+    let requests = f64::from(estimated_load(table, demand, state).requests);
     let mut cost = requests + slowness(state, best_pace) - 1.0;
     cost += state.failure_rate * FAILURE_COST_REQUESTS;
     if state.upstream.data_centre != *demand.home {
--- a/crates/router/cloverpier_router_policy/src/load_query.rs
+++ b/crates/router/cloverpier_router_policy/src/load_query.rs
@@ -94,8 +94,8 @@
     peers: usize,
     rng: &mut fastrand::Rng,
 ) -> Vec<Upstream> {
-    let is_known = reaches_all_peers(peers) || demand.prompt_location.is_some();
-    if is_known || demand.engine_memory.is_none() {
+    let needs_no_query = reaches_all_peers(peers) || demand.prompt_location.is_some();
+    if needs_no_query || demand.engine_memory.is_none() {
         return Vec::new();
     }
     // A query counts against an upstream's request limit.
@@ -116,8 +116,8 @@
     peers: usize,
     rng: &mut fastrand::Rng,
 ) -> Option<Upstream> {
-    let is_known = reaches_all_peers(peers) || demand.prompt_location.is_some();
-    if is_known || demand.engine_memory.is_none() || !demand.limits.limits_any() {
+    let needs_no_query = reaches_all_peers(peers) || demand.prompt_location.is_some();
+    if needs_no_query || demand.engine_memory.is_none() || !demand.limits.limits_any() {
         return None;
     }
     let first = by_estimated_cost(table, demand, rng).into_iter().next()?;
--- a/crates/router/cloverpier_router_policy/src/replica.rs
+++ b/crates/router/cloverpier_router_policy/src/replica.rs
@@ -11,7 +11,7 @@
 //!
 //! Relies on the table of upstreams and on the estimates in [`crate::choice`]. Owns no state.
 
-use crate::choice::{Demand, filtered, fits, known_load};
+use crate::choice::{Demand, estimated_load, filtered, fits};
 use crate::permit::LimitedUpstreams;
 use crate::rollout::VersionRule;
 use crate::upstream::{StartNumber, Upstream, UpstreamState};
@@ -27,7 +27,7 @@
     rng: &mut fastrand::Rng,
 ) -> Option<Upstream> {
     let candidates = preferred(table, demand, primary);
-    let memory_at = |s: &UpstreamState| known_load(table, demand, s).memory_tokens;
+    let memory_at = |s: &UpstreamState| estimated_load(table, demand, s).memory_tokens;
     let least = candidates.iter().map(|s| memory_at(s)).min()?;
     let most = least.saturating_add(demand.load.memory_tokens);
     let about_equally_empty = candidates.into_iter().filter(|s| memory_at(s) <= most);
