--- a/crates/router/cloverpier_router_policy/src/choice/cost.rs
+++ b/crates/router/cloverpier_router_policy/src/choice/cost.rs
@@ -64,7 +64,7 @@
 
 /// Whether the tokens that the request adds fit into an engine's KV cache of `memory` tokens, up to
 /// [`MAX_KV_CACHE_FRACTION`].
-pub(crate) fn fits(
+pub(crate) fn fits_kv_cache(
     table: &UpstreamTable,
     demand: &Demand<'_>,
     state: &UpstreamState,
@@ -117,7 +117,7 @@
     let running = f64::from(load.requests) * RUNNING_STREAM_COST_TOKENS;
     let mut cost = (unread + running) * slowness(state, best_pace).sqrt();
     cost *= 1.0 + state.failure_rate;
-    if !fits(table, demand, state, memory) {
+    if !fits_kv_cache(table, demand, state, memory) {
         cost += KV_CACHE_OVERFLOW_COST_TOKENS;
     }
     cost
--- a/crates/router/cloverpier_router_policy/src/prompt_locations.rs
+++ b/crates/router/cloverpier_router_policy/src/prompt_locations.rs
@@ -18,7 +18,7 @@
 /// Maximum number of locations, which take about a megabyte.
 const MAX_LOCATIONS: usize = 20_000;
 
-/// Identifies a prompt by a hash of the portion of its text that no other prompt shares.
+/// Identifies a prompt by the hash of the part of the prompt that no other prompt shares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(transparent)]
 pub struct PromptKey(pub u64);
--- a/crates/router/cloverpier_router_policy/src/prompt_search.rs
+++ b/crates/router/cloverpier_router_policy/src/prompt_search.rs
@@ -20,10 +20,10 @@
 use std::time::{Duration, Instant};
 
 /// Upper bound on the time that a request waits for a search.
-const MAX_WAIT: Duration = Duration::from_millis(250);
+const MAX_SEARCH_WAIT: Duration = Duration::from_millis(250);
 /// Upper bound on the wait as a fraction of the time that the request has left: a request with little time left
 /// is sent to any engine rather than held.
-const MAX_WAIT_SHARE: f64 = 0.1;
+const MAX_SEARCH_WAIT_FRACTION: f64 = 0.1;
 /// Minimum time between two queries to the same engine; a response lists all prompts that the engine has read.
 const REQUERY_INTERVAL: Duration = Duration::from_secs(10);
 /// Maximum number of open queries of one router.
@@ -39,7 +39,9 @@
 
 /// The time that a request waits for a search, given the time that it has left until its deadline.
 pub fn search_timeout(time_left: Duration) -> Duration {
-    time_left.mul_f64(MAX_WAIT_SHARE).min(MAX_WAIT)
+    time_left
+        .mul_f64(MAX_SEARCH_WAIT_FRACTION)
+        .min(MAX_SEARCH_WAIT)
 }
 
 /// The usable engines of a service, ordered by decreasing likelihood that they have read a prompt.
@@ -66,8 +68,7 @@
 }
 
 impl SearchState {
-    /// Begins a query unless the engine was queried within [`REQUERY_INTERVAL`]; returns whether the query is to be
-    /// sent.
+    /// Begins a query unless the engine was queried within the last 10 s; returns whether the query is to be sent.
     pub fn begin(&mut self, engine: UpstreamKey, now: Instant) -> bool {
         self.queried_at
             .retain(|_, at| now.saturating_duration_since(*at) < REQUERY_INTERVAL);
@@ -94,7 +95,7 @@
         self.open_queries < MAX_CONCURRENT_QUERIES
     }
 
-    /// Number of engines that were queried within [`REQUERY_INTERVAL`] before the last query began, for logs.
+    /// Number of engines that were queried in the 10 s before the latest call of [`Self::begin`], for logs.
     pub fn recently_queried(&self) -> usize {
         self.queried_at.len()
     }
--- a/crates/router/cloverpier_router_policy/src/replica.rs
+++ b/crates/router/cloverpier_router_policy/src/replica.rs
@@ -11,7 +11,7 @@
 //!
 //! Relies on the table of upstreams and on the estimates in [`crate::choice`]. Owns no state.
 
-use crate::choice::{Demand, estimated_load, filtered, fits};
+use crate::choice::{Demand, estimated_load, filtered, fits_kv_cache};
 use crate::permit::LimitedUpstreams;
 use crate::rollout::VersionRule;
 use crate::upstream::{StartNumber, Upstream, UpstreamState};
@@ -26,7 +26,7 @@
     primary: &Upstream,
     rng: &mut fastrand::Rng,
 ) -> Option<Upstream> {
-    let candidates = preferred(table, demand, primary);
+    let candidates = replica_candidates(table, demand, primary);
     let memory_at = |s: &UpstreamState| estimated_load(table, demand, s).memory_tokens;
     let least = candidates.iter().map(|s| memory_at(s)).min()?;
     let most = least.saturating_add(demand.load.memory_tokens);
@@ -76,7 +76,7 @@
 /// The engines that have enough free KV cache for a replica, from the first of these lists that is not empty:
 /// engines in another data centre that does not seem dead and that responded to a load query; engines in another
 /// data centre that does not seem dead; engines in another data centre; engines in any data centre.
-fn preferred<'a>(
+fn replica_candidates<'a>(
     table: &'a UpstreamTable,
     demand: &Demand<'_>,
     primary: &Upstream,
@@ -91,7 +91,7 @@
         .filter(|s| demand.versions.takes_replica(s))
         // Copying a KV cache would add load at an engine that limits its request rate.
         .filter(|s| !demand.limits.is_limited(s.key))
-        .filter(|s| fits(table, demand, s, memory))
+        .filter(|s| fits_kv_cache(table, demand, s, memory))
         .collect();
     let suspect_data_centres = table.suspect_data_centres(demand.service, demand.now);
     let is_remote = |s: &UpstreamState| s.upstream.data_centre != primary.data_centre;
