--- a/crates/router/cloverpier_router/src/outcome.rs
+++ b/crates/router/cloverpier_router/src/outcome.rs
@@ -31,7 +31,7 @@
     pub fn after(failure: &AttemptFailure, next: NextStep) -> Self {
         Self {
             next,
-            is_late: failure.is_late(),
+            is_late: failure.is_past_deadline(),
             reason: failure.to_string(),
             no_upstream: None,
         }
@@ -40,7 +40,7 @@
     /// A request that no upstream can be given.
     pub fn without_upstream(attempts: &Attempts, no_upstream: NoUpstream) -> Self {
         Self {
-            next: attempts.give_up(),
+            next: attempts.final_step(),
             is_late: false,
             reason: "no server takes the request".to_owned(),
             no_upstream: Some(no_upstream),
@@ -84,13 +84,15 @@
 
     /// Why the request is refused, as that decides when its caller should retry.
     fn refusal(&self, router: &Router, request: &RelayRequest) -> Refusal {
-        if let Some(NoUpstream::AllLimited { retry }) = self.no_upstream {
-            return Refusal::UpstreamsLimited { turn: retry };
+        if let Some(NoUpstream::AllRateLimited { retry }) = self.no_upstream {
+            return Refusal::UpstreamsRateLimited {
+                permit_delay: retry,
+            };
         }
         let table = router.upstreams.borrow();
         let objective = request.route.objective;
         match table.wait_of_service(&request.service.name, router.now()) {
-            Some(wait) => Refusal::UpstreamsWait { wait, objective },
+            Some(wait) => Refusal::UpstreamsPaused { wait, objective },
             None => Refusal::NoUpstream { objective },
         }
     }
@@ -100,8 +102,10 @@
         match self.no_upstream {
             Some(NoUpstream::AllFull) => "all servers are full",
             Some(NoUpstream::NoneUsable) => "no server is usable",
-            Some(NoUpstream::AllWait) => "all servers want nothing for now",
-            Some(NoUpstream::AllLimited { .. }) => "all servers limit themselves, and have no room",
+            Some(NoUpstream::AllPaused) => "all servers want nothing for now",
+            Some(NoUpstream::AllRateLimited { .. }) => {
+                "all servers limit themselves, and have no room"
+            }
             None => &self.reason,
         }
     }
--- a/crates/router/cloverpier_router/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -23,7 +23,7 @@
 use bytes::{Bytes, BytesMut};
 use cloverpier_core::UpstreamName;
 use cloverpier_crashes::Admission;
-use cloverpier_router_policy::held_memory::HeldFor;
+use cloverpier_router_policy::buffer_memory::BufferKind;
 use cloverpier_router_policy::permit::PermitSearch;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::rollout::evidence::Measure;
@@ -181,7 +181,7 @@
             tried: &self.tried,
             connected: &connected,
             now,
-            apart: None,
+            suspect_content: None,
             overcommit: false,
             reported: &ReportedLoad::default(),
             versions: &versions,
@@ -256,7 +256,7 @@
             stop: None,
         };
         let mut held = BytesMut::new();
-        let mut counted = HeldBytes::new(&self.router.held_memory, HeldFor::Answer);
+        let mut counted = HeldBytes::new(&self.router.held_memory, BufferKind::Response);
         while let Some(data) = next_data(&awaited, liveness, &mut body).await? {
             liveness.on_event(self.router.now());
             let is_room = counted.try_grow(data.len());
@@ -307,7 +307,7 @@
         let try_take = || self.router.try_take_retry(&upstream.service, now);
         let next = self
             .attempts
-            .on_outcome(outcome, !failure.is_late(), try_take);
+            .on_outcome(outcome, !failure.is_past_deadline(), try_take);
         let attempt = FailedAttempt {
             upstream: Some(&upstream.name),
             failure,
@@ -340,7 +340,7 @@
         None => Ok(None),
         // A frame without data holds trailers, which are not passed on.
         Some(Ok(frame)) => Ok(Some(frame.into_data().unwrap_or_default())),
-        Some(Err(e)) => Err(AttemptFailure::AnswerBroke {
+        Some(Err(e)) => Err(AttemptFailure::ResponseBroken {
             error: e.to_string(),
         }),
     }
--- a/crates/router/cloverpier_router/src/send.rs
+++ b/crates/router/cloverpier_router/src/send.rs
@@ -18,10 +18,12 @@
 use crate::wait::{Awaited, while_alive};
 use cloverpier_core::ServiceName;
 use cloverpier_router_policy::attempt_failure::{
-    AnswerHead, AnswerId, check_answer, may_mean_process_gone,
+    RequestIdMatch, ResponseHead, check_response, may_mean_process_gone,
 };
-use cloverpier_router_policy::connection_reuse::{CONNECT_TIMEOUT, DEFAULT_IDLE_LIMIT, kept_limit};
-use cloverpier_router_policy::deadline::is_worth_sending;
+use cloverpier_router_policy::connection_reuse::{
+    CONNECT_TIMEOUT, DEFAULT_IDLE_TIMEOUT, idle_connection_limit,
+};
+use cloverpier_router_policy::deadline::has_time_to_send;
 use cloverpier_router_policy::prelude::*;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -75,8 +77,8 @@
         let mut connection = connect(router, request, upstream).await?;
         let is_kept = connection.requests > 0;
         let now = router.now();
-        if !is_worth_sending(request.time_left(now)) {
-            return Err(AttemptFailure::LateUnsent);
+        if !has_time_to_send(request.time_left(now)) {
+            return Err(AttemptFailure::DeadlinePassedUnsent);
         }
         let message = message(router, request, upstream, extras, now)?;
         let awaited = Awaited {
@@ -115,7 +117,7 @@
     if may_be_gone || !broke.was_unsent {
         probe::probe(router, upstream, health, now);
     }
-    AttemptFailure::SendBroke {
+    AttemptFailure::BrokenBeforeResponse {
         was_unsent: broke.was_unsent,
         error,
     }
@@ -137,7 +139,7 @@
     let opened = Connection::open(
         upstream.address,
         timeout,
-        DEFAULT_IDLE_LIMIT,
+        DEFAULT_IDLE_TIMEOUT,
         &router.timers,
     )
     .await;
@@ -166,7 +168,7 @@
         .method(request.method.clone())
         .uri(request.target.as_str());
     let message = message.body(Full::new(request.body.clone()));
-    let mut message = message.map_err(|e| AttemptFailure::NotWritten {
+    let mut message = message.map_err(|e| AttemptFailure::InvalidMessage {
         error: e.to_string(),
     })?;
     let headers = message.headers_mut();
@@ -190,7 +192,7 @@
             headers.insert(name.clone(), value);
             Ok(())
         }
-        Err(e) => Err(AttemptFailure::NotWritten {
+        Err(e) => Err(AttemptFailure::InvalidMessage {
             error: format!("{name}: {e}"),
         }),
     };
@@ -224,7 +226,7 @@
     let (head, body) = response.into_parts();
     let is_first_on_connection = connection.requests == 1;
     let seen = answer_head(router, request, &head, is_first_on_connection);
-    let verdict = check_answer(&seen);
+    let verdict = check_response(&seen);
     let said = router.hear_reply(call, &head, &verdict);
     if verdict == Err(AttemptFailure::Misdirected) {
         on_misdirected(router, call.upstream, &said);
@@ -250,18 +252,18 @@
     request: &RelayRequest,
     head: &Parts,
     is_first_on_connection: bool,
-) -> AnswerHead {
+) -> ResponseHead {
     let names = &router.wire_names.headers;
     let id = match text_of(&head.headers, &names.request_id) {
-        None => AnswerId::Missing,
-        Some(id) if id == request.id => AnswerId::Same,
-        Some(_) => AnswerId::Other,
+        None => RequestIdMatch::Missing,
+        Some(id) if id == request.id => RequestIdMatch::Same,
+        Some(_) => RequestIdMatch::Other,
     };
-    AnswerHead {
+    ResponseHead {
         status: head.status.as_u16(),
         id,
         is_first_on_connection,
-        says_not_run: head.headers.contains_key(&names.not_run),
+        is_marked_not_run: head.headers.contains_key(&names.not_run),
         is_signed: head.headers.contains_key(&names.signature),
         is_encoded: head.headers.contains_key(CONTENT_ENCODING),
     }
@@ -296,5 +298,7 @@
     let configuration = router.store.configuration();
     let service = configuration.and_then(|c| c.service(service).cloned());
     let routers = router.peers.count() + 1;
-    service.map_or(0, |service| kept_limit(service.max_connections, routers))
+    service.map_or(0, |service| {
+        idle_connection_limit(service.max_connections, routers)
+    })
 }
--- a/crates/router/cloverpier_router_policy/src/lifecycle.rs
+++ b/crates/router/cloverpier_router_policy/src/lifecycle.rs
@@ -13,7 +13,7 @@
 //!
 //! [`StreamDurations`] owns the durations of recent streams.
 
-use crate::deadline::CallerLimit;
+use crate::deadline::CallerTimeout;
 use crate::peers::PeerState;
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -65,13 +65,13 @@
     started: Instant,
     store_calls_fail: bool,
     arrived: Instant,
-    limit: CallerLimit,
+    limit: CallerTimeout,
 ) -> Option<Instant> {
     let startup_deadline = started + MAX_STARTUP_HOLD;
     let caller_deadline = match limit {
         // A limit beyond what `Instant` can represent counts as absent.
-        CallerLimit::Within(limit) => arrived.checked_add(limit.mul_f64(HOLD_FRACTION)),
-        CallerLimit::Absent | CallerLimit::Unreadable => None,
+        CallerTimeout::Within(limit) => arrived.checked_add(limit.mul_f64(HOLD_FRACTION)),
+        CallerTimeout::Absent | CallerTimeout::Unreadable => None,
     };
     (!store_calls_fail)
         .then_some(caller_deadline.map_or(startup_deadline, |at| startup_deadline.min(at)))
--- a/crates/router/cloverpier_router_policy/src/rollout/evidence/own.rs
+++ b/crates/router/cloverpier_router_policy/src/rollout/evidence/own.rs
@@ -204,23 +204,23 @@
     match failure {
         AttemptFailure::UpstreamError { .. }
         | AttemptFailure::NotRun { .. }
-        | AttemptFailure::OtherRequest
+        | AttemptFailure::RequestIdMismatch
         | AttemptFailure::Unsigned
-        | AttemptFailure::Encoded
+        | AttemptFailure::ContentEncoded
         | AttemptFailure::EndedInsideEvent
         | AttemptFailure::EventTooLong
         | AttemptFailure::Stalled => FailureClass::Bad,
-        AttemptFailure::SendBroke { .. }
-        | AttemptFailure::AnswerBroke { .. }
-        | AttemptFailure::FailureBroke { .. }
-        | AttemptFailure::StreamBroke { .. }
-        | AttemptFailure::LateSent => FailureClass::BadIfAlive,
+        AttemptFailure::BrokenBeforeResponse { .. }
+        | AttemptFailure::ResponseBroken { .. }
+        | AttemptFailure::ErrorResponseBroken { .. }
+        | AttemptFailure::StreamBroken { .. }
+        | AttemptFailure::DeadlinePassedSent => FailureClass::BadIfAlive,
         AttemptFailure::NotConnected { .. }
-        | AttemptFailure::NotWritten { .. }
+        | AttemptFailure::InvalidMessage { .. }
         | AttemptFailure::Misdirected
-        | AttemptFailure::NoSource
+        | AttemptFailure::NoCurrentUpstream
         | AttemptFailure::UpstreamDead
         | AttemptFailure::Stopped
-        | AttemptFailure::LateUnsent => FailureClass::Ignored,
+        | AttemptFailure::DeadlinePassedUnsent => FailureClass::Ignored,
     }
 }
--- a/crates/router/cloverpier_router_policy/src/statement.rs
+++ b/crates/router/cloverpier_router_policy/src/statement.rs
@@ -74,7 +74,7 @@
     validity: &Result<(), AttemptFailure>,
 ) -> Sender {
     match validity {
-        Err(AttemptFailure::OtherRequest) => Sender::Unknown,
+        Err(AttemptFailure::RequestIdMismatch) => Sender::Unknown,
         Err(AttemptFailure::Misdirected) => match &statement.name {
             Some(name) if name != addressee => Sender::Other(name.clone()),
             _ => Sender::Unknown,
--- a/crates/router/cloverpier_router_policy/src/upstream_table.rs
+++ b/crates/router/cloverpier_router_policy/src/upstream_table.rs
@@ -160,7 +160,7 @@
 
     /// This router's own load at each upstream where it has requests in flight.
     pub fn own_load(&self) -> Vec<(UpstreamKey, Load)> {
-        let busy = self.upstreams.values().filter(|s| !s.own_load.is_none());
+        let busy = self.upstreams.values().filter(|s| !s.own_load.is_zero());
         busy.map(|s| (s.key, s.own_load)).collect()
     }
 
@@ -380,7 +380,7 @@
         let expired: Vec<UpstreamName> = self
             .upstreams
             .values()
-            .filter(|s| s.own_load.is_none())
+            .filter(|s| s.own_load.is_zero())
             .filter(|s| s.can_be_forgotten(now, DELISTED_RETENTION))
             .map(|s| s.upstream.name.clone())
             .collect();
--- a/crates/router/cloverpier_router_policy/tests/leaving.rs
+++ b/crates/router/cloverpier_router_policy/tests/leaving.rs
@@ -53,7 +53,7 @@
         is_continuation: false,
         tried: &[],
         connected: &HashSet::new(),
-        apart: None,
+        suspect_content: None,
         overcommit: false,
         reported: &ReportedLoad::default(),
         versions: &VersionRule::ANY,
@@ -237,7 +237,7 @@
     assert_eq!(sender_of(misdirected(), Some("a")), Sender::Unknown);
     assert_eq!(sender_of(misdirected(), Some("b")), other);
     // The sender of a response to another request is unknown.
-    let other_request = Err(AttemptFailure::OtherRequest);
+    let other_request = Err(AttemptFailure::RequestIdMismatch);
     assert_eq!(sender_of(other_request, Some("a")), Sender::Unknown);
 }
 
--- a/crates/router/cloverpier_router_policy/tests/rollout.rs
+++ b/crates/router/cloverpier_router_policy/tests/rollout.rs
@@ -268,7 +268,7 @@
         is_target: true,
         route: ROUTE,
     };
-    let broken_attempt = AttemptFailure::SendBroke {
+    let broken_attempt = AttemptFailure::BrokenBeforeResponse {
         was_unsent: false,
         error: "reset".to_owned(),
     };
--- a/crates/router/cloverpier_router_policy/tests/upstreams.rs
+++ b/crates/router/cloverpier_router_policy/tests/upstreams.rs
@@ -52,7 +52,7 @@
         is_continuation: false,
         tried,
         connected: &HashSet::new(),
-        apart: None,
+        suspect_content: None,
         overcommit: false,
         reported: &NO_REPORTED_LOAD,
         versions: &ANY_VERSION,
@@ -180,7 +180,9 @@
     assert_eq!(table.peer_load.at(key), Load::default());
     table.peer_load.on_report(peer, vec![(key, load)], now);
     let later = now + Duration::from_secs(5);
-    table.peer_load.forget_old(later, Duration::from_secs(1));
+    table
+        .peer_load
+        .remove_expired(later, Duration::from_secs(1));
     assert_eq!(table.peer_load.at(key), Load::default());
 }
 
@@ -199,7 +201,7 @@
         is_continuation: false,
         tried: &[],
         connected: &HashSet::new(),
-        apart: None,
+        suspect_content: None,
         overcommit: false,
         reported: &NO_REPORTED_LOAD,
         versions: &ANY_VERSION,
@@ -320,7 +322,7 @@
         is_continuation: false,
         tried: &[],
         connected,
-        apart: None,
+        suspect_content: None,
         overcommit: false,
         reported: &NO_REPORTED_LOAD,
         versions: &ANY_VERSION,
--- a/crates/router/cloverpier_router_policy/tests/wait.rs
+++ b/crates/router/cloverpier_router_policy/tests/wait.rs
@@ -46,7 +46,7 @@
         is_continuation: false,
         tried: &tried,
         connected: &HashSet::new(),
-        apart: None,
+        suspect_content: None,
         overcommit: false,
         reported: &ReportedLoad::default(),
         versions: &VersionRule::ANY,
@@ -109,7 +109,10 @@
     table.on_wait(&"a".into(), 2 * WAIT, now);
     assert_eq!(table.wait_of_service(&service, now), None);
     table.on_wait(&"b".into(), WAIT, now);
-    assert_eq!(choose(&table, &[], now), Choice::None(NoUpstream::AllWait));
+    assert_eq!(
+        choose(&table, &[], now),
+        Choice::None(NoUpstream::AllPaused)
+    );
     let wait = table.wait_of_service(&service, now).unwrap();
     assert_eq!((wait.remaining, wait.elapsed), (WAIT, Duration::ZERO));
     let later = now + WAIT / 3;
@@ -117,7 +120,7 @@
     assert_eq!((wait.remaining, wait.elapsed), (WAIT - WAIT / 3, WAIT / 3));
     // A caller whose objective ends before the wait gets no extra delay.
     let objective = WAIT / 2;
-    let refusal = Refusal::UpstreamsWait { wait, objective };
+    let refusal = Refusal::UpstreamsPaused { wait, objective };
     assert_eq!(retry_after(refusal), WAIT - WAIT / 3);
 }
 
@@ -131,7 +134,7 @@
             remaining: WAIT - elapsed,
             elapsed,
         };
-        retry_after(Refusal::UpstreamsWait { wait, objective })
+        retry_after(Refusal::UpstreamsPaused { wait, objective })
     };
     // Ten callers are refused at regular intervals during the wait.
     let retry_times: Vec<Duration> = (0..10)
