--- a/crates/router/cloverpier_router/src/limit_reports.rs
+++ b/crates/router/cloverpier_router/src/limit_reports.rs
@@ -7,7 +7,7 @@
 use crate::peer_messages::{LimitReports, PeerMessage};
 use crate::router::Router;
 use cloverpier_router_policy::dissemination::{is_repeated, may_have_missed, sends_missed};
-use cloverpier_router_policy::limit::{LimitReport, in_messages};
+use cloverpier_router_policy::limit::{LimitReport, split_into_messages};
 use cloverpier_router_policy::prelude::*;
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -71,7 +71,7 @@
 
 fn send(router: &Router, reports: &[LimitReport], to: &Recipients) {
     let sender = router.settings().listen.peers;
-    for limits in in_messages(reports) {
+    for limits in split_into_messages(reports) {
         let reports = PeerMessage::Limits(LimitReports { sender, limits });
         router.peers.outbox.send(reports, to.clone());
     }
--- a/crates/router/cloverpier_router/src/statements.rs
+++ b/crates/router/cloverpier_router/src/statements.rs
@@ -13,7 +13,7 @@
 use crate::upstream_limits::LimitAnswer;
 use crate::via::Via;
 use crate::wire_names::AnswerParts;
-use cloverpier_router_policy::limit::WrittenBetween;
+use cloverpier_router_policy::limit::ResponseInterval;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::statement::{
     Sender, sender_of_query_response, sender_of_request_response,
@@ -134,9 +134,9 @@
         upstream,
         said: said.limit,
         would_name: has_run,
-        written: WrittenBetween {
-            sent: call.sent,
-            heard: router.now(),
+        written: ResponseInterval {
+            request_sent_at: call.sent,
+            response_received_at: router.now(),
         },
         via: call.via,
     });
--- a/crates/router/cloverpier_router/src/upstream_limits/learn.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/learn.rs
@@ -7,7 +7,7 @@
 use crate::decision_log::LimitLearned;
 use crate::via::Via;
 use cloverpier_router_policy::limit::{
-    LimitChange, LimitReport, LimitStatement, Rate, WrittenBetween,
+    LimitChange, LimitReport, LimitStatement, Rate, ResponseInterval,
 };
 use cloverpier_router_policy::prelude::{Upstream, UpstreamKey, UpstreamState};
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     /// Whether it would name a limit if there were one: only answers to requests have to.
     pub would_name: bool,
     /// When it was written.
-    pub written: WrittenBetween,
+    pub written: ResponseInterval,
     /// The call.
     pub via: Via<'a>,
 }
@@ -40,7 +40,7 @@
 impl UpstreamLimits {
     /// Applies what an answer says of its sender's limit; returns what is to be sent to all peers at once.
     pub fn on_answer(&self, answer: &LimitAnswer<'_>) -> Option<LimitReport> {
-        let now = answer.written.heard;
+        let now = answer.written.response_received_at;
         let key = UpstreamKey::of(&answer.upstream.name);
         let mut permits = self.permits.borrow_mut();
         let change = permits.on_statement(key, answer.said, answer.would_name, answer.written, now);
@@ -73,7 +73,7 @@
         let is_update = reported.is_worth_a_report(report.upstream, change, now);
         drop(reported);
         if let Some(state) = state.filter(|_| is_update) {
-            let source = LimitSource::Peer(peer, report.heard_age_ms);
+            let source = LimitSource::Peer(peer, report.response_age_ms);
             self.note(&state.upstream, change, source, now);
         }
         is_update
@@ -99,7 +99,7 @@
     /// Forgets the limit of an upstream that has started again.
     pub fn forget(&self, upstream: &Upstream) {
         let key = UpstreamKey::of(&upstream.name);
-        self.permits.borrow_mut().limits_mut().forget(key);
+        self.permits.borrow_mut().limits_mut().remove(key);
     }
 
     /// Forgets the limits of upstreams that are not known any more.
@@ -117,8 +117,8 @@
         now: Instant,
     ) {
         let (kind, from, to) = match change {
-            LimitChange::Nothing => return,
-            LimitChange::Begun(rate) => ("begun", None, Some(rate)),
+            LimitChange::Unchanged => return,
+            LimitChange::Started(rate) => ("begun", None, Some(rate)),
             LimitChange::Changed { from, to } => ("changed", Some(from), Some(to)),
             LimitChange::Ended(rate) => ("ended", Some(rate), None),
         };
--- a/crates/router/cloverpier_router/src/upstream_limits/reported.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/reported.rs
@@ -28,8 +28,8 @@
         now: Instant,
     ) -> bool {
         match change {
-            LimitChange::Nothing => false,
-            LimitChange::Begun(rate) => {
+            LimitChange::Unchanged => false,
+            LimitChange::Started(rate) => {
                 self.rates.insert(upstream, (rate, now));
                 true
             }
--- a/crates/router/cloverpier_router/tests/limit_messages.rs
+++ b/crates/router/cloverpier_router/tests/limit_messages.rs
@@ -8,7 +8,7 @@
     LimitAsk, LimitReply, LimitReports, PeerMessage, decode, encode,
 };
 use cloverpier_router_policy::heartbeat::MAX_DATAGRAM;
-use cloverpier_router_policy::limit::{LimitReport, Rate, in_messages};
+use cloverpier_router_policy::limit::{LimitReport, Rate, split_into_messages};
 use cloverpier_router_policy::permit::{HandedOut, PermitRefusal, PermitReply, PermitRequest};
 use cloverpier_router_policy::prelude::UpstreamKey;
 use std::net::SocketAddr;
@@ -33,10 +33,10 @@
 fn report(upstream: u64, rate: Option<f64>) -> LimitReport {
     LimitReport {
         upstream: UpstreamKey(upstream),
-        born_ms: Some(1_790_000_000_000),
+        start_time_ms: Some(1_790_000_000_000),
         rate: rate.and_then(Rate::per_second),
-        sent_age_ms: 40,
-        heard_age_ms: 12,
+        request_age_ms: 40,
+        response_age_ms: 12,
     }
 }
 
@@ -92,12 +92,12 @@
 fn as_many_limits_as_one_message_holds_fit_into_a_datagram() {
     let longest = LimitReport {
         upstream: UpstreamKey(u64::MAX),
-        born_ms: Some(u64::MAX),
+        start_time_ms: Some(u64::MAX),
         rate: Rate::per_second(1_000_000.0),
-        sent_age_ms: u32::MAX,
-        heard_age_ms: u32::MAX,
+        request_age_ms: u32::MAX,
+        response_age_ms: u32::MAX,
     };
-    let messages = in_messages(&[longest; 500]);
+    let messages = split_into_messages(&[longest; 500]);
     assert!(messages.len() > 1);
     for limits in messages {
         let news = LimitReports {
--- a/crates/router/cloverpier_router_policy/src/limit/rate.rs
+++ b/crates/router/cloverpier_router_policy/src/limit/rate.rs
@@ -1,29 +1,31 @@
-//! A rate of requests, as upstreams name it and routers send it to each other.
+//! A rate of requests, as upstreams advertise it and as routers send it to each other.
 //!
-//! Whole thousandths, so that all routers compute the same from it; what cannot be meant is no rate. Owns
-//! the least and the highest rate that count.
+//! A rate is a whole number of thousandths of a request per second, so that all routers compute the same
+//! values from it. Owns the minimum and the maximum of a rate.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Thousandths of a request in one request.
+/// Thousandths in one request.
 const MILLI: f64 = 1_000.0;
-/// The least rate, in thousandths of a request a second. One that names less gets a request in ten
-/// seconds all the same, so that an answer can say when it takes more again.
+/// The minimum rate, in thousandths of a request per second. An upstream that advertises less still gets a
+/// request every ten seconds, so that a response can raise the limit again.
 const MIN_MILLI: u64 = 100;
-/// A rate beyond a million requests a second, in thousandths, is none that an upstream can mean.
+/// The maximum rate, in thousandths of a request per second: a million requests per second, more than any
+/// upstream accepts.
 const MAX_MILLI: u64 = 1_000_000_000;
 
-/// Requests a second, greater than 0.
+/// A number of requests per second, from 0.1 to a million.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "u64", into = "u64")]
 pub struct Rate {
-    /// In thousandths, so that rates can be compared exactly.
+    /// Thousandths of a request per second; an integer, so that rates can be compared exactly.
     milli: u64,
 }
 
 impl From<u64> for Rate {
-    /// A rate in thousandths of a request a second, as peers send it.
+    /// Converts thousandths of a request per second, as peers send them, and clamps them to the valid
+    /// range.
     fn from(milli: u64) -> Self {
         Self {
             milli: milli.clamp(MIN_MILLI, MAX_MILLI),
@@ -38,27 +40,27 @@
 }
 
 impl Rate {
-    /// A rate in requests a second; `None` for a negative one, one that is no number, and one beyond a
-    /// million. Zero counts as one request in ten seconds.
+    /// Converts requests per second; `None` for a negative number, NaN, and more than a million. Less than
+    /// 0.1, zero included, becomes 0.1: one request every ten seconds.
     pub fn per_second(rate: f64) -> Option<Self> {
         let milli = rate * MILLI;
-        let is_meant = (0.0..=MAX_MILLI as f64).contains(&milli);
-        is_meant.then(|| Self::from(milli as u64))
+        let is_valid = (0.0..=MAX_MILLI as f64).contains(&milli);
+        is_valid.then(|| Self::from(milli as u64))
     }
 
-    /// In requests a second.
+    /// The rate in requests per second.
     pub fn as_per_second(self) -> f64 {
         self.milli as f64 / MILLI
     }
 
-    /// So many times this rate, up to a million requests a second.
+    /// Multiplies the rate by `factor`, up to a million requests per second.
     #[must_use]
     pub fn times(self, factor: f64) -> Self {
-        // A product beyond what fits is more than the most, which it becomes.
+        // The cast saturates, so a product that does not fit becomes the maximum rate.
         Self::from((self.milli as f64 * factor) as u64)
     }
 
-    /// The time between two requests that come evenly.
+    /// The time between two requests that are sent evenly at this rate.
     pub fn interval(self) -> Duration {
         Duration::from_secs_f64(1.0 / self.as_per_second())
     }
--- a/crates/router/cloverpier_router_policy/src/permit.rs
+++ b/crates/router/cloverpier_router_policy/src/permit.rs
@@ -31,7 +31,7 @@
 pub use limiter::{Limiter, LimiterAnswer, LimiterMap, RouterPlace};
 pub use search::{PermitSearch, QUESTION_PATIENCE, patience};
 
-use crate::limit::{LimitChange, LimitReport, LimitStatement, StatedLimits, WrittenBetween};
+use crate::limit::{AdvertisedLimits, LimitChange, LimitReport, LimitStatement, ResponseInterval};
 use crate::upstream::UpstreamKey;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug)]
 pub struct Permits {
     own: SocketAddr,
-    limits: StatedLimits,
+    limits: AdvertisedLimits,
     limiter: Limiter,
     client: PermitClient,
     last_period: Option<Instant>,
@@ -54,7 +54,7 @@
     pub fn new(own: SocketAddr, now: Instant) -> Self {
         Self {
             own,
-            limits: StatedLimits::default(),
+            limits: AdvertisedLimits::default(),
             limiter: Limiter::new(own, now),
             client: PermitClient::default(),
             last_period: None,
@@ -62,12 +62,12 @@
     }
 
     /// The limits.
-    pub fn limits(&self) -> &StatedLimits {
+    pub fn limits(&self) -> &AdvertisedLimits {
         &self.limits
     }
 
     /// The limits, to forget some.
-    pub fn limits_mut(&mut self) -> &mut StatedLimits {
+    pub fn limits_mut(&mut self) -> &mut AdvertisedLimits {
         &mut self.limits
     }
 
@@ -78,14 +78,14 @@
         upstream: UpstreamKey,
         said: LimitStatement,
         would_name: bool,
-        written: WrittenBetween,
+        written: ResponseInterval,
         now: Instant,
     ) -> LimitChange {
         let limits = &mut self.limits;
         let change = match said {
-            LimitStatement::Named(rate) => limits.on_named(upstream, rate, written, now),
-            LimitStatement::Unnamed if would_name => limits.on_unnamed(upstream, written, now),
-            LimitStatement::Unnamed | LimitStatement::Unreadable => LimitChange::Nothing,
+            LimitStatement::Advertised(rate) => limits.on_advertised(upstream, rate, written, now),
+            LimitStatement::Absent if would_name => limits.on_absent(upstream, written, now),
+            LimitStatement::Absent | LimitStatement::Unreadable => LimitChange::Unchanged,
         };
         self.on_change(upstream, change);
         change
@@ -105,8 +105,8 @@
 
     fn on_change(&mut self, upstream: UpstreamKey, change: LimitChange) {
         let is_more = match change {
-            LimitChange::Nothing => false,
-            LimitChange::Begun(_) | LimitChange::Ended(_) => true,
+            LimitChange::Unchanged => false,
+            LimitChange::Started(_) | LimitChange::Ended(_) => true,
             LimitChange::Changed { from, to } => to > from,
         };
         if is_more {
--- a/crates/router/cloverpier_router_policy/tests/limit.rs
+++ b/crates/router/cloverpier_router_policy/tests/limit.rs
@@ -1,107 +1,127 @@
-//! What the answers of an upstream say of its limit, in whatever order they arrive.
+//! Rate limits that upstreams advertise: the effect of responses and of peers' reports that arrive in any
+//! order, and the valid range of a rate.
 
-use cloverpier_router_policy::limit::{LimitChange, Rate, StatedLimits, WrittenBetween};
+use cloverpier_router_policy::limit::{AdvertisedLimits, LimitChange, Rate, ResponseInterval};
 use cloverpier_router_policy::prelude::UpstreamKey;
 use quickcheck::quickcheck;
 use std::time::{Duration, Instant};
 
 const UPSTREAM: UpstreamKey = UpstreamKey(7);
-const LONG_AFTER: Duration = Duration::from_secs(30);
+const LONG: Duration = Duration::from_secs(30);
 
 fn rate(per_second: f64) -> Rate {
     Rate::per_second(per_second).unwrap()
 }
 
-/// An answer to a request that was sent and whose answer arrived so many ms after a moment.
-fn written(start: Instant, sent: u64, heard: u64) -> WrittenBetween {
+/// The interval of a response; `sent` and `received` are milliseconds after `start`.
+fn response(start: Instant, sent: u64, received: u64) -> ResponseInterval {
     let at = |ms| start + Duration::from_millis(ms);
-    WrittenBetween {
-        sent: at(sent),
-        heard: at(heard),
+    ResponseInterval {
+        request_sent_at: at(sent),
+        response_received_at: at(received),
     }
 }
 
-fn name(limits: &mut StatedLimits, per_second: f64, written: WrittenBetween) -> LimitChange {
-    limits.on_named(UPSTREAM, rate(per_second), written, written.heard)
+fn advertise(
+    limits: &mut AdvertisedLimits,
+    per_second: f64,
+    response: ResponseInterval,
+) -> LimitChange {
+    limits.on_advertised(
+        UPSTREAM,
+        rate(per_second),
+        response,
+        response.response_received_at,
+    )
 }
 
-fn name_none(limits: &mut StatedLimits, written: WrittenBetween) -> LimitChange {
-    limits.on_unnamed(UPSTREAM, written, written.heard)
+fn advertise_none(limits: &mut AdvertisedLimits, response: ResponseInterval) -> LimitChange {
+    limits.on_absent(UPSTREAM, response, response.response_received_at)
 }
 
-/// The rate long after all of it.
-fn rate_of(limits: &StatedLimits, start: Instant) -> Option<Rate> {
-    limits.rate(UPSTREAM, start + LONG_AFTER)
+/// The allowed rate 30 seconds after `start`, when slow start is over.
+fn rate_long_after(limits: &AdvertisedLimits, start: Instant) -> Option<Rate> {
+    limits.rate(UPSTREAM, start + LONG)
 }
 
 #[test]
-fn the_last_rate_that_was_named_holds() {
-    let (mut limits, start) = (StatedLimits::default(), Instant::now());
-    let mut named = |per_second, sent, heard| {
-        let written = written(start, sent, heard);
-        limits.on_named(UPSTREAM, rate(per_second), written, written.heard)
+fn the_last_advertised_rate_applies() {
+    let (mut limits, start) = (AdvertisedLimits::default(), Instant::now());
+    let mut advertise_at = |per_second, sent, received| {
+        let response = response(start, sent, received);
+        limits.on_advertised(
+            UPSTREAM,
+            rate(per_second),
+            response,
+            response.response_received_at,
+        )
     };
-    assert_eq!(named(2.0, 0, 10), LimitChange::Begun(rate(2.0)));
-    assert_eq!(named(2.0, 10, 20), LimitChange::Nothing);
+    assert_eq!(advertise_at(2.0, 0, 10), LimitChange::Started(rate(2.0)));
+    assert_eq!(advertise_at(2.0, 10, 20), LimitChange::Unchanged);
     let change = LimitChange::Changed {
         from: rate(2.0),
         to: rate(5.0),
     };
-    assert_eq!(named(5.0, 20, 30), change);
-    assert_eq!(rate_of(&limits, start), Some(rate(5.0)));
+    assert_eq!(advertise_at(5.0, 20, 30), change);
+    assert_eq!(rate_long_after(&limits, start), Some(rate(5.0)));
 }
 
 #[test]
-fn an_answer_that_was_written_before_changes_nothing() {
-    let (mut limits, start) = (StatedLimits::default(), Instant::now());
-    name(&mut limits, 2.0, written(start, 20, 30));
-    let late = written(start, 0, 10);
-    let change = name(&mut limits, 1.0, late);
-    assert_eq!(change, LimitChange::Nothing);
-    assert_eq!(name_none(&mut limits, late), LimitChange::Nothing);
-    assert_eq!(rate_of(&limits, start), Some(rate(2.0)));
+fn an_older_response_changes_nothing() {
+    let (mut limits, start) = (AdvertisedLimits::default(), Instant::now());
+    advertise(&mut limits, 2.0, response(start, 20, 30));
+    let older = response(start, 0, 10);
+    let change = advertise(&mut limits, 1.0, older);
+    assert_eq!(change, LimitChange::Unchanged);
+    assert_eq!(advertise_none(&mut limits, older), LimitChange::Unchanged);
+    assert_eq!(rate_long_after(&limits, start), Some(rate(2.0)));
 }
 
 #[test]
-fn of_answers_whose_order_is_not_known_the_lower_rate_counts() {
-    let (mut limits, start) = (StatedLimits::default(), Instant::now());
-    name(&mut limits, 2.0, written(start, 0, 30));
-    let beside = written(start, 10, 40);
-    name(&mut limits, 4.0, beside);
-    assert_eq!(rate_of(&limits, start), Some(rate(2.0)));
-    // Nor does one that names nothing end it.
-    name_none(&mut limits, beside);
-    assert_eq!(rate_of(&limits, start), Some(rate(2.0)));
-    name(&mut limits, 1.0, beside);
-    assert_eq!(rate_of(&limits, start), Some(rate(1.0)));
+fn of_responses_in_unknown_order_the_lower_rate_applies() {
+    let (mut limits, start) = (AdvertisedLimits::default(), Instant::now());
+    advertise(&mut limits, 2.0, response(start, 0, 30));
+    let concurrent = response(start, 10, 40);
+    advertise(&mut limits, 4.0, concurrent);
+    assert_eq!(rate_long_after(&limits, start), Some(rate(2.0)));
+    // A response without a rate does not end the limit either, as its order is unknown.
+    advertise_none(&mut limits, concurrent);
+    assert_eq!(rate_long_after(&limits, start), Some(rate(2.0)));
+    advertise(&mut limits, 1.0, concurrent);
+    assert_eq!(rate_long_after(&limits, start), Some(rate(1.0)));
 }
 
 #[test]
-fn an_answer_to_a_later_request_that_names_nothing_ends_it() {
-    let (mut limits, start) = (StatedLimits::default(), Instant::now());
-    name(&mut limits, 2.0, written(start, 0, 30));
-    let change = name_none(&mut limits, written(start, 30, 40));
+fn a_response_without_a_rate_to_a_later_request_ends_the_limit() {
+    let (mut limits, start) = (AdvertisedLimits::default(), Instant::now());
+    advertise(&mut limits, 2.0, response(start, 0, 30));
+    let change = advertise_none(&mut limits, response(start, 30, 40));
     assert_eq!(change, LimitChange::Ended(rate(2.0)));
-    assert_eq!(rate_of(&limits, start), None);
+    assert_eq!(rate_long_after(&limits, start), None);
 }
 
 #[test]
-fn a_limit_goes_with_the_start_that_named_it() {
-    let (mut limits, start) = (StatedLimits::default(), Instant::now());
-    name(&mut limits, 2.0, written(start, 0, 30));
+fn a_limit_is_kept_until_its_upstream_is_removed() {
+    let (mut limits, start) = (AdvertisedLimits::default(), Instant::now());
+    advertise(&mut limits, 2.0, response(start, 0, 30));
     limits.retain(|upstream| upstream == UPSTREAM, start);
-    assert_eq!(rate_of(&limits, start), Some(rate(2.0)));
-    limits.forget(UPSTREAM);
-    assert_eq!(rate_of(&limits, start), None);
+    assert_eq!(rate_long_after(&limits, start), Some(rate(2.0)));
+    limits.remove(UPSTREAM);
+    assert_eq!(rate_long_after(&limits, start), None);
 }
 
 #[test]
-fn what_is_sent_rises_by_steps_after_the_end_of_a_limit() {
-    let (mut limits, start) = (StatedLimits::default(), Instant::now());
-    name(&mut limits, 2.0, written(start, 0, 10));
-    let end = written(start, 10, 20);
-    name_none(&mut limits, end);
-    let after = |seconds| limits.rate(UPSTREAM, end.heard + Duration::from_secs(seconds));
+fn the_allowed_rate_grows_by_slow_start_after_a_limit_ends() {
+    let (mut limits, start) = (AdvertisedLimits::default(), Instant::now());
+    advertise(&mut limits, 2.0, response(start, 0, 10));
+    let end = response(start, 10, 20);
+    advertise_none(&mut limits, end);
+    let after = |seconds| {
+        limits.rate(
+            UPSTREAM,
+            end.response_received_at + Duration::from_secs(seconds),
+        )
+    };
     assert_eq!(after(0), Some(rate(2.0)));
     assert_eq!(after(1), Some(rate(8.0)));
     assert_eq!(after(2), Some(rate(32.0)));
@@ -109,122 +129,138 @@
 }
 
 #[test]
-fn what_is_sent_rises_by_steps_to_a_higher_limit_and_falls_to_a_lower_at_once() {
-    let (mut limits, start) = (StatedLimits::default(), Instant::now());
-    name(&mut limits, 2.0, written(start, 0, 10));
-    let higher = written(start, 10, 20);
-    name(&mut limits, 20.0, higher);
-    let after =
-        |limits: &StatedLimits, ms| limits.rate(UPSTREAM, higher.heard + Duration::from_millis(ms));
+fn the_allowed_rate_grows_slowly_to_a_higher_limit_and_drops_to_a_lower_one_at_once() {
+    let (mut limits, start) = (AdvertisedLimits::default(), Instant::now());
+    advertise(&mut limits, 2.0, response(start, 0, 10));
+    let higher = response(start, 10, 20);
+    advertise(&mut limits, 20.0, higher);
+    let after = |limits: &AdvertisedLimits, ms| {
+        limits.rate(
+            UPSTREAM,
+            higher.response_received_at + Duration::from_millis(ms),
+        )
+    };
     assert_eq!(after(&limits, 0), Some(rate(2.0)));
     assert_eq!(after(&limits, 1_000), Some(rate(8.0)));
     assert_eq!(after(&limits, 2_000), Some(rate(20.0)));
-    name(&mut limits, 1.0, written(start, 3_000, 3_020));
+    advertise(&mut limits, 1.0, response(start, 3_000, 3_020));
     assert_eq!(after(&limits, 3_000), Some(rate(1.0)));
 }
 
 #[test]
-fn a_limit_that_begins_again_after_its_end_holds_at_once() {
-    let (mut limits, start) = (StatedLimits::default(), Instant::now());
-    name(&mut limits, 2.0, written(start, 0, 10));
-    name_none(&mut limits, written(start, 10, 20));
-    let again = written(start, 1_000, 1_010);
-    assert_eq!(name(&mut limits, 3.0, again), LimitChange::Begun(rate(3.0)));
-    assert_eq!(limits.rate(UPSTREAM, again.heard), Some(rate(3.0)));
+fn a_limit_that_restarts_after_its_end_applies_at_once() {
+    let (mut limits, start) = (AdvertisedLimits::default(), Instant::now());
+    advertise(&mut limits, 2.0, response(start, 0, 10));
+    advertise_none(&mut limits, response(start, 10, 20));
+    let again = response(start, 1_000, 1_010);
+    assert_eq!(
+        advertise(&mut limits, 3.0, again),
+        LimitChange::Started(rate(3.0))
+    );
+    assert_eq!(
+        limits.rate(UPSTREAM, again.response_received_at),
+        Some(rate(3.0))
+    );
 }
 
-/// What one router knows, as another one has it that hears of it so many ms later.
-fn told(from: &StatedLimits, to: &mut StatedLimits, at: Instant) -> LimitChange {
+/// Sends the report of one router to another, where the report arrives 2 ms after `at`.
+fn exchange_report(from: &AdvertisedLimits, to: &mut AdvertisedLimits, at: Instant) -> LimitChange {
     let report = from.report(UPSTREAM, None, at).unwrap();
     to.on_report(&report, None, at + Duration::from_millis(2))
 }
 
 #[test]
-fn a_peer_learns_that_a_limit_begins_and_ends() {
-    let (mut one, mut other) = (StatedLimits::default(), StatedLimits::default());
-    let start = Instant::now() + LONG_AFTER;
-    name(&mut one, 2.0, written(start, 0, 10));
+fn a_peer_receives_the_start_and_the_end_of_a_limit() {
+    let (mut sender, mut receiver) = (AdvertisedLimits::default(), AdvertisedLimits::default());
+    let start = Instant::now() + LONG;
+    advertise(&mut sender, 2.0, response(start, 0, 10));
     let at = |ms| start + Duration::from_millis(ms);
     assert_eq!(
-        told(&one, &mut other, at(10)),
-        LimitChange::Begun(rate(2.0))
+        exchange_report(&sender, &mut receiver, at(10)),
+        LimitChange::Started(rate(2.0))
+    );
+    assert_eq!(
+        exchange_report(&sender, &mut receiver, at(11)),
+        LimitChange::Unchanged
     );
-    assert_eq!(told(&one, &mut other, at(11)), LimitChange::Nothing);
-    name_none(&mut one, written(start, 500, 510));
+    advertise_none(&mut sender, response(start, 500, 510));
     assert_eq!(
-        told(&one, &mut other, at(510)),
+        exchange_report(&sender, &mut receiver, at(510)),
         LimitChange::Ended(rate(2.0))
     );
 }
 
 #[test]
-fn a_report_of_before_the_end_does_not_begin_a_limit_again() {
-    let (mut one, mut other) = (StatedLimits::default(), StatedLimits::default());
-    let start = Instant::now() + LONG_AFTER;
-    name(&mut one, 2.0, written(start, 0, 10));
-    name(&mut other, 2.0, written(start, 0, 12));
-    name_none(&mut other, written(start, 500, 510));
-    // One has not heard of the end yet, and repeats what it knows.
+fn a_report_from_before_the_end_does_not_restart_a_limit() {
+    let (mut sender, mut receiver) = (AdvertisedLimits::default(), AdvertisedLimits::default());
+    let start = Instant::now() + LONG;
+    advertise(&mut sender, 2.0, response(start, 0, 10));
+    advertise(&mut receiver, 2.0, response(start, 0, 12));
+    advertise_none(&mut receiver, response(start, 500, 510));
+    // The sender has not received the end of the limit yet and repeats its report.
     let at = start + Duration::from_millis(700);
-    assert_eq!(told(&one, &mut other, at), LimitChange::Nothing);
-    assert_eq!(rate_of(&other, start), None);
+    assert_eq!(
+        exchange_report(&sender, &mut receiver, at),
+        LimitChange::Unchanged
+    );
+    assert_eq!(rate_long_after(&receiver, start), None);
 }
 
 #[test]
-fn a_report_whose_way_may_have_taken_long_does_not_end_a_limit() {
-    let (mut one, mut other) = (StatedLimits::default(), StatedLimits::default());
-    let start = Instant::now() + LONG_AFTER;
-    name(&mut one, 2.0, written(start, 0, 10));
-    name_none(&mut one, written(start, 20, 30));
-    let report = one
+fn a_report_that_may_have_been_in_transit_for_long_does_not_end_a_limit() {
+    let (mut sender, mut receiver) = (AdvertisedLimits::default(), AdvertisedLimits::default());
+    let start = Instant::now() + LONG;
+    advertise(&mut sender, 2.0, response(start, 0, 10));
+    advertise_none(&mut sender, response(start, 20, 30));
+    let report = sender
         .report(UPSTREAM, None, start + Duration::from_millis(30))
         .unwrap();
-    // The upstream names it again while the report is under way for 80 ms.
-    name(&mut other, 2.0, written(start, 40, 60));
+    // The upstream advertises the limit again during the 80 ms for which the report is in transit.
+    advertise(&mut receiver, 2.0, response(start, 40, 60));
     let arrived = start + Duration::from_millis(110);
     assert_eq!(
-        other.on_report(&report, None, arrived),
-        LimitChange::Nothing
+        receiver.on_report(&report, None, arrived),
+        LimitChange::Unchanged
     );
-    assert_eq!(rate_of(&other, start), Some(rate(2.0)));
+    assert_eq!(rate_long_after(&receiver, start), Some(rate(2.0)));
 }
 
 #[test]
-fn a_report_of_another_start_says_nothing() {
-    let mut one = StatedLimits::default();
-    let start = Instant::now() + LONG_AFTER;
-    name(&mut one, 2.0, written(start, 0, 10));
-    let report = one.report(UPSTREAM, Some(1), start).unwrap();
-    let mut other = StatedLimits::default();
+fn a_report_on_another_incarnation_is_ignored() {
+    let mut sender = AdvertisedLimits::default();
+    let start = Instant::now() + LONG;
+    advertise(&mut sender, 2.0, response(start, 0, 10));
+    let report = sender.report(UPSTREAM, Some(1), start).unwrap();
+    let mut receiver = AdvertisedLimits::default();
     assert_eq!(
-        other.on_report(&report, Some(2), start),
-        LimitChange::Nothing
+        receiver.on_report(&report, Some(2), start),
+        LimitChange::Unchanged
     );
     assert_eq!(
-        other.on_report(&report, Some(1), start),
-        LimitChange::Begun(rate(2.0))
+        receiver.on_report(&report, Some(1), start),
+        LimitChange::Started(rate(2.0))
     );
 }
 
 #[test]
-fn rates_of_peers_are_brought_within_what_counts() {
+fn rates_from_peers_are_clamped_to_the_valid_range() {
     assert_eq!(Rate::from(0).interval(), Duration::from_secs(10));
     assert_eq!(Rate::from(u64::MAX), rate(1_000_000.0));
 }
 
 #[test]
-fn a_rate_is_a_number_of_requests_that_somebody_can_mean() {
+fn a_rate_is_a_finite_number_of_requests_in_the_valid_range() {
     assert_eq!(rate(1.5).as_per_second(), 1.5);
     assert_eq!(rate(4.0).interval(), Duration::from_millis(250));
     for per_second in [-1.0, f64::NAN, f64::INFINITY, 1e308, -0.001] {
         assert_eq!(Rate::per_second(per_second), None, "{per_second}");
     }
-    // Who takes nothing is asked once in a while.
+    // An upstream that accepts no requests still gets one every ten seconds.
     assert_eq!(rate(0.0).interval(), Duration::from_secs(10));
 }
 
 quickcheck! {
-    fn any_rate_has_a_finite_interval(per_second: f64) -> bool {
+    fn every_rate_has_a_finite_interval(per_second: f64) -> bool {
         let Some(rate) = Rate::per_second(per_second) else {
             return true;
         };
--- a/crates/router/cloverpier_router_policy/tests/permit.rs
+++ b/crates/router/cloverpier_router_policy/tests/permit.rs
@@ -1,7 +1,7 @@
 //! Permits for upstreams that limit themselves: who hands them out, how many, and what the others get.
 
 use cloverpier_core::DataCentre;
-use cloverpier_router_policy::limit::{LimitStatement, Rate, WrittenBetween};
+use cloverpier_router_policy::limit::{LimitStatement, Rate, ResponseInterval};
 use cloverpier_router_policy::permit::{
     HandedOut, LimitedUpstream, LimiterMap, PermitAsk, PermitBucket, PermitRefusal, PermitReply,
     PermitRequest, PermitSearch, Permits, RouterPlace, Want, is_usable, patience,
@@ -51,11 +51,11 @@
             data_centre: DataCentre::new("hall-0"),
         };
         let rate = Rate::per_second(per_second).unwrap();
-        let written = WrittenBetween {
-            sent: now,
-            heard: now,
+        let written = ResponseInterval {
+            request_sent_at: now,
+            response_received_at: now,
         };
-        let said = LimitStatement::Named(rate);
+        let said = LimitStatement::Advertised(rate);
         known
             .permits
             .on_statement(UPSTREAM, said, true, written, now);
@@ -237,7 +237,7 @@
     let other = (1..=4).find(|n| *n != limiter).unwrap();
     let known = Known::new(other, &[1, 2, 3, 4], 2.0);
     let mut asked = Known::new(limiter, &[1, 2, 3, 4], 2.0);
-    asked.permits.limits_mut().forget(UPSTREAM);
+    asked.permits.limits_mut().remove(UPSTREAM);
     assert_eq!(asked.asked(1, NO_WAIT).handed_out, None);
     let request = PermitRequest {
         number: 1,
@@ -327,11 +327,11 @@
 fn after_two_refusals_a_request_is_offered_to_no_third_upstream_that_limits_itself() {
     let mut known = Known::new(1, &[1, 2, 3, 4], 2.0);
     let third = UpstreamKey(9);
-    let written = WrittenBetween {
-        sent: known.now,
-        heard: known.now,
+    let written = ResponseInterval {
+        request_sent_at: known.now,
+        response_received_at: known.now,
     };
-    let said = LimitStatement::Named(Rate::per_second(2.0).unwrap());
+    let said = LimitStatement::Advertised(Rate::per_second(2.0).unwrap());
     known
         .permits
         .on_statement(third, said, true, written, known.now);
@@ -433,11 +433,11 @@
         .permits
         .on_reply(asked, &refusal(), None, &mut rng, now);
     assert!(known.permits.is_left_out(UPSTREAM, now));
-    let written = WrittenBetween {
-        sent: now,
-        heard: now,
+    let written = ResponseInterval {
+        request_sent_at: now,
+        response_received_at: now,
     };
-    let said = LimitStatement::Named(Rate::per_second(5.0).unwrap());
+    let said = LimitStatement::Advertised(Rate::per_second(5.0).unwrap());
     known
         .permits
         .on_statement(UPSTREAM, said, true, written, now);
--- a/tools/src/limit_play/messages.rs
+++ b/tools/src/limit_play/messages.rs
@@ -106,7 +106,7 @@
         let mut is_new = false;
         for report in reports {
             let change = self.routers[router].permits.on_report(report, None, now);
-            is_new |= change != LimitChange::Nothing;
+            is_new |= change != LimitChange::Unchanged;
         }
         if is_new {
             self.routers[router].last_change = Some(self.now);
--- a/tools/src/limit_play/requests.rs
+++ b/tools/src/limit_play/requests.rs
@@ -2,7 +2,7 @@
 
 use super::Way;
 use super::world::{Event, World};
-use cloverpier_router_policy::limit::{LimitChange, LimitStatement, WrittenBetween};
+use cloverpier_router_policy::limit::{LimitChange, LimitStatement, ResponseInterval};
 use cloverpier_router_policy::permit::{PermitSearch, Want, is_usable};
 use std::time::Duration;
 
@@ -180,14 +180,14 @@
         if self.routers[router].life != sending.life {
             return;
         }
-        let written = WrittenBetween {
-            sent: self.instant_of(sending.sent),
-            heard: now,
+        let written = ResponseInterval {
+            request_sent_at: self.instant_of(sending.sent),
+            response_received_at: now,
         };
         let key = self.upstreams[upstream].key;
         let permits = &mut self.routers[router].permits;
         let change = permits.on_statement(key, said, true, written, now);
-        if change != LimitChange::Nothing {
+        if change != LimitChange::Unchanged {
             self.routers[router].last_change = Some(self.now);
             self.send_to_all(router, upstream);
             self.note_known();
--- a/tools/src/limit_play/world.rs
+++ b/tools/src/limit_play/world.rs
@@ -156,7 +156,7 @@
     pub fn statement(&self, upstream: usize) -> LimitStatement {
         let names = (NAMED_FROM..self.limits_end()).contains(&self.now);
         let rate = self.upstreams[upstream].rate.filter(|_| names);
-        rate.map_or(LimitStatement::Unnamed, LimitStatement::Named)
+        rate.map_or(LimitStatement::Absent, LimitStatement::Advertised)
     }
 
     pub fn place_of(&self, upstream: usize) -> LimitedUpstream<'_> {
