--- a/crates/router/cloverpier_router/src/heartbeats.rs
+++ b/crates/router/cloverpier_router/src/heartbeats.rs
@@ -18,7 +18,7 @@
     MIN_SEND_PAUSE, SEED_PERIOD, change_peers, load_ttl, reaches_all_peers, version_peers,
 };
 use cloverpier_router_policy::membership::GOSSIP_PERIOD;
-use cloverpier_router_policy::permit::RouterPlace;
+use cloverpier_router_policy::permit::RouterLocation;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::store_watch::reported_store_age;
 use std::net::SocketAddr;
@@ -121,7 +121,7 @@
 /// Tells the part that hands out permits which routers live.
 fn note_live_routers(router: &Router, now: Instant) {
     let settings = router.settings();
-    let own = RouterPlace {
+    let own = RouterLocation {
         router: settings.listen.peers,
         data_centre: settings.data_centre.clone(),
     };
--- a/crates/router/cloverpier_router/src/peers.rs
+++ b/crates/router/cloverpier_router/src/peers.rs
@@ -14,7 +14,7 @@
 use cloverpier_router_policy::heartbeat::{greets_mentioned, reaches_all_peers};
 use cloverpier_router_policy::membership::{ENDED_PERIOD, MemberUpdate, Membership};
 use cloverpier_router_policy::peers::listed_for_callers;
-use cloverpier_router_policy::permit::{LimiterMap, RouterPlace};
+use cloverpier_router_policy::permit::{LimiterMap, RouterLocation};
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::store_watch::ReadyPeer;
 use cloverpier_router_policy::version_fetch::PeerVersion;
@@ -237,14 +237,14 @@
     /// them; `None` where they are the same as the last time in a large fleet.
     pub fn limiter_map(
         &self,
-        own: RouterPlace,
+        own: RouterLocation,
         serves: bool,
         now: Instant,
         timeout: Duration,
     ) -> Option<LimiterMap> {
         let address = own.router;
         let own = serves.then_some(own);
-        let ready = |place: &ReadyPeer| RouterPlace {
+        let ready = |place: &ReadyPeer| RouterLocation {
             router: place.peer,
             data_centre: place.data_centre.clone(),
         };
--- a/crates/router/cloverpier_router/src/probe.rs
+++ b/crates/router/cloverpier_router/src/probe.rs
@@ -16,7 +16,7 @@
 use crate::upstream_limits::Permission;
 use crate::via::Via;
 use cloverpier_core::UpstreamName;
-use cloverpier_router_policy::permit::QUESTION_PATIENCE;
+use cloverpier_router_policy::permit::PROBE_PERMIT_TIMEOUT;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::suspicion::{
     CHECK_PERIOD, CHECK_TIMEOUT, CheckResult, MAX_PROBES, PROBE_RETRY_DELAY, PROBE_TIMEOUT,
@@ -77,7 +77,9 @@
 /// connections before its port, so that the first probe says nothing of it.
 async fn probe_until_clear(router: &Rc<Router>, upstream: &Upstream, health: &UpstreamHealth) {
     for _ in 0..MAX_PROBES {
-        let permission = router.upstream_limits.acquire(upstream, QUESTION_PATIENCE);
+        let permission = router
+            .upstream_limits
+            .acquire(upstream, PROBE_PERMIT_TIMEOUT);
         if permission.await != Permission::Given {
             router.metrics.probes.count("without-permit");
             return;
@@ -216,7 +218,9 @@
     let service = configuration.and_then(|c| c.service(&upstream.service).cloned());
     // A service that is not configured any more has no path to check.
     let Some(service) = service else { return };
-    let permission = router.upstream_limits.acquire(&upstream, QUESTION_PATIENCE);
+    let permission = router
+        .upstream_limits
+        .acquire(&upstream, PROBE_PERMIT_TIMEOUT);
     if permission.await != Permission::Given {
         // It stays suspected; the next check is scheduled already.
         router.metrics.probes.count("without-permit");
--- a/crates/router/cloverpier_router/src/relay_request.rs
+++ b/crates/router/cloverpier_router/src/relay_request.rs
@@ -6,7 +6,7 @@
 use crate::wire_names::PromptSize;
 use bytes::Bytes;
 use cloverpier_crashes::{Content, ContentKey};
-use cloverpier_router_policy::permit::patience;
+use cloverpier_router_policy::permit::max_permit_wait;
 use cloverpier_router_policy::prelude::*;
 use hyper::Method;
 use hyper::header::HeaderMap;
@@ -92,7 +92,7 @@
 
     /// How long it waits for a permit where every upstream that could take it limits itself.
     pub fn patience(&self, now: Instant) -> Duration {
-        patience(self.priority, self.route.objective, self.time_left(now))
+        max_permit_wait(self.priority, self.route.objective, self.time_left(now))
     }
 
     /// Tokens that fit into the KV cache of an engine of its service; `None` for a plain
--- a/crates/router/cloverpier_router/src/stream/pick.rs
+++ b/crates/router/cloverpier_router/src/stream/pick.rs
@@ -63,7 +63,7 @@
         let router = &self.router;
         let search = PermitSearch::new(Duration::ZERO);
         let limits = router.upstream_limits.seen_by(&search);
-        if !limits.limits_any() {
+        if !limits.any_limited() {
             return None;
         }
         let upstream = {
--- a/crates/router/cloverpier_router/src/upstream_limits/acquire.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/acquire.rs
@@ -5,7 +5,9 @@
 
 use super::{UpstreamLimits, place_of};
 use crate::peer_messages::{LimitAsk, LimitReply, PeerMessage};
-use cloverpier_router_policy::permit::{ANSWER_TIMEOUT, PermitRequest, Want, is_usable};
+use cloverpier_router_policy::permit::{
+    PermitDecision, PermitRequest, REPLY_TIMEOUT, is_permit_usable,
+};
 use cloverpier_router_policy::prelude::{Upstream, UpstreamKey};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -51,21 +53,21 @@
             return Permission::Given;
         }
         let place = place_of(upstream);
-        let want = self.permits.borrow_mut().want(place, max_wait, now);
+        let want = self.permits.borrow_mut().decide(place, max_wait, now);
         let want = match want {
-            Want::Ask(limiter) => self.ask(upstream, limiter, max_wait).await,
+            PermitDecision::RequestFrom(limiter) => self.ask(upstream, limiter, max_wait).await,
             want => want,
         };
         match want {
-            Want::Unlimited => Permission::Given,
-            Want::Granted(wait) => self.wait_for_turn(wait).await,
-            Want::Refused { retry } => {
+            PermitDecision::Unlimited => Permission::Given,
+            PermitDecision::Granted(wait) => self.wait_for_turn(wait).await,
+            PermitDecision::Refused { retry } => {
                 self.parts.permits.count("refused");
                 Permission::Refused { retry }
             }
             // The answer to an ask is none.
-            Want::Ask(_) => Permission::Refused {
-                retry: ANSWER_TIMEOUT,
+            PermitDecision::RequestFrom(_) => Permission::Refused {
+                retry: REPLY_TIMEOUT,
             },
         }
     }
@@ -76,7 +78,7 @@
         if !wait.is_zero() {
             timers.sleep_until(due).await;
         }
-        if is_usable(due, timers.now()) {
+        if is_permit_usable(due, timers.now()) {
             self.parts.permits.count("granted");
             return Permission::Given;
         }
@@ -86,7 +88,12 @@
         }
     }
 
-    async fn ask(&self, upstream: &Upstream, limiter: SocketAddr, max_wait: Duration) -> Want {
+    async fn ask(
+        &self,
+        upstream: &Upstream,
+        limiter: SocketAddr,
+        max_wait: Duration,
+    ) -> PermitDecision {
         let place = place_of(upstream);
         let now = self.parts.timers.now();
         let limit = self.report(upstream, now);
@@ -102,23 +109,23 @@
                 let now = self.parts.timers.now();
                 let mut rng = self.rng.borrow_mut();
                 let mut permits = self.permits.borrow_mut();
-                permits.on_reply(limiter, &reply.reply, place.born_ms, &mut rng, now)
+                permits.on_reply(limiter, &reply.reply, place.start_time_ms, &mut rng, now)
             }
             None => self.on_unanswered(place.key, limiter),
         }
     }
 
-    fn on_unanswered(&self, upstream: UpstreamKey, limiter: SocketAddr) -> Want {
+    fn on_unanswered(&self, upstream: UpstreamKey, limiter: SocketAddr) -> PermitDecision {
         self.parts.permits.count("unanswered");
         let now = self.parts.timers.now();
         let mut permits = self.permits.borrow_mut();
-        let is_silent = permits.on_unanswered(upstream, limiter, now);
+        let is_silent = permits.on_request_timeout(upstream, limiter, now);
         drop(permits);
         if is_silent {
             self.note_passed_over(limiter);
         }
-        Want::Refused {
-            retry: ANSWER_TIMEOUT,
+        PermitDecision::Refused {
+            retry: REPLY_TIMEOUT,
         }
     }
 
@@ -143,7 +150,7 @@
         };
         let message = PeerMessage::LimitAsk(ask);
         self.parts.datagrams.send(&message, &[limiter]);
-        let answer = self.parts.timers.timeout(ANSWER_TIMEOUT, rx).await;
+        let answer = self.parts.timers.timeout(REPLY_TIMEOUT, rx).await;
         // A sender that is gone without an answer is none either.
         answer.ok()?.ok()
     }
@@ -153,7 +160,7 @@
         let now = self.parts.timers.now();
         let pending = self.pending.borrow_mut().remove(&reply.reply.number);
         let Some(pending) = pending else { return };
-        let is_late = now.saturating_duration_since(pending.asked) > ANSWER_TIMEOUT;
+        let is_late = now.saturating_duration_since(pending.asked) > REPLY_TIMEOUT;
         if !is_late && pending.limiter == reply.sender {
             // Whoever has given the request up needs no answer.
             let _ = pending.answer.send(reply);
@@ -173,8 +180,8 @@
         let now = self.parts.timers.now();
         let mut permits = self.permits.borrow_mut();
         if answer.is_some() {
-            permits.on_speaking(limiter);
-        } else if permits.on_silence(limiter, now) {
+            permits.on_probe_reply(limiter);
+        } else if permits.on_probe_timeout(limiter, now) {
             drop(permits);
             self.note_passed_over(limiter);
         }
--- a/crates/router/cloverpier_router/src/upstream_limits/limiter.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/limiter.rs
@@ -20,7 +20,7 @@
         }
         let now = self.parts.timers.now();
         let place = state.map(|state| LimitedUpstream {
-            born_ms: state.start_time_ms(),
+            start_time_ms: state.start_time_ms(),
             ..place_of(&state.upstream)
         });
         let mut permits = self.permits.borrow_mut();
@@ -28,7 +28,7 @@
         let limiter = place.and_then(|place| permits.limiter_of(place, now));
         drop(permits);
         self.count_handed_out(&reply);
-        let is_for_another = reply.handed_out.is_none() && ask.request.count > 0;
+        let is_for_another = reply.allocation.is_none() && ask.request.count > 0;
         let reply = LimitReply {
             sender: self.parts.own,
             reply,
@@ -41,10 +41,10 @@
     }
 
     fn count_handed_out(&self, reply: &PermitReply) {
-        let Some(handed_out) = &reply.handed_out else {
+        let Some(handed_out) = &reply.allocation else {
             return;
         };
-        let count = handed_out.waits.len() as u64;
+        let count = handed_out.delays.len() as u64;
         self.parts.permits.add("handed-out", count);
         if handed_out.refusal.is_some() {
             self.parts.permits.count("turned-down");
@@ -69,8 +69,8 @@
             let state = table.by_key(key)?;
             Some(place_of(&state.upstream))
         };
-        permits.give_up_old(find, now);
-        let silent = permits.silent_limiters(now);
+        permits.release_obsolete(find, now);
+        let silent = permits.unresponsive_limiters(now);
         drop(permits);
         for limiter in silent {
             self.ask_in_background(limiter);
--- a/crates/router/cloverpier_router/src/upstream_limits/mod.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/mod.rs
@@ -94,7 +94,7 @@
         if permits.limits().is_empty() {
             return LimitedUpstreams::NONE;
         }
-        permits.seen_by(search, self.parts.timers.now())
+        permits.limited_upstreams(search, self.parts.timers.now())
     }
 
     /// Whether an upstream limits itself.
@@ -118,7 +118,7 @@
         for state in states {
             let is_limited = permits.limits().rate(state.key, now).is_some();
             counts.limited += usize::from(is_limited);
-            counts.without_permit += usize::from(permits.is_left_out(state.key, now));
+            counts.without_permit += usize::from(permits.is_backing_off(state.key, now));
         }
         counts
     }
@@ -138,6 +138,6 @@
     LimitedUpstream {
         key: UpstreamKey::of(&upstream.name),
         data_centre: &upstream.data_centre,
-        born_ms: upstream.start_time_ms(),
+        start_time_ms: upstream.start_time_ms(),
     }
 }
--- a/crates/router/cloverpier_router/src/upstream_limits/offer.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/offer.rs
@@ -21,7 +21,7 @@
             let limits = self.seen_by(&search);
             let chosen = match choose(&limits) {
                 Ok(chosen) => chosen,
-                Err(_) if limits.withholds_any() && search.begin_waiting() => continue,
+                Err(_) if limits.excludes_any() && search.begin_waiting() => continue,
                 Err(reason) => return Err(with_limits(reason, &search)),
             };
             let upstream = chosen.as_ref();
@@ -41,7 +41,7 @@
 
 /// Why nobody takes a request, where limits may be the reason.
 fn with_limits(reason: NoUpstream, search: &PermitSearch) -> NoUpstream {
-    match (reason, search.retry()) {
+    match (reason, search.retry_after()) {
         (NoUpstream::NoneUsable, Some(retry)) => NoUpstream::AllLimited { retry },
         _ => reason,
     }
--- a/crates/router/cloverpier_router/tests/limit_messages.rs
+++ b/crates/router/cloverpier_router/tests/limit_messages.rs
@@ -9,7 +9,9 @@
 };
 use cloverpier_router_policy::heartbeat::MAX_DATAGRAM;
 use cloverpier_router_policy::limit::{LimitReport, Rate, split_into_messages};
-use cloverpier_router_policy::permit::{HandedOut, PermitRefusal, PermitReply, PermitRequest};
+use cloverpier_router_policy::permit::{
+    PermitAllocation, PermitRefusal, PermitReply, PermitRequest,
+};
 use cloverpier_router_policy::prelude::UpstreamKey;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -73,12 +75,12 @@
         reply: PermitReply {
             number: 77,
             upstream: UpstreamKey(21),
-            handed_out: Some(HandedOut {
-                waits: vec![Duration::from_millis(20)],
+            allocation: Some(PermitAllocation {
+                delays: vec![Duration::from_millis(20)],
                 refusal: Some(PermitRefusal {
-                    next: Duration::from_millis(680),
-                    retry: Duration::from_millis(1_360),
-                    turn: Duration::from_millis(5_440),
+                    next_permit: Duration::from_millis(680),
+                    retry_after: Duration::from_millis(1_360),
+                    per_router_interval: Duration::from_millis(5_440),
                 }),
             }),
             limit: None,
--- a/crates/router/cloverpier_router_policy/src/choice/candidates.rs
+++ b/crates/router/cloverpier_router_policy/src/choice/candidates.rs
@@ -42,7 +42,7 @@
     let suspect_data_centres = table.suspect_data_centres(demand.service, demand.now);
     let failed_data_centres = failed_data_centres(table, demand);
     let untried = |s: &UpstreamState| {
-        !demand.tried.contains(&s.upstream.name) && !demand.limits.is_withheld(s.key)
+        !demand.tried.contains(&s.upstream.name) && !demand.limits.is_excluded(s.key)
     };
     let mut groups = Vec::new();
     for set in &sets {
--- a/crates/router/cloverpier_router_policy/src/load_query.rs
+++ b/crates/router/cloverpier_router_policy/src/load_query.rs
@@ -115,7 +115,7 @@
     rng: &mut fastrand::Rng,
 ) -> Option<Upstream> {
     let is_known = reaches_all_peers(peers) || demand.prompt_location.is_some();
-    if is_known || demand.engine_memory.is_none() || !demand.limits.limits_any() {
+    if is_known || demand.engine_memory.is_none() || !demand.limits.any_limited() {
         return None;
     }
     let first = by_believed_cost(table, demand, rng).into_iter().next()?;
--- a/crates/router/cloverpier_router_policy/src/permit/bucket.rs
+++ b/crates/router/cloverpier_router_policy/src/permit/bucket.rs
@@ -1,120 +1,131 @@
-//! The permits of one upstream, as the router counts them that hands them out.
+//! The token bucket from which a limiter grants the permits of one upstream.
 //!
-//! A token bucket: tokens come in at the rate that the upstream names, a few are kept for a burst, and a
-//! request that can wait takes one in advance. [`PermitBucket`] owns the tokens, the order in which
-//! refused callers retry, and which routers ask.
+//! Tokens are added at the rate that the upstream advertises, and a few are kept for a burst. A request
+//! that can wait takes a token in advance. [`PermitBucket`] owns the tokens, the retry times of refused
+//! callers, and the set of routers that request permits.
 
-use super::{PermitAsk, PermitRefusal};
+use super::{PermitDemand, PermitRefusal};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Part of a rate that is handed out. The rest covers permits that are under way when the window of
-/// whoever counts begins.
-const USED_SHARE: f64 = 0.95;
-/// Tokens that are kept while nobody asks: the users allow five requests beyond the rate.
+/// The fraction of a rate for which permits are granted. The rest covers permits that are already granted,
+/// but not used, when a window begins in which an observer counts the requests to the upstream.
+const GRANTED_FRACTION: f64 = 0.95;
+/// The maximum number of tokens, which accumulate while no permits are requested. An upstream may get at
+/// most five requests more than its rate allows.
 const BURST: f64 = 4.0;
-/// A router counts as one that asks for this long after it has asked.
-const ASKS_FOR: Duration = Duration::from_secs(10);
-/// Refused callers are sent away for no longer, as an upstream may take more by then.
-const MAX_RETRY: Duration = Duration::from_secs(10);
-/// A day is longer than anybody waits.
-const MAX_WAIT: Duration = Duration::from_secs(86_400);
+/// How long a router counts as requesting permits after its last permit request.
+const REQUESTER_WINDOW: Duration = Duration::from_secs(10);
+/// The maximum time after which a refused caller should retry, since an upstream may accept a higher rate
+/// by then.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
+/// The delay for a time that no `Duration` can hold: a day, longer than any request may wait.
+const MAX_PERMIT_DELAY: Duration = Duration::from_secs(86_400);
 
-/// What an ask got.
+/// The result of a permit request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HandedOut {
-    /// After what time each permit may be used, one a request.
-    pub waits: Vec<Duration>,
-    /// What the remaining requests get.
+pub struct PermitAllocation {
+    /// One entry for each granted permit: the time after which the permit may be used.
+    #[serde(rename = "waits")]
+    pub delays: Vec<Duration>,
+    /// The refusal of the remaining requests; `None` if all got a permit.
     pub refusal: Option<PermitRefusal>,
 }
 
-/// Permits that are handed out at a rate.
+/// A token bucket for the permits of one upstream.
 #[derive(Clone, Debug)]
 pub struct PermitBucket {
-    /// Less than 0 where permits are handed out in advance.
+    /// Negative after permits were granted in advance.
     tokens: f64,
-    /// Refused callers that have not retried yet, by the times that they were given.
-    booked: f64,
-    counted: Instant,
-    asked: HashMap<SocketAddr, Instant>,
-    forgot: Instant,
+    /// The number of refused callers whose retry time has not passed yet.
+    pending_retries: f64,
+    refilled_at: Instant,
+    last_request_by_router: HashMap<SocketAddr, Instant>,
+    last_cleanup: Instant,
 }
 
 impl PermitBucket {
-    /// A bucket with a part of one permit, as much as its router has of the rate: what others handed out
-    /// before is not known.
+    /// Creates a bucket with a fraction of one token. `share` is that fraction, and the fraction of the rate
+    /// that falls to this limiter. There is no burst, as the permits that other limiters granted before are
+    /// unknown.
     pub fn new(share: f64, now: Instant) -> Self {
         Self {
             tokens: share,
-            booked: 0.0,
-            counted: now,
-            asked: HashMap::new(),
-            forgot: now,
+            pending_retries: 0.0,
+            refilled_at: now,
+            last_request_by_router: HashMap::new(),
+            last_cleanup: now,
         }
     }
 
-    /// Hands out permits for as many of the requests as may wait for theirs. `per_second` is the rate of
-    /// the upstream, as far as it is this router's to hand out.
-    pub fn hand_out(&mut self, ask: &PermitAsk, per_second: f64, now: Instant) -> HandedOut {
-        let per_second = per_second * USED_SHARE;
+    /// Grants permits to as many of the requests as can wait for theirs. `per_second` is this limiter's
+    /// part of the upstream's rate, in requests per second.
+    pub fn allocate(
+        &mut self,
+        demand: &PermitDemand,
+        per_second: f64,
+        now: Instant,
+    ) -> PermitAllocation {
+        let per_second = per_second * GRANTED_FRACTION;
         self.refill(per_second, now);
-        self.note_asker(ask.from, now);
-        let mut handed_out = HandedOut::default();
-        for _ in 0..ask.count {
-            let wait = self.time_to(1.0, per_second);
-            if wait > ask.max_wait {
-                handed_out.refusal = Some(self.refuse(ask, handed_out.waits.len(), per_second));
+        self.record_requester(demand.from, now);
+        let mut allocation = PermitAllocation::default();
+        for _ in 0..demand.count {
+            let delay = self.time_until(1.0, per_second);
+            if delay > demand.max_wait {
+                allocation.refusal = Some(self.refuse(demand, allocation.delays.len(), per_second));
                 break;
             }
             self.tokens -= 1.0;
-            handed_out.waits.push(wait);
+            allocation.delays.push(delay);
         }
-        handed_out
+        allocation
     }
 
-    /// The refusal of the requests that got no permit.
-    fn refuse(&mut self, ask: &PermitAsk, granted: usize, per_second: f64) -> PermitRefusal {
-        let refused = ask.count as usize - granted;
-        let next = self.time_to(1.0, per_second).min(MAX_RETRY);
-        let mut retry = self.time_to(1.0 + self.booked, per_second);
-        if retry > MAX_RETRY {
-            // Beyond it, callers are spread over the same time once more.
-            self.booked = 0.0;
-            retry = next;
+    /// Refuses the requests beyond the first `granted`.
+    fn refuse(&mut self, demand: &PermitDemand, granted: usize, per_second: f64) -> PermitRefusal {
+        let refused = demand.count as usize - granted;
+        let next_permit = self.time_until(1.0, per_second).min(MAX_RETRY_DELAY);
+        let mut retry_after = self.time_until(1.0 + self.pending_retries, per_second);
+        if retry_after > MAX_RETRY_DELAY {
+            // Further callers are distributed over the same ten seconds again.
+            self.pending_retries = 0.0;
+            retry_after = next_permit;
         }
-        self.booked += refused as f64;
-        let turn = self.asked.len() as f64 / per_second;
+        self.pending_retries += refused as f64;
+        let interval = self.last_request_by_router.len() as f64 / per_second;
         PermitRefusal {
-            next,
-            retry,
-            turn: Duration::from_secs_f64(turn).min(MAX_RETRY),
+            next_permit,
+            retry_after,
+            per_router_interval: Duration::from_secs_f64(interval).min(MAX_RETRY_DELAY),
         }
     }
 
-    /// How long it takes until there are this many tokens.
-    fn time_to(&self, tokens: f64, per_second: f64) -> Duration {
+    /// The time until the bucket contains this many tokens.
+    fn time_until(&self, tokens: f64, per_second: f64) -> Duration {
         let missing = (tokens - self.tokens).max(0.0);
-        // A time that no duration can hold is longer than any that counts.
-        Duration::try_from_secs_f64(missing / per_second).unwrap_or(MAX_WAIT)
+        // A time that does not fit into a `Duration` is longer than any request may wait.
+        Duration::try_from_secs_f64(missing / per_second).unwrap_or(MAX_PERMIT_DELAY)
     }
 
     fn refill(&mut self, per_second: f64, now: Instant) {
-        let passed = now.saturating_duration_since(self.counted).as_secs_f64();
-        self.counted = self.counted.max(now);
-        let new = passed * per_second;
+        let elapsed = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        let new = elapsed * per_second;
         self.tokens = (self.tokens + new).min(BURST);
-        self.booked = (self.booked - new).max(0.0);
+        self.pending_retries = (self.pending_retries - new).max(0.0);
     }
 
-    fn note_asker(&mut self, router: SocketAddr, now: Instant) {
-        self.asked.insert(router, now);
-        if now.saturating_duration_since(self.forgot) > ASKS_FOR / 10 {
-            let asks = |at: &Instant| now.saturating_duration_since(*at) < ASKS_FOR;
-            self.asked.retain(|_, at| asks(at));
-            self.forgot = now;
+    fn record_requester(&mut self, router: SocketAddr, now: Instant) {
+        self.last_request_by_router.insert(router, now);
+        if now.saturating_duration_since(self.last_cleanup) > REQUESTER_WINDOW / 10 {
+            let is_recent = |at: &Instant| now.saturating_duration_since(*at) < REQUESTER_WINDOW;
+            self.last_request_by_router.retain(|_, at| is_recent(at));
+            self.last_cleanup = now;
         }
     }
 }
--- a/crates/router/cloverpier_router_policy/src/permit/client.rs
+++ b/crates/router/cloverpier_router_policy/src/permit/client.rs
@@ -1,6 +1,6 @@
-//! When a router asks for permits, and what follows from what it gets.
+//! When a router requests permits for its own requests, and what it derives from replies and timeouts.
 //!
-//! [`PermitClient`] owns what was answered last for each upstream, and which routers did not answer.
+//! [`PermitClient`] owns the last refusal for each upstream, and the set of unresponsive limiters.
 
 use super::PermitRefusal;
 use crate::upstream::UpstreamKey;
@@ -8,62 +8,70 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long an answer is waited for: a round trip to the upstream's data centre, of which routers and
-/// network may take more on a busy machine.
-pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
-/// After an ask without an answer the upstream is left out for this long.
-const UNANSWERED_PAUSE: Duration = Duration::from_millis(150);
-/// A router that leaves this many asks in a row unanswered hands out no permits: it is dead, or runs a
-/// release that does not.
-const MAX_UNANSWERED: u32 = 3;
-/// And it is passed over for this long.
-const SILENT_FOR: Duration = Duration::from_secs(5);
+/// How long a router waits for the reply to a permit request: a round trip to the upstream's data centre,
+/// with a margin for busy routers and networks.
+pub const REPLY_TIMEOUT: Duration = Duration::from_millis(60);
+/// How long an upstream is excluded from selection, as long as others are available, after a permit
+/// request for it timed out.
+const TIMEOUT_BACKOFF: Duration = Duration::from_millis(150);
+/// The number of consecutive timeouts after which a router counts as unresponsive: it has stopped, or runs
+/// a release without permits.
+const MAX_CONSECUTIVE_TIMEOUTS: u32 = 3;
+/// How long an unresponsive router is not regarded as a limiter.
+const UNRESPONSIVE_PERIOD: Duration = Duration::from_secs(5);
 
 /// The last refusal for an upstream.
 #[derive(Clone, Copy, Debug)]
 struct LastRefusal {
-    at: Instant,
+    received_at: Instant,
     refusal: PermitRefusal,
-    /// Requests that were refused since without an ask.
-    since: u32,
-    /// Until when the upstream is left out where there are others.
-    left_out_until: Instant,
+    /// The number of requests that this router has refused since, without a permit request.
+    refused_locally: u32,
+    /// Until when the upstream is excluded from selection as long as others are available.
+    backoff_until: Instant,
 }
 
-/// What this router knows of the permits of upstreams.
+/// The replies and timeouts of a router's own permit requests.
 #[derive(Clone, Debug, Default)]
 pub struct PermitClient {
     refusals: HashMap<UpstreamKey, LastRefusal>,
-    unanswered: HashMap<SocketAddr, u32>,
-    silent: HashMap<SocketAddr, Instant>,
+    consecutive_timeouts: HashMap<SocketAddr, u32>,
+    unresponsive_since: HashMap<SocketAddr, Instant>,
 }
 
 impl PermitClient {
-    /// Whether an upstream is left out for now where there are others.
-    pub fn is_left_out(&self, upstream: UpstreamKey, now: Instant) -> bool {
+    /// Whether an upstream is excluded from selection as long as others are available, after a refusal or
+    /// a timeout.
+    pub fn is_backing_off(&self, upstream: UpstreamKey, now: Instant) -> bool {
         let refusal = self.refusals.get(&upstream);
-        refusal.is_some_and(|last| now < last.left_out_until)
+        refusal.is_some_and(|last| now < last.backoff_until)
     }
 
-    /// When a request's caller should retry that is refused without an ask, as no permit can be had
-    /// within the time that it may wait; `None` where it is worth asking.
-    pub fn refuse_unasked(
+    /// Refuses a request without a permit request if, by the last refusal, no permit becomes available
+    /// within `max_wait`. Returns the time after which the caller should retry; `None` if a permit request
+    /// may succeed.
+    pub fn refuse_locally(
         &mut self,
         upstream: UpstreamKey,
         max_wait: Duration,
         now: Instant,
     ) -> Option<Duration> {
         let last = self.refusals.get_mut(&upstream)?;
-        if now + max_wait >= last.at + last.refusal.next {
+        if now + max_wait >= last.received_at + last.refusal.next_permit {
             return None;
         }
-        last.since = last.since.saturating_add(1);
-        let retry = last.at + last.refusal.retry + last.refusal.turn.saturating_mul(last.since);
+        last.refused_locally = last.refused_locally.saturating_add(1);
+        let retry = last.received_at
+            + last.refusal.retry_after
+            + last
+                .refusal
+                .per_router_interval
+                .saturating_mul(last.refused_locally);
         Some(retry.saturating_duration_since(now))
     }
 
-    /// Records an answer of a limiter.
-    pub fn on_answer(
+    /// Records a limiter's reply; `refusal` is `None` if all requested permits were granted.
+    pub fn on_reply(
         &mut self,
         upstream: UpstreamKey,
         from: SocketAddr,
@@ -71,81 +79,85 @@
         rng: &mut fastrand::Rng,
         now: Instant,
     ) {
-        self.on_speaking(from);
+        self.on_permit_message(from);
         let Some(refusal) = refusal else {
             self.refusals.remove(&upstream);
             return;
         };
-        // Those that were refused at the same moment do not ask again at the same moment.
-        let left_out = refusal.next + refusal.turn.mul_f64(rng.f64());
+        // The random part prevents routers that were refused together from requesting again together.
+        let backoff = refusal.next_permit + refusal.per_router_interval.mul_f64(rng.f64());
         let last = LastRefusal {
-            at: now,
+            received_at: now,
             refusal,
-            since: 0,
-            left_out_until: now + left_out,
+            refused_locally: 0,
+            backoff_until: now + backoff,
         };
         self.refusals.insert(upstream, last);
     }
 
-    /// Leaves an upstream out for a moment, as nobody has answered an ask for it.
-    pub fn leave_out(&mut self, upstream: UpstreamKey, now: Instant) {
+    /// Excludes an upstream from selection for 150 ms, as long as others are available, after a permit
+    /// request timed out.
+    pub fn back_off(&mut self, upstream: UpstreamKey, now: Instant) {
         let refusal = PermitRefusal {
-            next: Duration::ZERO,
-            retry: UNANSWERED_PAUSE,
-            turn: UNANSWERED_PAUSE,
+            next_permit: Duration::ZERO,
+            retry_after: TIMEOUT_BACKOFF,
+            per_router_interval: TIMEOUT_BACKOFF,
         };
         let last = LastRefusal {
-            at: now,
+            received_at: now,
             refusal,
-            since: 0,
-            left_out_until: now + UNANSWERED_PAUSE,
+            refused_locally: 0,
+            backoff_until: now + TIMEOUT_BACKOFF,
         };
         self.refusals.insert(upstream, last);
     }
 
-    /// Records that a router did not answer; returns whether it is passed over from now on and was not
-    /// before.
-    pub fn on_silence(&mut self, limiter: SocketAddr, now: Instant) -> bool {
-        let unanswered = self.unanswered.entry(limiter).or_default();
-        *unanswered += 1;
-        if *unanswered < MAX_UNANSWERED {
+    /// Records that a router did not reply in time. Returns whether it has become unresponsive by this
+    /// timeout.
+    pub fn on_timeout(&mut self, limiter: SocketAddr, now: Instant) -> bool {
+        let timeouts = self.consecutive_timeouts.entry(limiter).or_default();
+        *timeouts += 1;
+        if *timeouts < MAX_CONSECUTIVE_TIMEOUTS {
             return false;
         }
-        *unanswered = 0;
-        let was_silent = self.is_silent(limiter, now);
-        self.silent.insert(limiter, now);
-        !was_silent
+        *timeouts = 0;
+        let was_unresponsive = self.is_unresponsive(limiter, now);
+        self.unresponsive_since.insert(limiter, now);
+        !was_unresponsive
     }
 
-    /// Records a message of a router that only those send that hand out permits.
-    pub fn on_speaking(&mut self, router: SocketAddr) {
-        self.unanswered.remove(&router);
-        self.silent.remove(&router);
+    /// Records a permit request or reply from a router, which shows that the router grants permits.
+    pub fn on_permit_message(&mut self, router: SocketAddr) {
+        self.consecutive_timeouts.remove(&router);
+        self.unresponsive_since.remove(&router);
     }
 
-    /// Whether a router is passed over.
-    pub fn is_silent(&self, router: SocketAddr, now: Instant) -> bool {
-        let silent = self.silent.get(&router);
-        silent.is_some_and(|since| now.saturating_duration_since(*since) < SILENT_FOR)
+    /// Whether a router is not regarded as a limiter because its replies timed out.
+    pub fn is_unresponsive(&self, router: SocketAddr, now: Instant) -> bool {
+        let since = self.unresponsive_since.get(&router);
+        since.is_some_and(|since| now.saturating_duration_since(*since) < UNRESPONSIVE_PERIOD)
     }
 
-    /// The routers that are passed over, to be asked whether they answer by now.
-    pub fn silent(&self, now: Instant) -> Vec<SocketAddr> {
-        let silent = self.silent.keys().copied();
-        silent
-            .filter(|router| self.is_silent(*router, now))
+    /// The unresponsive routers, which the caller probes.
+    pub fn unresponsive(&self, now: Instant) -> Vec<SocketAddr> {
+        let routers = self.unresponsive_since.keys().copied();
+        routers
+            .filter(|router| self.is_unresponsive(*router, now))
             .collect()
     }
 
-    /// Forgets what was answered for an upstream, as when it names another limit.
-    pub fn forget(&mut self, upstream: UpstreamKey) {
+    /// Removes the last refusal for an upstream, as after a rise of its limit.
+    pub fn remove_refusal(&mut self, upstream: UpstreamKey) {
         self.refusals.remove(&upstream);
     }
 
-    /// Forgets what was answered for upstreams that are not limited any more.
+    /// Removes refusals for upstreams that are no longer limited, and expired records of unresponsive
+    /// routers.
     pub fn retain(&mut self, is_limited: impl Fn(UpstreamKey) -> bool, now: Instant) {
         self.refusals.retain(|upstream, _| is_limited(*upstream));
-        let is_silent = |since: &Instant| now.saturating_duration_since(*since) < SILENT_FOR;
-        self.silent.retain(|_, since| is_silent(since));
+        let is_unresponsive =
+            |since: &Instant| now.saturating_duration_since(*since) < UNRESPONSIVE_PERIOD;
+        self.unresponsive_since
+            .retain(|_, since| is_unresponsive(since));
     }
 }
--- a/crates/router/cloverpier_router_policy/src/permit/limiter.rs
+++ b/crates/router/cloverpier_router_policy/src/permit/limiter.rs
@@ -1,10 +1,10 @@
-//! Which router hands out the permits of an upstream.
+//! Selects the limiter of each upstream: the router that grants the permits for that upstream.
 //!
-//! [`LimiterMap`] is what a router knows of the others, [`Limiter`] the upstreams for which it hands out
-//! permits itself, with their buckets.
+//! [`LimiterMap`] owns one router's view of the live routers. [`Limiter`] owns the buckets of the upstreams
+//! whose limiter this router is.
 
-use super::bucket::{HandedOut, PermitBucket};
-use super::{PermitAsk, PermitRefusal};
+use super::bucket::{PermitAllocation, PermitBucket};
+use super::{PermitDemand, PermitRefusal};
 use crate::limit::Rate;
 use crate::upstream::UpstreamKey;
 use cloverpier_core::{DataCentre, hash_of};
@@ -12,34 +12,34 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A router that may hand out permits: it lives and serves.
+/// A live and ready router, which may be selected as a limiter.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RouterPlace {
-    /// Its address for peers.
+pub struct RouterLocation {
+    /// The router's address for peers.
     pub router: SocketAddr,
-    /// Its data centre.
+    /// The data centre of the router's VM.
     pub data_centre: DataCentre,
 }
 
-/// The routers of a fleet, as one of them knows them.
+/// The live and ready routers of a fleet, as one router has recorded them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimiterMap {
     own: SocketAddr,
-    /// The routers with the hashes of their addresses.
+    /// Each router with the hash of its address.
     by_data_centre: BTreeMap<DataCentre, Vec<(u64, SocketAddr)>>,
     share: f64,
 }
 
 impl LimiterMap {
-    /// A map of the routers that live and serve, this one among them if it does, with the number of those
-    /// that were lost a while ago.
-    pub fn new(own: SocketAddr, live: Vec<RouterPlace>, lost: usize) -> Self {
-        let known = live.len() + lost;
-        let share = live.len() as f64 / known.max(1) as f64;
+    /// Creates the map of the router at `own`. `live` contains the live and ready routers, this router
+    /// included if it is ready; `lost` is the number of routers that were lost recently.
+    pub fn new(own: SocketAddr, live: Vec<RouterLocation>, lost: usize) -> Self {
+        let total = live.len() + lost;
+        let share = live.len() as f64 / total.max(1) as f64;
         let mut by_data_centre: BTreeMap<DataCentre, Vec<(u64, SocketAddr)>> = BTreeMap::new();
-        for place in live {
-            let routers = by_data_centre.entry(place.data_centre).or_default();
-            routers.push((hash_of(&place.router.to_string()), place.router));
+        for location in live {
+            let routers = by_data_centre.entry(location.data_centre).or_default();
+            routers.push((hash_of(&location.router.to_string()), location.router));
         }
         Self {
             own,
@@ -48,172 +48,193 @@
         }
     }
 
-    /// The part of the known routers that live. Parts of a fleet that are cut off from each other have
-    /// one whole together.
+    /// The number of live routers divided by that of live and recently lost ones, from 0 to 1. While each
+    /// side of a network partition counts the routers of the other as lost, the shares of the sides add up
+    /// to 1, so that the sides together do not exceed a rate.
     pub fn share(&self) -> f64 {
         self.share
     }
 
-    /// The router that hands out an upstream's permits: one of the upstream's own data centre where there
-    /// is one, as who reaches the upstream reaches that, too.
+    /// The limiter of an upstream; `None` without a responsive live router. A router in the upstream's own
+    /// data centre is preferred, since a router that can reach the upstream can then reach the limiter,
+    /// too.
     pub fn limiter_of(
         &self,
         upstream: UpstreamKey,
         data_centre: &DataCentre,
-        is_silent: impl Fn(SocketAddr) -> bool,
+        is_unresponsive: impl Fn(SocketAddr) -> bool,
     ) -> Option<SocketAddr> {
         let first = |routers: &mut dyn Iterator<Item = &(u64, SocketAddr)>| {
-            let speaking = routers.filter(|(_, router)| !is_silent(*router));
-            let ranked = speaking.max_by_key(|(hash, router)| (weight(upstream, *hash), *router));
+            let responsive = routers.filter(|(_, router)| !is_unresponsive(*router));
+            let ranked = responsive
+                .max_by_key(|(hash, router)| (rendezvous_weight(upstream, *hash), *router));
             ranked.map(|(_, router)| *router)
         };
-        let near = self.by_data_centre.get(data_centre);
-        let near = near.and_then(|routers| first(&mut routers.iter()));
-        near.or_else(|| first(&mut self.by_data_centre.values().flatten()))
+        let local = self.by_data_centre.get(data_centre);
+        let local = local.and_then(|routers| first(&mut routers.iter()));
+        local.or_else(|| first(&mut self.by_data_centre.values().flatten()))
     }
 
-    /// Whether this router hands out an upstream's permits.
+    /// Whether this router is the limiter of an upstream.
     fn is_own(
         &self,
         upstream: UpstreamKey,
         data_centre: &DataCentre,
-        is_silent: impl Fn(SocketAddr) -> bool,
+        is_unresponsive: impl Fn(SocketAddr) -> bool,
     ) -> bool {
-        self.limiter_of(upstream, data_centre, is_silent) == Some(self.own)
+        self.limiter_of(upstream, data_centre, is_unresponsive) == Some(self.own)
     }
 }
 
-/// The rank of a router for an upstream, by rendezvous.
-fn weight(upstream: UpstreamKey, router: u64) -> u64 {
-    // The finalizer of splitmix64, which spreads a change of one bit over all.
-    let mut mixed = upstream.0 ^ router.rotate_left(32);
+/// The weight of a router, given by the hash of its address, for an upstream. Rendezvous hashing selects
+/// the router with the highest weight.
+fn rendezvous_weight(upstream: UpstreamKey, router_hash: u64) -> u64 {
+    // The finalizer of splitmix64, in which each input bit affects all output bits.
+    let mut mixed = upstream.0 ^ router_hash.rotate_left(32);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     mixed ^ (mixed >> 31)
 }
 
-/// The permits of an upstream that this router hands out.
+/// The bucket of an upstream whose limiter this router is.
 #[derive(Clone, Debug)]
-struct Duty {
-    /// Since when it is this router's to do so.
-    since: Instant,
+struct OwnBucket {
+    /// The start of the hold, after which the bucket is used.
+    hold_started_at: Instant,
     bucket: PermitBucket,
 }
 
-/// An answer to an ask.
+/// The result of a permit request at the router that received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LimiterAnswer {
-    /// This router hands out the permits.
-    HandedOut(HandedOut),
-    /// Another one does.
+pub enum LimiterDecision {
+    /// This router is the limiter; contains the granted permits and the refusal.
+    Allocated(PermitAllocation),
+    /// This router is not the limiter of the upstream.
     NotLimiter,
 }
 
-/// The upstreams whose permits this router hands out.
+/// The upstreams whose limiter this router is.
 #[derive(Clone, Debug)]
 pub struct Limiter {
     map: LimiterMap,
-    /// When the routers that live changed last, as far as this router noticed.
-    changed: Instant,
-    /// How long a change waits for others to notice it.
+    /// When this router last noticed a change of the live routers.
+    routers_changed_at: Instant,
+    /// The longest time until all routers have noticed a change of the live routers.
     hold: Duration,
-    /// The part of each rate that is handed out, which rises after the hold alone.
+    /// The fraction of each rate for which permits are granted. A decrease applies at once, an increase
+    /// after the hold.
     share: f64,
-    rises_since: Option<Instant>,
-    duties: HashMap<UpstreamKey, Duty>,
+    /// Since when the share of the map has been higher than `share`; `None` if it is not.
+    share_rises_since: Option<Instant>,
+    buckets: HashMap<UpstreamKey, OwnBucket>,
 }
 
 impl Limiter {
-    /// A router that knows nobody else yet.
+    /// Creates the state of the router at `own`, which grants no permits before the first call of
+    /// [`Limiter::on_routers`].
     pub fn new(own: SocketAddr, now: Instant) -> Self {
         Self {
             map: LimiterMap::new(own, Vec::new(), 0),
-            changed: now,
+            routers_changed_at: now,
             hold: Duration::MAX,
             share: 0.0,
-            rises_since: None,
-            duties: HashMap::new(),
+            share_rises_since: None,
+            buckets: HashMap::new(),
         }
     }
 
-    /// What this router knows of the others.
+    /// The live and ready routers by which this router selects limiters.
     pub fn map(&self) -> &LimiterMap {
         &self.map
     }
 
-    /// Takes account of the routers that live now, if they are others than before. `hold` is how long it
-    /// takes at most until all of them have noticed a change.
+    /// Updates the live routers; `map` is `None` if they have not changed. `hold` is the longest time until
+    /// all routers have noticed a change of the live routers.
     pub fn on_routers(&mut self, map: Option<LimiterMap>, hold: Duration, now: Instant) {
         self.hold = hold;
         if let Some(map) = map.filter(|map| *map != self.map) {
             self.map = map;
-            self.changed = now;
+            self.routers_changed_at = now;
         }
         let share = self.map.share();
         if share <= self.share {
             self.share = share;
-            self.rises_since = None;
+            self.share_rises_since = None;
             return;
         }
-        let since = *self.rises_since.get_or_insert(now);
+        let since = *self.share_rises_since.get_or_insert(now);
         if now.saturating_duration_since(since) >= hold {
             self.share = share;
-            self.rises_since = None;
+            self.share_rises_since = None;
         }
     }
 
-    /// Gives up the permits of all upstreams, as when this process stood still: others may have handed
-    /// them out meanwhile.
+    /// Removes all buckets and starts a new hold after this process was paused, since other routers may
+    /// have granted the permits during the pause.
     pub fn on_paused(&mut self, now: Instant) {
-        self.changed = now;
-        self.duties.clear();
+        self.routers_changed_at = now;
+        self.buckets.clear();
     }
 
-    /// Gives up what is another router's to hand out by now, or limited no more.
+    /// Removes the buckets of all upstreams for which `is_own` is false: another router is the limiter, or
+    /// the upstream is no longer limited.
     pub fn retain(&mut self, is_own: impl Fn(&LimiterMap, UpstreamKey) -> bool) {
         let map = &self.map;
-        self.duties.retain(|upstream, _| is_own(map, *upstream));
+        self.buckets.retain(|upstream, _| is_own(map, *upstream));
     }
 
-    /// Answers an ask for an upstream's permits.
-    pub fn on_ask(
+    /// Decides on a permit request of any router, this one included. Refuses all permits during the hold
+    /// after a change of the live routers, in which the previous limiter may still grant permits.
+    pub fn on_demand(
         &mut self,
-        ask: &PermitAsk,
+        demand: &PermitDemand,
         data_centre: &DataCentre,
         rate: Rate,
-        is_silent: impl Fn(SocketAddr) -> bool,
+        is_unresponsive: impl Fn(SocketAddr) -> bool,
         now: Instant,
-    ) -> LimiterAnswer {
-        if !self.map.is_own(ask.upstream, data_centre, is_silent) {
-            return LimiterAnswer::NotLimiter;
+    ) -> LimiterDecision {
+        if !self
+            .map
+            .is_own(demand.upstream, data_centre, is_unresponsive)
+        {
+            return LimiterDecision::NotLimiter;
         }
-        // In place of one that does not answer, a router hands out nothing before others notice that, too.
-        let stands_in = !self.map.is_own(ask.upstream, data_centre, |_| false);
+        // If this router replaces an unresponsive limiter, the hold starts with the first permit request,
+        // since other routers may not have noticed yet that the limiter is unresponsive.
+        let is_substitute = !self.map.is_own(demand.upstream, data_centre, |_| false);
         let share = self.map.share();
-        let since = if stands_in { now } else { self.changed };
-        let duty = self.duties.entry(ask.upstream).or_insert_with(|| Duty {
-            since,
-            bucket: PermitBucket::new(share, now),
-        });
-        let held_until = duty.since.checked_add(self.hold);
-        let left = held_until.map_or(self.hold, |until| until.saturating_duration_since(now));
-        // The share is none until the first hold is over.
-        if !left.is_zero() || self.share <= 0.0 {
-            return LimiterAnswer::HandedOut(not_yet(left, rate));
+        let hold_started_at = if is_substitute {
+            now
+        } else {
+            self.routers_changed_at
+        };
+        let own = self
+            .buckets
+            .entry(demand.upstream)
+            .or_insert_with(|| OwnBucket {
+                hold_started_at,
+                bucket: PermitBucket::new(share, now),
+            });
+        let hold_ends_at = own.hold_started_at.checked_add(self.hold);
+        let remaining =
+            hold_ends_at.map_or(self.hold, |until| until.saturating_duration_since(now));
+        // The share is 0 until the first hold has ended.
+        if !remaining.is_zero() || self.share <= 0.0 {
+            return LimiterDecision::Allocated(refuse_during_hold(remaining, rate));
         }
         let per_second = rate.as_per_second() * self.share;
-        LimiterAnswer::HandedOut(duty.bucket.hand_out(ask, per_second, now))
+        LimiterDecision::Allocated(own.bucket.allocate(demand, per_second, now))
     }
 }
 
-/// The refusal of all requests for a while.
-fn not_yet(left: Duration, rate: Rate) -> HandedOut {
-    HandedOut {
-        waits: Vec::new(),
+/// Refuses all requests for the remaining time of the hold.
+fn refuse_during_hold(remaining: Duration, rate: Rate) -> PermitAllocation {
+    PermitAllocation {
+        delays: Vec::new(),
         refusal: Some(PermitRefusal {
-            next: left,
-            retry: left,
-            turn: rate.interval(),
+            next_permit: remaining,
+            retry_after: remaining,
+            per_router_interval: rate.interval(),
         }),
     }
 }
--- a/crates/router/cloverpier_router_policy/src/permit/search.rs
+++ b/crates/router/cloverpier_router_policy/src/permit/search.rs
@@ -1,95 +1,105 @@
-//! Which upstreams one request is offered to that has met limited ones.
+//! The search of one request for an upstream, if some upstreams are limited.
 //!
-//! [`PermitSearch`] owns the progress of one request's search. First it goes to whoever is free, or has a
-//! permit at once; only where nobody is left does it wait for one.
+//! [`PermitSearch`] owns the state of one request's search. The request first goes to an upstream that is
+//! not limited, or that has a permit available at once. Only if there is none does the request wait for a
+//! permit.
 
 use super::Permits;
 use crate::upstream::UpstreamKey;
 use std::time::{Duration, Instant};
 
-/// Part of its objective that a request of the highest rank waits for a permit at most; one of the next
-/// rank half of that, and so on, so that permits go to the more urgent where they are few.
-const PATIENCE: f64 = 0.25;
-/// And no more than this part of the time that it has left.
-const TIME_LEFT_SHARE: f64 = 0.25;
+/// The maximum fraction of its response time objective that a request with the highest priority waits for a
+/// permit. A request with the next priority waits half of that, then a third, and so on, so that scarce
+/// permits go to more urgent requests.
+const OBJECTIVE_FRACTION: f64 = 0.25;
+/// The maximum fraction of the time until its deadline that a request waits for a permit.
+const TIME_LEFT_FRACTION: f64 = 0.25;
 
-/// How long a probe or a check of an upstream waits for a permit: longer than most requests, as it finds
-/// out whether the upstream lives.
-pub const QUESTION_PATIENCE: Duration = Duration::from_millis(500);
+/// How long a probe or a check of an upstream waits for a permit: longer than most requests, since its
+/// result shows whether the upstream is alive.
+pub const PROBE_PERMIT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a request waits for a permit where nobody else takes it: its rank, 0 the highest, the time
-/// within which its answer is in time, and the time that it has left.
-pub fn patience(rank: u8, objective: Duration, time_left: Duration) -> Duration {
-    let of_objective = objective.mul_f64(PATIENCE / f64::from(u16::from(rank) + 1));
-    of_objective.min(time_left.mul_f64(TIME_LEFT_SHARE))
+/// How long a request may wait for a permit if no upstream accepts it at once. `priority` is 0 for the most
+/// urgent requests, `objective` the response time objective of the request's route, and `time_left` the
+/// time until the request's deadline.
+pub fn max_permit_wait(priority: u8, objective: Duration, time_left: Duration) -> Duration {
+    let of_objective = objective.mul_f64(OBJECTIVE_FRACTION / f64::from(u16::from(priority) + 1));
+    of_objective.min(time_left.mul_f64(TIME_LEFT_FRACTION))
 }
 
-/// Limiters that are asked for one request before others get it, and again where nobody else is left.
-const MAX_ASKS: usize = 2;
+/// The number of refusals after which a request is offered to unlimited upstreams only, until it starts to
+/// wait for a permit, and again from then on.
+const MAX_REFUSALS: usize = 2;
 
-/// The search of one request for an upstream that takes it.
+/// The state of one request's search for an upstream.
 #[derive(Clone, Debug)]
 pub struct PermitSearch {
-    /// How long the request may wait for a permit.
-    patience: Duration,
-    /// Whether it waits by now.
-    waits: bool,
+    /// How long the request may wait for a permit once it waits.
+    max_permit_wait: Duration,
+    /// Whether the request waits for permits now.
+    is_waiting: bool,
+    /// The upstreams for which the request got no permit, since its wait began if it waits.
     refused: Vec<UpstreamKey>,
-    /// When the first of those that refused it may be asked again.
-    retry: Option<Duration>,
+    /// The shortest retry time of these refusals; `None` before the first.
+    retry_after: Option<Duration>,
 }
 
 impl PermitSearch {
-    /// A request that may wait this long for a permit.
-    pub fn new(patience: Duration) -> Self {
+    /// Starts the search of a request that may wait for a permit for at most `max_permit_wait`.
+    pub fn new(max_permit_wait: Duration) -> Self {
         Self {
-            patience,
-            waits: false,
+            max_permit_wait,
+            is_waiting: false,
             refused: Vec::new(),
-            retry: None,
+            retry_after: None,
         }
     }
 
-    /// How long it may wait now.
+    /// How long the request may wait for a permit in the current phase; zero before
+    /// [`PermitSearch::begin_waiting`].
     pub fn max_wait(&self) -> Duration {
-        if self.waits {
-            self.patience
+        if self.is_waiting {
+            self.max_permit_wait
         } else {
             Duration::ZERO
         }
     }
 
-    /// Whether an upstream is not offered the request.
-    pub fn withholds(&self, permits: &Permits, upstream: UpstreamKey, now: Instant) -> bool {
+    /// Whether a limited upstream is excluded from the choice for this request.
+    pub fn excludes(&self, permits: &Permits, upstream: UpstreamKey, now: Instant) -> bool {
         if permits.limits().rate(upstream, now).is_none() {
             return false;
         }
-        let has_asked_enough = self.refused.len() >= MAX_ASKS;
-        let is_left_out = !self.waits && permits.is_left_out(upstream, now);
-        has_asked_enough || is_left_out || self.refused.contains(&upstream)
+        let has_enough_refusals = self.refused.len() >= MAX_REFUSALS;
+        let is_backing_off = !self.is_waiting && permits.is_backing_off(upstream, now);
+        has_enough_refusals || is_backing_off || self.refused.contains(&upstream)
     }
 
-    /// Records that no permit was had for an upstream, and when the request's caller should retry.
-    pub fn on_refused(&mut self, upstream: UpstreamKey, retry: Duration) {
+    /// Records that the request got no permit for an upstream, and the time after which its caller should
+    /// retry.
+    pub fn on_refused(&mut self, upstream: UpstreamKey, retry_after: Duration) {
         self.refused.push(upstream);
-        let first = self.retry.map_or(retry, |first| first.min(retry));
-        self.retry = Some(first);
+        let first = self
+            .retry_after
+            .map_or(retry_after, |first| first.min(retry_after));
+        self.retry_after = Some(first);
     }
 
-    /// Has the request wait for a permit from now on, as nobody takes it otherwise; false where it has
-    /// waited already.
+    /// Lets the request wait for permits from now on, since no upstream accepts it at once. Returns false
+    /// if the request was waiting already.
     pub fn begin_waiting(&mut self) -> bool {
-        if self.waits {
+        if self.is_waiting {
             return false;
         }
-        self.waits = true;
+        self.is_waiting = true;
         self.refused.clear();
-        self.retry = None;
+        self.retry_after = None;
         true
     }
 
-    /// When the request's caller should retry, where limits are why nobody took it.
-    pub fn retry(&self) -> Option<Duration> {
-        self.retry
+    /// The time after which the request's caller should retry; `None` if no permit was refused to the
+    /// request in the current phase.
+    pub fn retry_after(&self) -> Option<Duration> {
+        self.retry_after
     }
 }
--- a/crates/router/cloverpier_router_policy/src/replica.rs
+++ b/crates/router/cloverpier_router_policy/src/replica.rs
@@ -62,7 +62,7 @@
 ) -> Option<Upstream> {
     let replica = replica?;
     let state = table.get(&replica.engine.name)?;
-    if limits.is_withheld(state.key) {
+    if limits.is_excluded(state.key) {
         return None;
     }
     let is_kept = state.is_usable(now) && replica.start == Some(state.incarnation());
--- a/tools/src/limit_play/beliefs.rs
+++ b/tools/src/limit_play/beliefs.rs
@@ -5,7 +5,7 @@
 use cloverpier_core::DataCentre;
 use cloverpier_router_policy::heartbeat::{peer_timeout, reaches_all_peers};
 use cloverpier_router_policy::membership::{GOSSIP_PERIOD, MEMBER_TIMEOUT};
-use cloverpier_router_policy::permit::{LimiterMap, RouterPlace};
+use cloverpier_router_policy::permit::{LimiterMap, RouterLocation};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -147,7 +147,7 @@
         let (live, lost): (Vec<usize>, Vec<usize>) =
             others.partition(|router| self.is_believed(observer, *router, now));
         let live = live.into_iter().chain([observer]);
-        let places = live.map(|router| RouterPlace {
+        let places = live.map(|router| RouterLocation {
             router: address_of(router),
             data_centre: self.data_centre_of(router),
         });
--- a/tools/src/limit_play/messages.rs
+++ b/tools/src/limit_play/messages.rs
@@ -5,7 +5,7 @@
 use super::world::{Event, PendingAsk, World};
 use cloverpier_router_policy::dissemination::{is_repeated, sends_missed};
 use cloverpier_router_policy::limit::{LimitChange, LimitReport};
-use cloverpier_router_policy::permit::{ANSWER_TIMEOUT, PermitReply, PermitRequest, Want};
+use cloverpier_router_policy::permit::{PermitDecision, PermitReply, PermitRequest, REPLY_TIMEOUT};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -129,7 +129,7 @@
         let permits = &mut self.routers[to].permits;
         let reply = permits.on_request(address_of(from), request, Some(place), now);
         let other = permits.limiter_of(place, now);
-        let is_other = reply.handed_out.is_none();
+        let is_other = reply.allocation.is_none();
         self.post(to, from, Message::Reply(reply), 1);
         // Whether the router that should answer does.
         if let Some(limiter) = other.filter(|l| is_other && *l != address_of(to)) {
@@ -173,7 +173,7 @@
             life,
             number,
         };
-        self.schedule_in(ANSWER_TIMEOUT, timeout);
+        self.schedule_in(REPLY_TIMEOUT, timeout);
     }
 
     fn on_reply(&mut self, from: usize, router: usize, reply: &PermitReply) {
@@ -181,7 +181,7 @@
         let Some(pending) = self.routers[router].pending.remove(&reply.number) else {
             return;
         };
-        if self.now > pending.asked + ANSWER_TIMEOUT {
+        if self.now > pending.asked + REPLY_TIMEOUT {
             return self.go_on_without(router, pending);
         }
         let permits = &mut self.routers[router].permits;
@@ -201,14 +201,14 @@
         let now = self.instant();
         let key = self.upstreams[pending.upstream].key;
         let permits = &mut self.routers[router].permits;
-        permits.on_unanswered(key, pending.limiter, now);
-        let want = Want::Refused {
-            retry: ANSWER_TIMEOUT,
+        permits.on_request_timeout(key, pending.limiter, now);
+        let want = PermitDecision::Refused {
+            retry: REPLY_TIMEOUT,
         };
         self.go_on(pending, want);
     }
 
-    fn go_on(&mut self, pending: PendingAsk, want: Want) {
+    fn go_on(&mut self, pending: PendingAsk, want: PermitDecision) {
         let PendingAsk {
             sending, upstream, ..
         } = pending;
--- a/tools/src/limit_play/requests.rs
+++ b/tools/src/limit_play/requests.rs
@@ -3,7 +3,7 @@
 use super::Way;
 use super::world::{Event, World};
 use cloverpier_router_policy::limit::{LimitChange, LimitStatement, ResponseInterval};
-use cloverpier_router_policy::permit::{PermitSearch, Want, is_usable};
+use cloverpier_router_policy::permit::{PermitDecision, PermitSearch, is_permit_usable};
 use std::time::Duration;
 
 const LEAST_WAY: Duration = Duration::from_millis(1);
@@ -73,7 +73,7 @@
                 return self.offer(sending);
             }
             self.outcome.refused += 1;
-            self.waits.retries.extend(sending.search.retry());
+            self.waits.retries.extend(sending.search.retry_after());
             return;
         };
         let want = match self.spec.way {
@@ -81,7 +81,9 @@
             Way::Shares => self.want_share(&sending, upstream),
         };
         match want {
-            Want::Ask(limiter) => self.ask(sending.router, upstream, limiter, Some(sending)),
+            PermitDecision::RequestFrom(limiter) => {
+                self.ask(sending.router, upstream, limiter, Some(sending));
+            }
             want => self.on_want(sending, upstream, want),
         }
     }
@@ -91,13 +93,13 @@
         let permits = &self.routers[router].permits;
         let may_get = |upstream: &usize| {
             let key = self.upstreams[*upstream].key;
-            !sending.search.withholds(permits, key, now) && self.reaches(router, *upstream)
+            !sending.search.excludes(permits, key, now) && self.reaches(router, *upstream)
         };
         let candidates: Vec<usize> = (0..self.spec.upstreams).filter(may_get).collect();
         self.rng.choice(candidates)
     }
 
-    fn want_permit(&mut self, sending: &Sending, upstream: usize) -> Want {
+    fn want_permit(&mut self, sending: &Sending, upstream: usize) -> PermitDecision {
         let now = self.instant();
         let data_centre = self.upstreams[upstream].data_centre.clone();
         let place = cloverpier_router_policy::permit::LimitedUpstream {
@@ -107,30 +109,30 @@
         let max_wait = sending.search.max_wait();
         self.routers[sending.router]
             .permits
-            .want(place, max_wait, now)
+            .decide(place, max_wait, now)
     }
 
     /// Each router may send its part of the rate, and one request at once.
-    fn want_share(&mut self, sending: &Sending, upstream: usize) -> Want {
+    fn want_share(&mut self, sending: &Sending, upstream: usize) -> PermitDecision {
         let (now, instant) = (self.now, self.instant());
         let key = self.upstreams[upstream].key;
         let routers = self.spec.routers as f64;
         let state = &mut self.routers[sending.router];
         let Some(rate) = state.permits.limits().rate(key, instant) else {
-            return Want::Unlimited;
+            return PermitDecision::Unlimited;
         };
         let next = state.next_by_share.entry(upstream).or_default();
         if now < *next {
-            return Want::Refused { retry: *next - now };
+            return PermitDecision::Refused { retry: *next - now };
         }
         *next = now + Duration::from_secs_f64(routers / rate.as_per_second());
-        Want::Granted(Duration::ZERO)
+        PermitDecision::Granted(Duration::ZERO)
     }
 
-    pub(super) fn on_want(&mut self, mut sending: Sending, upstream: usize, want: Want) {
+    pub(super) fn on_want(&mut self, mut sending: Sending, upstream: usize, want: PermitDecision) {
         match want {
-            Want::Unlimited => self.send(sending, upstream),
-            Want::Granted(wait) => {
+            PermitDecision::Unlimited => self.send(sending, upstream),
+            PermitDecision::Granted(wait) => {
                 self.waits.waits.push(self.now + wait - sending.arrived);
                 self.waits.senders.insert(sending.router);
                 if wait.is_zero() {
@@ -140,8 +142,8 @@
                     self.schedule_in(wait, Event::SendLater(sending, upstream, due));
                 }
             }
-            Want::Ask(_) => {}
-            Want::Refused { retry } => {
+            PermitDecision::RequestFrom(_) => {}
+            PermitDecision::Refused { retry } => {
                 let key = self.upstreams[upstream].key;
                 sending.search.on_refused(key, retry);
                 self.offer(sending);
@@ -150,7 +152,7 @@
     }
 
     pub(super) fn send_later(&mut self, sending: Sending, upstream: usize, due: Duration) {
-        if is_usable(self.instant_of(due), self.instant()) {
+        if is_permit_usable(self.instant_of(due), self.instant()) {
             self.send(sending, upstream);
         } else {
             self.offer(sending);
--- a/tools/src/limit_play/world.rs
+++ b/tools/src/limit_play/world.rs
@@ -164,7 +164,7 @@
         LimitedUpstream {
             key: state.key,
             data_centre: &state.data_centre,
-            born_ms: None,
+            start_time_ms: None,
         }
     }
 
@@ -255,11 +255,11 @@
             Some(LimitedUpstream {
                 key,
                 data_centre: &state.data_centre,
-                born_ms: None,
+                start_time_ms: None,
             })
         };
-        state.permits.give_up_old(find, now);
-        for limiter in self.routers[router].permits.silent_limiters(now) {
+        state.permits.release_obsolete(find, now);
+        for limiter in self.routers[router].permits.unresponsive_limiters(now) {
             self.ask(router, 0, limiter, None);
         }
         self.repeat(router);
