--- a/crates/daemon/cloverpier_answer/src/answer.rs
+++ b/crates/daemon/cloverpier_answer/src/answer.rs
@@ -4,7 +4,7 @@
 //! token is accepted from the current attempt at the next offset only, and released only once a
 //! copy holds it. Everything else is dropped and said so, by a [`TokenStep`].
 
-use cloverpier_core::Chain;
+use cloverpier_core::TokenDigest;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -39,7 +39,7 @@
     /// Tokens in the whole answer.
     pub tokens: u64,
     /// Digest of the whole answer.
-    pub chain: Chain,
+    pub chain: TokenDigest,
     /// Why it ended.
     pub reason: FinishReason,
 }
@@ -83,7 +83,7 @@
     opener: u64,
     current: AttemptId,
     tokens: Vec<Arc<str>>,
-    chains: Vec<Chain>,
+    chains: Vec<TokenDigest>,
     copied: u64,
     finish: Option<Finish>,
     finish_copied: bool,
@@ -102,7 +102,7 @@
     /// unless the answer is finished: then nothing can change it any more.
     pub fn resumed(term: u64, opener: u64, tokens: Vec<Arc<str>>, finish: Option<Finish>) -> Self {
         let mut chains = Vec::with_capacity(tokens.len() + 1);
-        chains.push(Chain::EMPTY);
+        chains.push(TokenDigest::EMPTY);
         for token in &tokens {
             // Never empty: the first entry was pushed above.
             let last = chains.last().copied().unwrap_or_default();
@@ -244,13 +244,13 @@
     }
 
     /// The digest of all accepted tokens.
-    pub fn chain(&self) -> Chain {
+    pub fn chain(&self) -> TokenDigest {
         // Never empty: `chains[0]` is the digest of no tokens.
         self.chains.last().copied().unwrap_or_default()
     }
 
     /// The digest of the first tokens, as many as this.
-    pub fn chain_at(&self, tokens: u64) -> Option<Chain> {
+    pub fn chain_at(&self, tokens: u64) -> Option<TokenDigest> {
         self.chains.get(usize::try_from(tokens).ok()?).copied()
     }
 
@@ -270,7 +270,7 @@
     }
 
     /// Where a caller goes on that says how many tokens it has and what their digest is.
-    pub fn resume_at(&self, tokens: u64, chain: Chain) -> Resume {
+    pub fn resume_at(&self, tokens: u64, chain: TokenDigest) -> Resume {
         match self.chain_at(tokens) {
             None => Resume::Behind { known: self.len() },
             Some(known) if known == chain => Resume::From(tokens),
--- a/crates/daemon/cloverpier_answer/src/event_id.rs
+++ b/crates/daemon/cloverpier_answer/src/event_id.rs
@@ -3,7 +3,7 @@
 //! It is on the wire: callers send it back. It owns no state; whether the tokens behind it are
 //! those of an answer is decided by [`crate::answer::Answer::resume_at`].
 
-use cloverpier_core::{Chain, MemberId};
+use cloverpier_core::{MemberId, TokenDigest};
 use std::fmt;
 
 /// What a caller sends back as `Last-Event-ID` to go on where it stopped.
@@ -15,7 +15,7 @@
     /// Tokens that the caller has.
     pub tokens: u64,
     /// Their digest.
-    pub chain: Chain,
+    pub chain: TokenDigest,
     /// The member that held the copy when the event was sent.
     pub holder: Option<MemberId>,
 }
@@ -25,7 +25,7 @@
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.trim().splitn(3, '.');
         let tokens = parts.next()?.parse().ok()?;
-        let chain = Chain::parse(parts.next()?)?;
+        let chain = TokenDigest::parse(parts.next()?)?;
         let holder = parts.next().filter(|h| !h.is_empty()).map(MemberId::new);
         Some(Self {
             tokens,
--- a/crates/daemon/cloverpier_answer/tests/faults/world.rs
+++ b/crates/daemon/cloverpier_answer/tests/faults/world.rs
@@ -4,7 +4,7 @@
 mod owners;
 
 use cloverpier_answer::prelude::*;
-use cloverpier_core::{Chain, MemberId, RequestKey};
+use cloverpier_core::{MemberId, RequestKey, TokenDigest};
 use fastrand::Rng;
 use std::sync::Arc;
 use std::time::Instant;
@@ -12,12 +12,12 @@
 const ROUTERS: usize = 4;
 const LENGTH: u64 = 12;
 
-fn say(engine: u64, before: Chain) -> Arc<str> {
+fn say(engine: u64, before: TokenDigest) -> Arc<str> {
     Arc::from(format!("{engine}:{before};"))
 }
 
 fn spoken_in_order(tokens: &[Arc<str>]) -> bool {
-    let mut chain = Chain::EMPTY;
+    let mut chain = TokenDigest::EMPTY;
     for token in tokens {
         let after = token.split([':', ';']).nth(1);
         if after != Some(chain.to_string().as_str()) {
@@ -33,7 +33,7 @@
     attempt: AttemptId,
     asked_by: usize,
     engine: u64,
-    chain: Chain,
+    chain: TokenDigest,
     offset: u64,
 }
 
--- a/crates/daemon/cloverpier_answer/tests/faults/world/callers.rs
+++ b/crates/daemon/cloverpier_answer/tests/faults/world/callers.rs
@@ -22,7 +22,7 @@
         if let Some(finish) = finish.filter(|f| f.tokens == from) {
             assert_eq!(
                 finish.chain,
-                Chain::over(self.client.tokens.iter().map(|t| &**t))
+                TokenDigest::of_tokens(self.client.tokens.iter().map(|t| &**t))
             );
             self.client.done = true;
             self.finished += 1;
@@ -40,7 +40,7 @@
         let Some(owner) = &self.owners[i] else {
             return;
         };
-        let chain = Chain::over(self.client.tokens.iter().map(|t| &**t));
+        let chain = TokenDigest::of_tokens(self.client.tokens.iter().map(|t| &**t));
         let resume = owner
             .answer
             .resume_at(self.client.tokens.len() as u64, chain);
--- a/crates/daemon/cloverpier_answer/tests/orders.rs
+++ b/crates/daemon/cloverpier_answer/tests/orders.rs
@@ -1,7 +1,7 @@
 //! Single orders of events that matter, one test each.
 
 use cloverpier_answer::prelude::*;
-use cloverpier_core::{Chain, MemberId, RequestKey};
+use cloverpier_core::{MemberId, RequestKey, TokenDigest};
 use std::sync::Arc;
 use std::time::Instant;
 
@@ -49,7 +49,7 @@
         TokenStep::Late
     );
     assert_eq!(answer.on_token(second, 1, "b".into()), TokenStep::Accepted);
-    assert_eq!(answer.chain(), Chain::over(["a", "b"]));
+    assert_eq!(answer.chain(), TokenDigest::of_tokens(["a", "b"]));
 }
 
 #[test]
@@ -174,15 +174,15 @@
 fn a_caller_with_other_tokens_than_those_known_is_told() {
     let answer = Answer::resumed(2, 78, vec!["a".into(), "b".into()], None);
     assert_eq!(
-        answer.resume_at(2, Chain::over(["a", "b"])),
+        answer.resume_at(2, TokenDigest::of_tokens(["a", "b"])),
         Resume::From(2)
     );
-    assert_eq!(answer.resume_at(0, Chain::EMPTY), Resume::From(0));
+    assert_eq!(answer.resume_at(0, TokenDigest::EMPTY), Resume::From(0));
     assert_eq!(
-        answer.resume_at(2, Chain::over(["a", "x"])),
+        answer.resume_at(2, TokenDigest::of_tokens(["a", "x"])),
         Resume::Diverged
     );
-    let ahead = Chain::over(["a", "b", "c"]);
+    let ahead = TokenDigest::of_tokens(["a", "b", "c"]);
     assert_eq!(answer.resume_at(3, ahead), Resume::Behind { known: 2 });
 }
 
@@ -242,7 +242,7 @@
     for holder in [None, Some(member("vm-1~17.5"))] {
         let id = EventId {
             tokens: 12,
-            chain: Chain::over(["a"]),
+            chain: TokenDigest::of_tokens(["a"]),
             holder,
         };
         assert_eq!(EventId::parse(&id.to_string()), Some(id));
--- a/crates/daemon/cloverpier_client/src/progress.rs
+++ b/crates/daemon/cloverpier_client/src/progress.rs
@@ -5,7 +5,7 @@
 
 use crate::caller::{Answer, CallError, Generate, Got};
 use crate::events::Event;
-use cloverpier_core::Chain;
+use cloverpier_core::TokenDigest;
 use reqwest::StatusCode;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
     pub(crate) key: String,
     pub(crate) tokens: Vec<Got>,
     pub(crate) last: Option<String>,
-    chain: Chain,
+    chain: TokenDigest,
     proved: bool,
     repeated: u64,
     pub(crate) connections: u32,
@@ -38,7 +38,7 @@
             key: ask.key.clone(),
             tokens: Vec::new(),
             last: None,
-            chain: Chain::EMPTY,
+            chain: TokenDigest::EMPTY,
             proved: false,
             repeated: 0,
             connections: 0,
--- a/crates/daemon/cloverpier_daemon/src/admission/mod.rs
+++ b/crates/daemon/cloverpier_daemon/src/admission/mod.rs
@@ -9,7 +9,7 @@
 use crate::error::ApiError;
 use cloverpier_admit::{Loan, QueueStep, Quota, SpendStep, Ticket, Waiting};
 use cloverpier_config::Account;
-use cloverpier_core::{AccountName, ServiceName, hash_of, jitter, lock, rank};
+use cloverpier_core::{AccountName, ServiceName, hash_of, jitter, lock, rendezvous_rank};
 use cloverpier_member::Member;
 use cloverpier_peer::{PeerReply, PeerRequest};
 use cloverpier_route::{Ask, Choice, Chosen};
@@ -60,7 +60,7 @@
 
 /// Members in the order in which they lend out an account's limit: the first one does.
 pub fn lenders<'a>(name: &AccountName, members: &'a [Member]) -> Vec<&'a Member> {
-    rank(hash_of(name.as_str()), members, |m| m.id.as_str())
+    rendezvous_rank(hash_of(name.as_str()), members, |m| m.id.as_str())
 }
 
 fn limit_of(account: &Account, part: f64) -> Quota {
--- a/crates/daemon/cloverpier_daemon/src/answers/directory.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/directory.rs
@@ -3,7 +3,7 @@
 //! Owns the notes that this member keeps for others; a lost one costs a search at the other
 //! members, never safety.
 
-use cloverpier_core::{MemberId, RequestKey, hash_of, rank};
+use cloverpier_core::{MemberId, RequestKey, hash_of, rendezvous_rank};
 use cloverpier_member::MemberList;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -56,7 +56,7 @@
 }
 
 fn ranked(list: &MemberList, key: &RequestKey, count: usize) -> Vec<MemberId> {
-    let ranked = rank(hash_of(key.as_str()), &list.members, |m| m.id.as_str());
+    let ranked = rendezvous_rank(hash_of(key.as_str()), &list.members, |m| m.id.as_str());
     ranked
         .into_iter()
         .take(count)
--- a/crates/daemon/cloverpier_daemon/src/answers/outbox.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/outbox.rs
@@ -9,7 +9,7 @@
 use crate::answers::outbox_state::PeerQueue;
 use crate::app::App;
 use cloverpier_answer::{Entry, EntryHead};
-use cloverpier_core::{MemberId, hash_of, lock, rank};
+use cloverpier_core::{MemberId, hash_of, lock, rendezvous_rank};
 use cloverpier_member::Member;
 use cloverpier_peer::{LocateNote, PeerReply, PeerRequest};
 use serde::Serialize;
@@ -108,10 +108,10 @@
         .cloned()
         .collect();
     let from = if far.is_empty() { able } else { far };
-    let mut few = rank(hash_of(app.me.vm.as_str()), &from, |m| m.id.as_str());
+    let mut few = rendezvous_rank(hash_of(app.me.vm.as_str()), &from, |m| m.id.as_str());
     few.truncate(PEERS);
     let few: Vec<Member> = few.into_iter().cloned().collect();
-    let first = rank(hash_of(live.key.as_str()), &few, |m| m.id.as_str());
+    let first = rendezvous_rank(hash_of(live.key.as_str()), &few, |m| m.id.as_str());
     first.first().map(|m| m.id.clone())
 }
 
--- a/crates/daemon/cloverpier_daemon/src/members/cluster.rs
+++ b/crates/daemon/cloverpier_daemon/src/members/cluster.rs
@@ -3,7 +3,7 @@
 //! Owns the list of members in force, the detector, guests, and when a peer or the platform last
 //! answered. A router that receives nothing of either takes no new requests ([`Standing`]).
 
-use cloverpier_core::{MemberId, hash_of, rank};
+use cloverpier_core::{MemberId, hash_of, rendezvous_rank};
 use cloverpier_member::{Detector, DetectorParams, Member, MemberList};
 use cloverpier_peer::Guest;
 use std::collections::{BTreeMap, BTreeSet};
@@ -153,7 +153,7 @@
             .iter()
             .filter(|m| m.data_centre == *home)
             .collect();
-        let ranked = rank(hash_of(home.as_str()), &near, |m| m.id.as_str());
+        let ranked = rendezvous_rank(hash_of(home.as_str()), &near, |m| m.id.as_str());
         let mut first = ranked.iter().take(WATCHERS);
         first.any(|m| m.id == self.me)
     }
--- a/crates/daemon/cloverpier_daemon/src/members/join.rs
+++ b/crates/daemon/cloverpier_daemon/src/members/join.rs
@@ -5,7 +5,7 @@
 
 use crate::app::App;
 use crate::members::MEMBERS_KEY;
-use cloverpier_core::{MemberId, hash_of, jitter, lock, rank};
+use cloverpier_core::{MemberId, hash_of, jitter, lock, rendezvous_rank};
 use cloverpier_member::{Member, MemberList, Rejoin};
 use cloverpier_object_api::{Found, WriteError};
 use cloverpier_peer::{PeerReply, PeerRequest};
@@ -145,7 +145,7 @@
     };
     lock(&app.cluster).on_platform(app.now());
     let members = &found.value.members;
-    let ranked = rank(hash_of(MEMBERS_KEY), members, |m| m.id.as_str());
+    let ranked = rendezvous_rank(hash_of(MEMBERS_KEY), members, |m| m.id.as_str());
     let mut others = ranked.into_iter().filter(|m| m.vm != app.me.vm);
     let Some(collector) = others.next() else {
         return false;
--- a/crates/daemon/cloverpier_peer/tests/wire.rs
+++ b/crates/daemon/cloverpier_peer/tests/wire.rs
@@ -9,7 +9,7 @@
     Source,
 };
 use cloverpier_config::{Account, Config, Part, Repeatable, Root, Service, Upstream, split};
-use cloverpier_core::{Chain, MemberId, RequestKey};
+use cloverpier_core::{MemberId, RequestKey, TokenDigest};
 use cloverpier_crashes::prelude::*;
 use cloverpier_member::{Member, MemberList};
 use cloverpier_peer::prelude::*;
@@ -50,7 +50,7 @@
 fn finish() -> Finish {
     Finish {
         tokens: 3,
-        chain: Chain::over(["a", "b", "c"]),
+        chain: TokenDigest::of_tokens(["a", "b", "c"]),
         reason: FinishReason::Length,
     }
 }
@@ -355,7 +355,7 @@
 fn event_ids_keep_their_form() {
     let id = EventId {
         tokens: 3,
-        chain: Chain::over(["a", "b", "c"]),
+        chain: TokenDigest::of_tokens(["a", "b", "c"]),
         holder: Some(MemberId::new("vm-2~7")),
     };
     assert_eq!(EventId::parse(&id.to_string()), Some(id.clone()));
--- a/crates/daemon/cloverpier_record/src/slot.rs
+++ b/crates/daemon/cloverpier_record/src/slot.rs
@@ -3,7 +3,7 @@
 //! Every router works the holders out by itself from the list of members, by rendezvous hash, in
 //! as many data centres as there are.
 
-use cloverpier_core::{MemberId, hash_of, rank};
+use cloverpier_core::{MemberId, hash_of, rendezvous_rank};
 use cloverpier_member::{Member, MemberList};
 use serde::{Deserialize, Serialize};
 
@@ -87,7 +87,7 @@
 
 fn holders_of(slot: Slot, members: &[Member]) -> Vec<MemberId> {
     let key = hash_of(&format!("slot/{}", slot.0));
-    let ranked = rank(key, members, |m| m.id.as_str());
+    let ranked = rendezvous_rank(key, members, |m| m.id.as_str());
     let mut chosen: Vec<&Member> = Vec::with_capacity(HOLDERS);
     for member in &ranked {
         let fresh = chosen.iter().all(|c| c.data_centre != member.data_centre);
--- a/crates/daemon/cloverpier_route/src/choose.rs
+++ b/crates/daemon/cloverpier_route/src/choose.rs
@@ -6,7 +6,7 @@
 //! the platform has no load reports and decides otherwise, in `cloverpier_router_policy::choice`.
 
 use crate::view::{CLOSE, Known, View};
-use cloverpier_core::{ServiceName, UpstreamName, rank};
+use cloverpier_core::{ServiceName, UpstreamName, rendezvous_rank};
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -174,7 +174,7 @@
     content: u64,
     now: Instant,
 ) -> Vec<(&'a UpstreamName, &'a Known)> {
-    let ranked = rank(content, able, |(name, _)| name.as_str());
+    let ranked = rendezvous_rank(content, able, |(name, _)| name.as_str());
     let least = ranked.into_iter().min_by_key(|(_, known)| known.load(now));
     least.copied().into_iter().collect()
 }
--- a/crates/daemon/cloverpier_route/src/view.rs
+++ b/crates/daemon/cloverpier_route/src/view.rs
@@ -5,7 +5,9 @@
 
 use crate::marks::{LeaveMark, LeaveMarks};
 use cloverpier_config::{Config, Upstream, UpstreamState};
-use cloverpier_core::{DataCentre, ServiceName, UpstreamName, VmName, Wait, hash_of, rank};
+use cloverpier_core::{
+    DataCentre, ServiceName, UpstreamName, VmName, WaitPeriod, hash_of, rendezvous_rank,
+};
 use cloverpier_crashes::Neighbours;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -45,7 +47,7 @@
     pub(crate) avoid_until: Option<Instant>,
     pub(crate) prefixes: VecDeque<u64>,
     /// For how long it wants nothing from this router.
-    wait: Option<Wait>,
+    wait: Option<WaitPeriod>,
     /// Routers that know it closely.
     sharers: u32,
     /// The last starts of own work, to know how much of it a report includes.
@@ -89,7 +91,7 @@
     }
 
     pub(crate) fn wants_nothing(&self, now: Instant) -> bool {
-        self.wait.is_some_and(|wait| wait.binds(now))
+        self.wait.is_some_and(|wait| wait.is_active(now))
     }
 
     pub(crate) fn avoided(&self, now: Instant) -> bool {
@@ -138,7 +140,7 @@
             names.or_default().push(name.clone());
         }
         for names in self.by_service.values_mut() {
-            let ranked = rank(self.spread, names, |n| n.as_str());
+            let ranked = rendezvous_rank(self.spread, names, |n| n.as_str());
             *names = ranked.into_iter().cloned().collect();
         }
     }
@@ -198,7 +200,7 @@
             return false;
         };
         let is_news = !known.wants_nothing(now);
-        known.wait = Some(Wait::begin(known.wait, time, now));
+        known.wait = Some(WaitPeriod::start_or_extend(known.wait, time, now));
         is_news
     }
 
@@ -210,7 +212,7 @@
             return None;
         }
         let waits = takers.iter().filter_map(|(_, known)| known.wait);
-        let first = waits.map(|wait| wait.until()).min()?;
+        let first = waits.map(|wait| wait.ends_at()).min()?;
         Some(first.saturating_duration_since(now))
     }
 
--- a/crates/router/cloverpier_router_policy/src/choice.rs
+++ b/crates/router/cloverpier_router_policy/src/choice.rs
@@ -34,7 +34,7 @@
 use crate::upstream::{Upstream, UpstreamKey, UpstreamState};
 use crate::upstream_table::UpstreamTable;
 use candidates::candidate_groups;
-use cloverpier_core::{DataCentre, ServiceName, UpstreamName, rank};
+use cloverpier_core::{DataCentre, ServiceName, UpstreamName, rendezvous_rank};
 use cost::{best_pace, cost, has_capacity};
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -184,7 +184,7 @@
     let requests = |s: &UpstreamState| known_load(table, demand, s).requests;
     let fewest = engines.iter().map(|s| requests(s)).min()?;
     let least = filtered(engines, |s| requests(s) == fewest);
-    let ranked = rank(content, &least, |s| s.upstream.name.as_str());
+    let ranked = rendezvous_rank(content, &least, |s| s.upstream.name.as_str());
     ranked.first().map(|s| **s)
 }
 
@@ -223,7 +223,7 @@
     let (equal, mut dearer): (Vec<_>, Vec<_>) =
         candidates.into_iter().partition(|s| cost(s) <= most);
     let prompt = demand.affinity.unwrap_or_else(|| rng.u64(..));
-    let ranked = rank(prompt, &equal, |s| s.upstream.name.as_str());
+    let ranked = rendezvous_rank(prompt, &equal, |s| s.upstream.name.as_str());
     dearer.sort_by(|a, b| cost(a).total_cmp(&cost(b)));
     ranked.into_iter().copied().chain(dearer).collect()
 }
@@ -252,7 +252,7 @@
         .fold(f64::INFINITY, f64::min);
     let most = least + tolerance(demand);
     let equal = filtered(engines, |s| cost(s) <= most);
-    let ranked = rank(prompt, &equal, |s| s.upstream.name.as_str());
+    let ranked = rendezvous_rank(prompt, &equal, |s| s.upstream.name.as_str());
     ranked.first().map(|s| **s)
 }
 
@@ -270,7 +270,7 @@
     let count = (by_cost.len() as f64 * SPREAD_OVER).ceil() as usize;
     by_cost.truncate(count);
     let cheaper: Vec<&UpstreamState> = by_cost.into_iter().map(|(_, s)| s).collect();
-    let ranked = rank(prompt, &cheaper, |s| s.upstream.name.as_str());
+    let ranked = rendezvous_rank(prompt, &cheaper, |s| s.upstream.name.as_str());
     ranked.first().map(|s| **s)
 }
 
--- a/crates/router/cloverpier_router_policy/src/prompt_search.rs
+++ b/crates/router/cloverpier_router_policy/src/prompt_search.rs
@@ -13,7 +13,7 @@
 use crate::prompt_locations::PromptKey;
 use crate::upstream::{Upstream, UpstreamKey, UpstreamState};
 use crate::upstream_table::UpstreamTable;
-use cloverpier_core::{ServiceName, rank};
+use cloverpier_core::{ServiceName, rendezvous_rank};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
@@ -51,7 +51,7 @@
 ) -> Vec<Upstream> {
     let usable = table.of_service(service).filter(|s| s.is_usable(now));
     let usable: Vec<&UpstreamState> = usable.collect();
-    let ranked = rank(prompt.0, &usable, |s| s.upstream.name.as_str());
+    let ranked = rendezvous_rank(prompt.0, &usable, |s| s.upstream.name.as_str());
     ranked.into_iter().map(|s| s.upstream.clone()).collect()
 }
 
--- a/crates/router/cloverpier_router_policy/src/upstream.rs
+++ b/crates/router/cloverpier_router_policy/src/upstream.rs
@@ -11,7 +11,9 @@
 use crate::leaving::LAST_RESORT_PERIOD;
 use crate::load::Load;
 use crate::suspicion::{PEER_SUSPICION_TTL, RELIST_WINDOW, Suspicion};
-use cloverpier_core::{DataCentre, ServiceName, SoftwareVersion, UpstreamName, Wait, hash_of};
+use cloverpier_core::{
+    DataCentre, ServiceName, SoftwareVersion, UpstreamName, WaitPeriod, hash_of,
+};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -163,7 +165,7 @@
     pub(crate) peer_suspected_at: Option<Instant>,
     /// The latest period during which the upstream accepts no requests from this VM, from
     /// `Retry-After` in a response.
-    pub(crate) wait: Option<Wait>,
+    pub(crate) wait: Option<WaitPeriod>,
     /// Since when the upstream's newest known incarnation is known to be leaving, as announced in a
     /// response ([`crate::leaving`]).
     pub(crate) leaving: Option<Instant>,
@@ -291,7 +293,7 @@
     /// Whether the upstream has rejected a request of this VM with a `Retry-After` period that has
     /// not ended yet.
     pub fn in_wait_period(&self, now: Instant) -> bool {
-        self.wait.is_some_and(|wait| wait.binds(now))
+        self.wait.is_some_and(|wait| wait.is_active(now))
     }
 
     /// Whether the upstream may serve requests and its entry was not removed. A successor counts as
--- a/crates/router/cloverpier_router_policy/src/upstream_table/observations.rs
+++ b/crates/router/cloverpier_router_policy/src/upstream_table/observations.rs
@@ -160,13 +160,13 @@
             let Some(suspicion) = &mut state.suspicion else {
                 continue;
             };
-            if state.wait.is_some_and(|wait| !wait.allows_question(now)) {
+            if state.wait.is_some_and(|wait| !wait.allows_probe(now)) {
                 continue;
             }
             if suspicion.start_due_check(now) {
                 due.push(state.upstream.clone());
                 if let Some(wait) = &mut state.wait {
-                    wait.on_question();
+                    wait.on_probe_sent();
                 }
             }
         }
--- a/crates/router/cloverpier_router_policy/src/upstream_table/statements.rs
+++ b/crates/router/cloverpier_router_policy/src/upstream_table/statements.rs
@@ -9,7 +9,7 @@
 use crate::dissemination::REPEATED_FOR;
 use crate::leaving::LeavingReport;
 use crate::upstream::{Upstream, UpstreamKey, UpstreamState};
-use cloverpier_core::{ServiceName, UpstreamName, Wait};
+use cloverpier_core::{ServiceName, UpstreamName, WaitPeriod};
 use std::time::{Duration, Instant};
 
 /// Numbers of a service's upstreams that get no new requests because of what they announced about
@@ -123,7 +123,7 @@
             return false;
         };
         let is_new = !state.in_wait_period(now);
-        state.wait = Some(Wait::begin(state.wait, duration, now));
+        state.wait = Some(WaitPeriod::start_or_extend(state.wait, duration, now));
         is_new
     }
 
@@ -135,8 +135,8 @@
             return None;
         }
         let waits: Vec<_> = listed.iter().filter_map(|s| s.wait).collect();
-        let first_end = waits.iter().map(Wait::until).min()?;
-        let last_begin = waits.iter().map(Wait::since).max()?;
+        let first_end = waits.iter().map(WaitPeriod::ends_at).min()?;
+        let last_begin = waits.iter().map(WaitPeriod::started_at).max()?;
         Some(ServiceWait {
             remaining: first_end.saturating_duration_since(now),
             elapsed: now.saturating_duration_since(last_begin),
@@ -147,7 +147,7 @@
     /// period allows one probe or check before it ends.
     pub fn next_probe_time(&self, name: &UpstreamName, now: Instant) -> Option<Instant> {
         let wait = self.upstreams.get(name)?.wait?;
-        (!wait.allows_question(now)).then(|| wait.until())
+        (!wait.allows_probe(now)).then(|| wait.ends_at())
     }
 
     /// Records a probe or check that is about to be sent to an upstream. Returns false if the
@@ -157,8 +157,8 @@
         let Some(wait) = state.and_then(|s| s.wait.as_mut()) else {
             return true;
         };
-        let is_allowed = wait.allows_question(now);
-        wait.on_question();
+        let is_allowed = wait.allows_probe(now);
+        wait.on_probe_sent();
         is_allowed
     }
 
--- a/crates/router/cloverpier_router_policy/tests/wait.rs
+++ b/crates/router/cloverpier_router_policy/tests/wait.rs
@@ -1,7 +1,7 @@
 //! Wait periods (`Retry-After`) of upstreams: where requests go, which probes are allowed, and when
 //! refused callers should retry.
 
-use cloverpier_core::{DataCentre, ServiceName, Wait};
+use cloverpier_core::{DataCentre, ServiceName, WaitPeriod};
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::refusal::{Refusal, retry_after};
 use cloverpier_router_policy::replica::{Replica, usable_replica};
@@ -200,13 +200,13 @@
         for (gap, period) in responses {
             now += Duration::from_millis(u64::from(gap));
             let period = Duration::from_millis(u64::from(period));
-            let extended = Wait::begin(wait, period, now);
+            let extended = WaitPeriod::start_or_extend(wait, period, now);
             latest_end = latest_end.max(now + period);
-            if extended.until() != latest_end.max(now) {
+            if extended.ends_at() != latest_end.max(now) {
                 return false;
             }
             wait = Some(extended);
         }
-        wait.is_none_or(|wait| !wait.binds(latest_end))
+        wait.is_none_or(|wait| !wait.is_active(latest_end))
     }
 }
--- a/crates/shared/cloverpier_core/src/clock.rs
+++ b/crates/shared/cloverpier_core/src/clock.rs
@@ -1,26 +1,26 @@
-//! The clock as an interface that is passed in.
+//! The clock interface, and its implementations for programs and tests.
 //!
-//! Decisions get the present moment as an argument; whoever carries them out asks a
-//! [`Clock`]. [`SystemClock`] is the only place of the programs that reads the machine's clock. In tests
-//! [`ManualClock`] moves only when it is advanced, and [`SuspendableClock`] jumps ahead. Waits by a clock
-//! are in `cloverpier_timers`.
+//! Decision functions get the current time as an argument; the code that calls them reads it from a
+//! [`Clock`]. In the programs, [`SystemClock`] reads the machine's clock. In tests, [`ManualClock`] changes
+//! only when a test advances it, and [`SuspendableClock`] simulates suspensions of the machine. Timers that
+//! use a clock are in `cloverpier_timers`.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A source of monotonic time, which counts the time for which the machine is suspended.
+/// A source of monotonic time that includes the time for which the machine is suspended.
 pub trait Clock: Send + Sync + fmt::Debug {
-    /// The present moment.
+    /// The current time.
     fn now(&self) -> Instant;
 }
 
-/// The machine's clock since its start.
+/// The machine's monotonic clock, suspensions included.
 ///
-/// An [`Instant`] of the standard library is read from `CLOCK_MONOTONIC`, which stops while the
-/// machine is suspended. Ages by it would be too small then: a peer that was silent for the whole
-/// time would count as alive, a key that was revoked meanwhile as valid. So the time since a
-/// first reading is taken from `CLOCK_BOOTTIME`.
+/// On Linux, [`Instant::now`] reads `CLOCK_MONOTONIC`, which stops while the machine is suspended. Ages
+/// computed from `CLOCK_MONOTONIC` would be too small after a suspension: a peer that has sent nothing would
+/// still count as alive, and a key that was revoked during the suspension as valid. Therefore the time since
+/// the first reading is taken from `CLOCK_BOOTTIME`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemClock;
 
@@ -32,39 +32,39 @@
     }
 }
 
-/// The time since the machine's start, also that for which it was suspended.
+/// The time since the machine's start, suspensions included.
 #[cfg(target_os = "linux")]
 fn boottime() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-    // Neither part of a time since the start is negative.
+    // Neither field is negative for a time since the machine's start.
     Duration::new(
         time.tv_sec.unsigned_abs(),
         time.tv_nsec.unsigned_abs() as u32,
     )
 }
 
-/// The same by the steady clock, where no other one is known to count it.
+/// The time since the first call by the standard monotonic clock, which may not include suspensions.
 #[cfg(not(target_os = "linux"))]
 fn boottime() -> Duration {
     static FIRST: OnceLock<Instant> = OnceLock::new();
     FIRST.get_or_init(Instant::now).elapsed()
 }
 
-/// A clock that moves only when it is advanced.
+/// A clock for tests that changes only when a test advances it; clones share the time.
 #[derive(Clone, Debug)]
 pub struct ManualClock {
     now: Arc<Mutex<Instant>>,
 }
 
 impl ManualClock {
-    /// A clock that is stopped at an arbitrary moment.
+    /// Creates a clock that is stopped at the machine's current time.
     pub fn new() -> Self {
         Self {
             now: Arc::new(Mutex::new(Instant::now())),
         }
     }
 
-    /// Moves the clock forward.
+    /// Advances this clock and its clones by a duration.
     pub fn advance(&self, by: Duration) {
         *self.now.lock().unwrap_or_else(PoisonError::into_inner) += by;
     }
@@ -82,20 +82,20 @@
     }
 }
 
-/// The machine's clock with suspensions that a test causes: it jumps ahead, and the runtime's timers do
-/// not.
+/// A clock for tests that simulates suspensions: the clock jumps ahead, and the timers of the async runtime
+/// do not. Clones share the suspensions.
 #[derive(Clone, Debug, Default)]
 pub struct SuspendableClock {
     suspended: Arc<Mutex<Duration>>,
 }
 
 impl SuspendableClock {
-    /// Suspends the machine for a time, and resumes it.
-    pub fn suspend(&self, time: Duration) {
+    /// Simulates a suspension of the machine of this duration, which has just ended.
+    pub fn suspend(&self, duration: Duration) {
         *self
             .suspended
             .lock()
-            .unwrap_or_else(PoisonError::into_inner) += time;
+            .unwrap_or_else(PoisonError::into_inner) += duration;
     }
 }
 
@@ -109,9 +109,11 @@
     }
 }
 
-/// Wall-clock time in milliseconds since 1970, for logs and records that people read.
+/// The Unix time in milliseconds by the machine's wall clock, for logs, records that people read, and
+/// numbers that identify a process.
 ///
-/// No decision rests on it.
+/// The wall clock can be wrong, and can be set forward or back. Timeouts and ages use a [`Clock`] instead.
+/// Returns 0 if the clock is set to a time before 1970.
 pub fn wall_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/shared/cloverpier_core/src/lib.rs
+++ b/crates/shared/cloverpier_core/src/lib.rs
@@ -1,7 +1,7 @@
-//! Names, clock, digests, seeded choices and upstreams' waits, which both programs build on.
+//! Names, clocks, secrets, digests, rendezvous hashing and wait periods of upstreams, for the crates of both programs.
 //!
-//! Nothing here performs I/O. Everything that varies between runs (time and
-//! randomness) is passed in, so that decisions can be replayed.
+//! Decision functions get the time and the random number generator as arguments, so that decisions can be
+//! replayed. Only [`SystemClock`] and [`wall_ms`] read the clocks of the machine.
 //!
 //! ```
 //! use cloverpier_core::prelude::*;
@@ -13,26 +13,26 @@
 //! assert_eq!(clock.now() - start, Duration::from_millis(5));
 //! ```
 
-mod chain;
 mod clock;
 mod name;
+mod rendezvous;
 mod secret;
 mod sync;
+mod token_digest;
 pub mod wait;
-mod weigh;
 
 /// The items that most crates of the workspace need.
 pub mod prelude {
-    pub use crate::chain::Chain;
     pub use crate::clock::{Clock, ManualClock, SuspendableClock, SystemClock, wall_ms};
     pub use crate::name::{
         AccountName, AdapterName, DataCentre, MemberId, ModelName, RequestKey, ServiceName,
         SoftwareVersion, UpstreamName, VmName,
     };
+    pub use crate::rendezvous::{hash_of, jitter, rendezvous_rank};
     pub use crate::secret::{KeyDigest, Secret, same_secret};
     pub use crate::sync::lock;
-    pub use crate::wait::{Wait, parse_retry_after};
-    pub use crate::weigh::{hash_of, jitter, rank};
+    pub use crate::token_digest::TokenDigest;
+    pub use crate::wait::{WaitPeriod, parse_retry_after};
 }
 
 pub use prelude::*;
--- a/crates/shared/cloverpier_core/src/name.rs
+++ b/crates/shared/cloverpier_core/src/name.rs
@@ -1,7 +1,7 @@
-//! Names as shared immutable strings, one newtype per kind of thing.
+//! Names as shared immutable strings, with one newtype per kind of item.
 //!
-//! A name of one kind cannot be passed for one of another. Cloning one is counting a
-//! reference. On the wire each is plain text.
+//! The types prevent that a name of one kind is passed as a name of another kind. Cloning a name only
+//! increments a reference count. Names are serialized as plain strings.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -16,12 +16,12 @@
             pub struct $name(Arc<str>);
 
             impl $name {
-                /// Makes the name from text.
+                /// Copies the text, which is not validated.
                 pub fn new(text: impl AsRef<str>) -> Self {
                     Self(Arc::from(text.as_ref()))
                 }
 
-                /// The name as text.
+                /// Borrows the text of the name.
                 pub fn as_str(&self) -> &str {
                     &self.0
                 }
@@ -49,41 +49,40 @@
 }
 
 names! {
-    /// A client account.
+    /// The name of a client account, to which requests are attributed.
     AccountName,
-    /// A low-rank adapter over a base model.
+    /// The name of a low-rank adapter for a base model.
     AdapterName,
-    /// A data centre.
+    /// The name of a data centre, in which VMs and upstreams are located.
     DataCentre,
-    /// One run of one router process: its VM and its incarnation.
+    /// Identifies one `cloverpierd` process: its VM and the process's incarnation.
     ///
-    /// A process that restarts has lost its memory, so it starts as a
-    /// different member.
+    /// A restarted process has lost its in-memory state, so it joins as a different member.
     MemberId,
-    /// The weights that an engine has loaded.
+    /// The name of the model whose weights an engine has loaded.
     ModelName,
-    /// One request of one client account: the account, a slash, the idempotency key.
+    /// Identifies a request of a client account: the account, a slash, and the idempotency key.
     RequestKey,
-    /// A model service or a plain service.
+    /// The name of a service: a model service, or a plain HTTP service.
     ServiceName,
-    /// The version of an upstream's software.
+    /// The version of the software that an upstream runs.
     SoftwareVersion,
-    /// An upstream: a model engine or a plain service's server.
+    /// The name of an upstream: an engine of a model service, or a server of a plain service.
     UpstreamName,
-    /// An entry VM.
+    /// The name of a VM that accepts callers' requests.
     VmName,
 }
 
 impl RequestKey {
-    /// Joins a client account and the idempotency key that it sent.
+    /// Joins the name of a client account and the idempotency key that its caller sent.
     pub fn of(account: &AccountName, idempotency_key: &str) -> Self {
         Self::new(format!("{account}/{idempotency_key}"))
     }
 
-    /// The client account's name.
+    /// The name of the client account; empty for a key without a slash.
     pub fn account(&self) -> &str {
         let parts = self.as_str().split_once('/');
-        // A key without a slash was made by `new` and belongs to nobody.
+        // Only `new` can create a key without a slash. Such a key belongs to no client account.
         parts.map_or("", |(account, _)| account)
     }
 }
--- a/crates/shared/cloverpier_core/src/secret.rs
+++ b/crates/shared/cloverpier_core/src/secret.rs
@@ -1,6 +1,6 @@
-//! Secrets that never show in logs, and keys kept as digests.
+//! Secrets that are never written to logs, and client account keys that are stored as digests.
 //!
-//! Relies on `sha2` for digests and on `subtle` for comparisons in constant time.
+//! Relies on `sha2` for digests and on `subtle` for constant-time comparisons.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -8,18 +8,18 @@
 use std::sync::Arc;
 use subtle::ConstantTimeEq;
 
-/// A secret from the settings; `Debug` hides it.
+/// A secret from the settings, whose `Debug` output does not contain the text.
 #[derive(Clone, PartialEq, Eq, Deserialize)]
 #[serde(transparent)]
 pub struct Secret(Arc<str>);
 
 impl Secret {
-    /// Makes a secret from text.
+    /// Copies the text of the secret.
     pub fn new(text: impl AsRef<str>) -> Self {
         Self(Arc::from(text.as_ref()))
     }
 
-    /// The secret itself, for the one place that sends it.
+    /// Returns the text of the secret, to send it or compare it; callers must not log the text.
     pub fn reveal(&self) -> &str {
         &self.0
     }
@@ -37,19 +37,19 @@
 pub struct KeyDigest(Arc<str>);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key in plain text.
     pub fn of(key: &str) -> Self {
         let digest = Sha256::digest(key.as_bytes());
         let hex: String = digest.iter().map(|b| format!("{b:02x}")).collect();
         Self(Arc::from(hex))
     }
 
-    /// Whether a key that a caller presents has this digest, in constant time.
+    /// Compares the digest of a key that a caller sent with this digest, in constant time.
     pub fn matches(&self, key: &str) -> bool {
         same_secret(&self.0, &Self::of(key).0)
     }
 
-    /// The digest as hexadecimal text.
+    /// Returns the digest as 64 hexadecimal digits, if it was computed by [`KeyDigest::of`].
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -61,7 +61,7 @@
     }
 }
 
-/// Compares two secrets in time that depends on their length alone.
+/// Whether two secrets are equal. The time of the comparison depends only on their lengths.
 pub fn same_secret(a: &str, b: &str) -> bool {
     a.as_bytes().ct_eq(b.as_bytes()).into()
 }
--- a/crates/shared/cloverpier_core/src/sync.rs
+++ b/crates/shared/cloverpier_core/src/sync.rs
@@ -1,14 +1,14 @@
-//! Locks that a panic elsewhere doesn't poison.
+//! Mutexes that stay usable after a panic in a thread that held the lock.
 //!
-//! For the multi-threaded programs and stand-ins; the router on the platform runs on one
-//! thread and has no locks.
+//! Used by the multi-threaded programs and the stand-ins. The router on the platform is single-threaded and
+//! has no locks.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex, also when a holder panicked.
+/// Locks a mutex, and ignores poisoning by a panic in another thread.
 ///
-/// State is changed by whole steps of plain state machines under the lock, so
-/// what a panicking holder left is consistent.
+/// Each change of the state under a lock is one complete step of a state machine. The state is thus
+/// consistent after a panic, too.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/shared/cloverpier_core/src/wait.rs
+++ b/crates/shared/cloverpier_core/src/wait.rs
@@ -1,85 +1,88 @@
-//! For how long an upstream that turned a request away wants nothing from this router.
+//! Wait periods: the time for which an upstream accepts no requests from a VM, as the upstream requests by
+//! `Retry-After` in a refusal.
 //!
-//! - **Question.** An upstream has turned a request away and said how long it wants nothing. What may
-//!   reach it meanwhile, and what do callers get where a whole service wants nothing?
-//! - **Inputs.** The times that it named, in the order of its answers; whether it started again.
-//! - **Answer.** Until when it gets no request; whether it may be asked a question.
-//! - **Why.** The users allow two requests of a VM between half a second after the answer and the end
-//!   of the time. What is under way arrives within that half second. Requests go to others, and where
-//!   there are none, callers are refused at once, with the time when the first of the service may be asked
-//!   again. A probe or a check reaches the upstream as a request does: one is allowed, so that a dead
-//!   upstream with streams on it is found out, and the other is left to what was under way for long.
-//!   The time binds the VM to which it was said, and no peer. It ends with the upstream's start.
+//! - **Question.** An upstream has refused a request and requested a wait period. What may be sent to the
+//!   upstream during that period, and what do callers get if all upstreams of a service have requested one?
+//! - **Inputs.** The durations that the upstream requested, in the order of its responses; whether a new
+//!   incarnation of the upstream has started.
+//! - **Answer.** Until when the upstream gets no requests; whether a probe may be sent to it.
+//! - **Why.** At most two requests of a VM may reach the upstream from half a second after the refusal until
+//!   the end of the period. Requests that are in transit arrive within that half second. Further requests go
+//!   to other upstreams; without one, callers are refused at once, with the time until the first period of
+//!   the service ends. A probe or a check loads the upstream like a request. Of the two permitted requests,
+//!   one is for a probe, so that a dead upstream with open streams is detected; the other allows for a
+//!   request that was in transit for longer. A period applies to the VM that received the refusal, and not
+//!   to its peers. A period ends when a new incarnation of the upstream starts.
 //!
-//! Both programs decide by it; `cloverpierd` sends no probes, and its load questions take no place at an
-//! upstream. Owns the time of one upstream.
+//! `cloverpier-front` and `cloverpierd` both decide by this module. `cloverpierd` sends no probes, and its
+//! load queries take no capacity of an upstream. Owns the wait period of one upstream.
 
 use std::time::{Duration, Instant};
 
-/// A longer time counts as this one. An upstream that wants nothing for this long is better started
-/// again, which ends it.
-const MAX_WAIT: Duration = Duration::from_secs(3_600);
-/// Probes and checks that may reach an upstream meanwhile: one less than the requests that users
-/// allow.
-const QUESTIONS: u32 = 1;
+/// The maximum wait period; longer ones are shortened to this. An upstream that needs more time should be
+/// restarted, which ends the period.
+const MAX_PERIOD: Duration = Duration::from_secs(3_600);
+/// The number of probes and checks that may be sent to the upstream during a period: one less than the
+/// requests that may reach the upstream.
+const MAX_PROBES: u32 = 1;
 
-/// Reads the time off the text by which an upstream names it: seconds, fractions allowed. One that no
-/// duration can hold is longer than any that counts; `None` for anything else, a date among it.
+/// Parses the value of `Retry-After`: seconds, with or without a fraction. A value that no `Duration` can
+/// hold becomes [`Duration::MAX`]. `None` for a negative value and any other text, such as a date.
 pub fn parse_retry_after(text: &str) -> Option<Duration> {
-    // The caller has the text and says what cannot be read.
+    // The parse error is not needed: the caller reports the text.
     let seconds: f64 = text.trim().parse().ok()?;
-    let is_time = seconds >= 0.0;
-    is_time.then(|| Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
+    let is_valid = seconds >= 0.0;
+    is_valid.then(|| Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
 }
 
-/// The time for which an upstream wants nothing.
+/// The time for which an upstream accepts no requests from this VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wait {
-    since: Instant,
-    until: Instant,
-    questions_left: u32,
+pub struct WaitPeriod {
+    started_at: Instant,
+    ends_at: Instant,
+    probes_left: u32,
 }
 
-impl Wait {
-    /// A time that an upstream has named just now. One that it named before and that is not over is
-    /// never shortened.
-    pub fn begin(former: Option<Self>, time: Duration, now: Instant) -> Self {
-        let until = now + time.min(MAX_WAIT);
-        match former.filter(|wait| wait.binds(now)) {
-            Some(former) => Self {
-                until: former.until.max(until),
-                ..former
+impl WaitPeriod {
+    /// Starts a period that an upstream has requested at `now`. If the current period is still active, it
+    /// is extended, and never shortened; its start and its number of probes stay.
+    pub fn start_or_extend(current: Option<Self>, duration: Duration, now: Instant) -> Self {
+        let ends_at = now + duration.min(MAX_PERIOD);
+        match current.filter(|period| period.is_active(now)) {
+            Some(current) => Self {
+                ends_at: current.ends_at.max(ends_at),
+                ..current
             },
             None => Self {
-                since: now,
-                until,
-                questions_left: QUESTIONS,
+                started_at: now,
+                ends_at,
+                probes_left: MAX_PROBES,
             },
         }
     }
 
-    /// Whether the upstream wants nothing now.
-    pub fn binds(&self, now: Instant) -> bool {
-        now < self.until
+    /// Whether the upstream accepts no requests at `now`.
+    pub fn is_active(&self, now: Instant) -> bool {
+        now < self.ends_at
     }
 
-    /// When it began.
-    pub fn since(&self) -> Instant {
-        self.since
+    /// When the upstream first requested this period.
+    pub fn started_at(&self) -> Instant {
+        self.started_at
     }
 
-    /// When it is over.
-    pub fn until(&self) -> Instant {
-        self.until
+    /// When the period ends, extensions included.
+    pub fn ends_at(&self) -> Instant {
+        self.ends_at
     }
 
-    /// Whether a question may be sent all the same.
-    pub fn allows_question(&self, now: Instant) -> bool {
-        !self.binds(now) || self.questions_left > 0
+    /// Whether a probe or a check may be sent: the period has ended, or its probe has not been sent yet.
+    pub fn allows_probe(&self, now: Instant) -> bool {
+        !self.is_active(now) || self.probes_left > 0
     }
 
-    /// Records a question that is sent.
-    pub fn on_question(&mut self) {
-        self.questions_left = self.questions_left.saturating_sub(1);
+    /// Records that a probe or a check was sent during the period.
+    pub fn on_probe_sent(&mut self) {
+        self.probes_left = self.probes_left.saturating_sub(1);
     }
 }
--- a/crates/standins/cloverpier_daemon_standin/src/engine/batch.rs
+++ b/crates/standins/cloverpier_daemon_standin/src/engine/batch.rs
@@ -1,7 +1,7 @@
 //! The batch: what the engine holds, and a step of it.
 
 use crate::speech::speak;
-use cloverpier_core::{Chain, hash_of, lock};
+use cloverpier_core::{TokenDigest, hash_of, lock};
 use cloverpier_upstream::{GenerateBody, LoadBody};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -88,7 +88,7 @@
 
 #[derive(Debug)]
 pub(super) struct Generation {
-    pub(super) chain: Chain,
+    pub(super) chain: TokenDigest,
     pub(super) offset: u64,
     /// Tokens made here, from `first` on.
     pub(super) made: Vec<Arc<str>>,
@@ -242,7 +242,7 @@
     *inner.counts.runs.entry(request.to_owned()).or_default() += 1;
     inner.counts.started += 1;
     let generation = Generation {
-        chain: Chain::over(ask.prefix.iter().map(|t| &**t)),
+        chain: TokenDigest::of_tokens(ask.prefix.iter().map(|t| &**t)),
         offset: prefix_tokens,
         made: Vec::new(),
         first: prefix_tokens,
--- a/crates/standins/cloverpier_daemon_standin/src/lib.rs
+++ b/crates/standins/cloverpier_daemon_standin/src/lib.rs
@@ -6,9 +6,9 @@
 //!
 //! ```
 //! use cloverpier_daemon_standin::prelude::*;
-//! use cloverpier_core::Chain;
+//! use cloverpier_core::TokenDigest;
 //!
-//! let first = speak(7, Chain::EMPTY);
+//! let first = speak(7, TokenDigest::EMPTY);
 //! assert!(check_speech([first.as_str()]).is_ok());
 //! assert!(check_speech(["made up"]).is_err());
 //! ```
--- a/crates/standins/cloverpier_daemon_standin/src/speech.rs
+++ b/crates/standins/cloverpier_daemon_standin/src/speech.rs
@@ -4,7 +4,7 @@
 //! before it, as that engine saw them. A token that was joined to a text that
 //! it wasn't generated from gives itself away.
 
-use cloverpier_core::Chain;
+use cloverpier_core::TokenDigest;
 
 const SALT_LEN: usize = 4;
 const MARK_LEN: usize = 8;
@@ -24,13 +24,13 @@
     },
 }
 
-fn mark(salt: u16, before: Chain) -> u32 {
+fn mark(salt: u16, before: TokenDigest) -> u32 {
     let chained = before.push(&format!("{salt:04x}"));
-    u32::try_from(chained.value() >> 32).unwrap_or(0)
+    u32::try_from(chained.as_u64() >> 32).unwrap_or(0)
 }
 
 /// The token that an engine says after a text.
-pub fn speak(salt: u16, before: Chain) -> String {
+pub fn speak(salt: u16, before: TokenDigest) -> String {
     format!(" {salt:04x}{:08x}", mark(salt, before))
 }
 
@@ -40,7 +40,7 @@
 ///
 /// The first [`SpeechFault`].
 pub fn check_speech<'a>(tokens: impl IntoIterator<Item = &'a str>) -> Result<(), SpeechFault> {
-    let mut chain = Chain::EMPTY;
+    let mut chain = TokenDigest::EMPTY;
     for (at, token) in tokens.into_iter().enumerate() {
         let (salt, said) = parts(token).ok_or(SpeechFault::NotSpeech { at })?;
         if mark(salt, chain) != said {
--- a/crates/standins/cloverpier_daemon_standin/tests/speech.rs
+++ b/crates/standins/cloverpier_daemon_standin/tests/speech.rs
@@ -1,11 +1,11 @@
 //! The stand-in's text shows what it was generated after.
 
-use cloverpier_core::Chain;
+use cloverpier_core::TokenDigest;
 use cloverpier_daemon_standin::prelude::*;
 use quickcheck::quickcheck;
 
 fn text(salts: &[u16]) -> Vec<String> {
-    let mut chain = Chain::EMPTY;
+    let mut chain = TokenDigest::EMPTY;
     let mut tokens = Vec::new();
     for salt in salts {
         let token = speak(*salt, chain);
