--- a/crates/shared/cloverpier_observe/src/bounded.rs
+++ b/crates/shared/cloverpier_observe/src/bounded.rs
@@ -1,9 +1,8 @@
-//! A log writer that never blocks its callers and bounds what it accepts.
+//! A log writer that never blocks its callers and limits the number of lines that it accepts.
 //!
-//! Owns the lines that wait for the reader of the log and the thread that writes them. A
-//! request must not wait for a log reader, so what comes too fast, or while too much waits,
-//! is dropped and counted. It reads the machine's clock itself: the log facade hands over
-//! bytes alone.
+//! Owns the pending lines and the thread that writes them to the output. A request must not wait for a slow
+//! reader of the log, so a line is dropped and counted if there are too many pending lines, or too many
+//! lines per second. The writer reads the machine's clock itself, since the log facade passes only bytes.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,42 +11,43 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Lines that wait for a slow reader at most: about a megabyte.
-const MAX_WAITING: usize = 2_048;
-/// Lines accepted in one window at most.
-const MAX_PER_WINDOW: u32 = 1_000;
-/// The window of that bound.
-const WINDOW: Duration = Duration::from_secs(1);
+/// The maximum number of lines that are accepted but not written yet: about a megabyte.
+const MAX_PENDING_LINES: usize = 2_048;
+/// The maximum number of lines that are accepted in one [`RATE_WINDOW`].
+const MAX_LINES_PER_WINDOW: u32 = 1_000;
+/// The interval for which accepted lines are counted.
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// How far the log has got: lines that were dropped, and lines that wait.
+/// The number of dropped lines and of pending lines of a [`BoundedWriter`]; clones share the counts.
 #[derive(Clone, Debug, Default)]
 pub struct LogProgress(Arc<Counts>);
 
 #[derive(Debug, Default)]
 struct Counts {
     dropped: AtomicU64,
-    waiting: Mutex<usize>,
+    pending: Mutex<usize>,
     written: Condvar,
 }
 
 impl LogProgress {
-    /// How many lines were dropped so far.
+    /// The number of lines that were dropped since the writer was created.
     pub fn dropped(&self) -> u64 {
         self.0.dropped.load(Ordering::Relaxed)
     }
 
-    /// Waits until all accepted lines are written, for `bound` at most; false if some are not.
+    /// Blocks until all accepted lines are written, for at most `timeout`. Returns false if some lines are
+    /// not written by then.
     ///
-    /// A process that is about to end calls it: the writing thread ends with the process, and
-    /// with it went the last lines (of 36 stops on a busy machine, 2 without `process.stopped`).
-    pub fn wait_written(&self, bound: Duration) -> bool {
-        let is_waiting = |waiting: &mut usize| *waiting > 0;
+    /// A process calls this function before it exits. Otherwise the writing thread is stopped before it has
+    /// written the last lines: on a busy machine, 2 of 36 shutdowns lose the line `process.stopped`.
+    pub fn wait_until_written(&self, timeout: Duration) -> bool {
+        let is_pending = |pending: &mut usize| *pending > 0;
         let waited = self
             .0
             .written
-            .wait_timeout_while(self.waiting(), bound, is_waiting);
-        let (waiting, _) = waited.unwrap_or_else(PoisonError::into_inner);
-        *waiting == 0
+            .wait_timeout_while(self.pending(), timeout, is_pending);
+        let (pending, _) = waited.unwrap_or_else(PoisonError::into_inner);
+        *pending == 0
     }
 
     fn on_dropped(&self) {
@@ -55,43 +55,43 @@
     }
 
     fn on_accepted(&self) {
-        *self.waiting() += 1;
+        *self.pending() += 1;
     }
 
-    /// Lines are written, or were not accepted after all.
-    fn on_done(&self, lines: usize) {
-        *self.waiting() -= lines;
+    /// Records lines that are no longer pending: written, or dropped because the queue is full.
+    fn on_written(&self, lines: usize) {
+        *self.pending() -= lines;
         self.0.written.notify_all();
     }
 
-    /// A count is sound whatever a thread that held it did.
-    fn waiting(&self) -> MutexGuard<'_, usize> {
-        let waiting = self.0.waiting.lock();
-        waiting.unwrap_or_else(PoisonError::into_inner)
+    /// The number of pending lines. Poisoning of the lock is ignored: a count is valid after a panic, too.
+    fn pending(&self) -> MutexGuard<'_, usize> {
+        let pending = self.0.pending.lock();
+        pending.unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Hands whole lines to a thread that writes them.
+/// Passes complete lines to a thread that writes them to the output.
 #[derive(Debug)]
 pub struct BoundedWriter {
     lines: SyncSender<Vec<u8>>,
     line: Vec<u8>,
     progress: LogProgress,
-    window_began: Instant,
+    window_started_at: Instant,
     accepted: u32,
 }
 
 impl BoundedWriter {
-    /// Starts the thread that writes to `output`.
+    /// Starts the thread that writes to `output`; `progress` gets the counts of lines.
     pub fn new(output: impl Write + Send + 'static, progress: LogProgress) -> Self {
-        let (lines, waiting) = sync_channel(MAX_WAITING);
+        let (lines, pending) = sync_channel(MAX_PENDING_LINES);
         let written = progress.clone();
-        thread::spawn(move || write_lines(&waiting, output, &written));
+        thread::spawn(move || write_lines(&pending, output, &written));
         Self {
             lines,
             line: Vec::new(),
             progress,
-            window_began: Instant::now(),
+            window_started_at: Instant::now(),
             accepted: 0,
         }
     }
@@ -104,19 +104,19 @@
         }
         self.progress.on_accepted();
         if self.lines.try_send(line).is_err() {
-            self.progress.on_done(1);
+            self.progress.on_written(1);
             self.progress.on_dropped();
         }
     }
 
     fn is_within_rate(&mut self) -> bool {
         let now = Instant::now();
-        if now.saturating_duration_since(self.window_began) >= WINDOW {
-            self.window_began = now;
+        if now.saturating_duration_since(self.window_started_at) >= RATE_WINDOW {
+            self.window_started_at = now;
             self.accepted = 0;
         }
         self.accepted += 1;
-        self.accepted <= MAX_PER_WINDOW
+        self.accepted <= MAX_LINES_PER_WINDOW
     }
 }
 
@@ -136,17 +136,18 @@
     }
 }
 
-/// Writes lines until their sender is gone; a reader that is gone costs only the lines.
-fn write_lines(waiting: &Receiver<Vec<u8>>, mut output: impl Write, progress: &LogProgress) {
-    while let Ok(line) = waiting.recv() {
+/// Writes lines until the [`BoundedWriter`] is dropped. After a write error, the lines are lost, and writing
+/// continues with the next line.
+fn write_lines(pending: &Receiver<Vec<u8>>, mut output: impl Write, progress: &LogProgress) {
+    while let Ok(line) = pending.recv() {
         let mut lines = 1;
-        // Where the log cannot be written there is nowhere left to say so.
+        // Errors of writing the log cannot be logged.
         let _ = output.write_all(&line);
-        for line in waiting.try_iter() {
+        for line in pending.try_iter() {
             let _ = output.write_all(&line);
             lines += 1;
         }
         let _ = output.flush();
-        progress.on_done(lines);
+        progress.on_written(lines);
     }
 }
--- a/crates/shared/cloverpier_observe/src/lib.rs
+++ b/crates/shared/cloverpier_observe/src/lib.rs
@@ -1,7 +1,7 @@
 //! Logs as JSON lines and metrics over statsd.
 //!
-//! A [`Log`] is handed to whoever writes lines; it carries the VM's name, so
-//! that lines of a fleet can be read together.
+//! Components that write log lines get a [`Log`], which adds the VM's name to each line, so that the logs of
+//! a fleet can be merged.
 //!
 //! ```
 //! use cloverpier_observe::prelude::*;
@@ -20,7 +20,7 @@
 mod line;
 mod metrics;
 
-/// What users of the crate need daily.
+/// The public items of this crate.
 pub mod prelude {
     pub use crate::bounded::{BoundedWriter, LogProgress};
     pub use crate::line::{Log, NoFields, init_logs, init_logs_bounded};
--- a/crates/shared/cloverpier_observe/src/line.rs
+++ b/crates/shared/cloverpier_observe/src/line.rs
@@ -1,7 +1,7 @@
-//! Log lines: one JSON object each, with time, level, VM and event before its own fields.
+//! Log lines: each is a JSON object with time, level, VM, event, and the fields of that event.
 //!
-//! Owns the form of a line and the set-up of the process's log. Relies on `log` and
-//! `simplelog`, all of whose prefixes are off. Events are named `subject.verb`.
+//! Owns the format of a line and the initialization of the process's log. Relies on `log` and on
+//! `simplelog`, whose line prefixes are all disabled. Events are named `subject.verb`.
 
 use crate::bounded::{BoundedWriter, LogProgress};
 use cloverpier_core::wall_ms;
@@ -11,7 +11,7 @@
 use std::io;
 use std::sync::Arc;
 
-/// Fields of a line that has none of its own.
+/// The fields of an event without fields.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct NoFields {}
 
@@ -32,22 +32,22 @@
 }
 
 impl Log {
-    /// The log of a process on a VM.
+    /// Creates the log of a process on the VM of this name.
     pub fn new(vm: &str) -> Self {
         Self { vm: Arc::from(vm) }
     }
 
-    /// Something that happens in the ordinary course.
+    /// Logs an event of normal operation.
     pub fn info<T: Serialize>(&self, event: &'static str, fields: &T) {
         self.write(Level::Info, event, fields);
     }
 
-    /// Something that an operator may have to look at.
+    /// Logs an event that an operator may have to act on.
     pub fn warn<T: Serialize>(&self, event: &'static str, fields: &T) {
         self.write(Level::Warn, event, fields);
     }
 
-    /// Detail for whoever looks for a cause.
+    /// Logs a detail for diagnosis.
     pub fn debug<T: Serialize>(&self, event: &'static str, fields: &T) {
         self.write(Level::Debug, event, fields);
     }
@@ -69,25 +69,25 @@
             event,
             fields,
         };
-        // Fields are structs of plain values, which can always be written.
+        // Serialization does not fail: fields are structs of plain values.
         if let Ok(text) = serde_json::to_string(&line) {
             log::log!(target: "cloverpier", level, "{text}");
         }
     }
 }
 
-/// Sends log lines to standard error, from a level on.
+/// Writes log lines of `level` and above to standard error.
 ///
-/// All prefixes are off: the message is the whole line. Lines of libraries
-/// are kept out. A second call changes nothing.
+/// A line consists of the JSON object only, without a prefix. Log lines of libraries are excluded. A second
+/// call in a process has no effect.
 pub fn init_logs(level: LevelFilter) {
     init(level, io::stderr());
 }
 
-/// Sends log lines to standard output, never waiting for its reader.
+/// Writes log lines of `level` and above to standard output, without blocking on a slow reader.
 ///
-/// Returns how far the log has got: the lines that were dropped to keep that promise, and those
-/// that wait, which a process that ends waits for.
+/// Returns the counts of dropped and pending lines; before the process exits, it should call
+/// [`LogProgress::wait_until_written`]. A second call in a process has no effect on the log.
 pub fn init_logs_bounded(level: LevelFilter) -> LogProgress {
     let progress = LogProgress::default();
     init(level, BoundedWriter::new(io::stdout(), progress.clone()));
@@ -103,6 +103,6 @@
         .set_location_level(LevelFilter::Off)
         .add_filter_allow_str("cloverpier")
         .build();
-    // A second call finds a logger in place, which stays.
+    // The error of a second call is ignored: the first logger stays.
     let _ = WriteLogger::init(level, config, output);
 }
--- a/crates/shared/cloverpier_observe/src/metrics.rs
+++ b/crates/shared/cloverpier_observe/src/metrics.rs
@@ -1,8 +1,8 @@
 //! Counters, gauges and timers over statsd, for `cloverpierd`.
 //!
-//! Metrics are best effort: a value that cannot be sent is no fault of the request that it is
-//! about, so errors of sending are dropped here, in one place. The router on the platform
-//! serves its metrics as text instead (`cloverpier_router`).
+//! Metrics are best effort: errors of sending are ignored in this module, so that a request never fails
+//! because of its metrics. The router on the platform serves its metrics as text instead
+//! (`cloverpier_router`).
 
 use cadence::{
     BufferedUdpMetricSink, Counted, Gauged, MetricResult, QueuingMetricSink, StatsdClient, Timed,
@@ -11,21 +11,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Every metric's name begins with this.
+/// The prefix of every metric's name.
 const PREFIX: &str = "cloverpier";
 
-/// Metrics of one process; without an address they go nowhere.
+/// The statsd client of one process; the default value discards all metrics.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
     client: Option<Arc<StatsdClient>>,
 }
 
 impl Metrics {
-    /// Metrics that go to a statsd server, or nowhere.
+    /// Creates metrics that are sent to the statsd server at this address; `None` discards them.
     ///
     /// # Errors
     ///
-    /// No socket can be opened to send from.
+    /// Returns an error if no local UDP socket can be opened.
     pub fn new(statsd: Option<SocketAddr>) -> MetricResult<Self> {
         let client = statsd.map(client).transpose()?;
         Ok(Self {
@@ -33,24 +33,24 @@
         })
     }
 
-    /// Adds to a counter.
+    /// Adds `by` to the counter `name`.
     pub fn count(&self, name: &'static str, by: i64) {
         if let Some(client) = &self.client {
             let _ = client.count(name, by);
         }
     }
 
-    /// Sets a gauge.
+    /// Sets the gauge `name` to `value`.
     pub fn gauge(&self, name: &'static str, value: u64) {
         if let Some(client) = &self.client {
             let _ = client.gauge(name, value);
         }
     }
 
-    /// Notes how long something took.
-    pub fn time(&self, name: &'static str, took: Duration) {
+    /// Records the duration of an operation under `name`.
+    pub fn time(&self, name: &'static str, duration: Duration) {
         if let Some(client) = &self.client {
-            let _ = client.time(name, took);
+            let _ = client.time(name, duration);
         }
     }
 }
--- a/crates/shared/cloverpier_observe/tests/bounded.rs
+++ b/crates/shared/cloverpier_observe/tests/bounded.rs
@@ -1,7 +1,7 @@
-//! What the writer of log lines keeps, and for how long.
+//! The bounded log writer: waiting for pending lines at shutdown, and dropping lines.
 //!
-//! What was seen: of 36 planned stops on a busy machine, two logs ended without the line
-//! `process.stopped`. The process had ended before its writing thread came to it.
+//! Guards against lost lines at shutdown: if a process exits before its writing thread has written all
+//! lines, its log lacks the line `process.stopped` (2 of 36 shutdowns on a busy machine).
 
 use cloverpier_observe::prelude::*;
 use std::io::{self, Write};
@@ -9,19 +9,19 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Longer than anything takes that works.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Longer than the wait takes if the code under test is correct.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A reader that takes a line each time that it is told to.
-struct SlowReader {
-    takes: Receiver<()>,
-    taken: Arc<Mutex<Vec<u8>>>,
+/// An output that accepts one line for each permit that the test sends.
+struct SteppedOutput {
+    permits_rx: Receiver<()>,
+    output: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for SlowReader {
+impl Write for SteppedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.takes.recv().map_err(io::Error::other)?;
-        self.taken.lock().unwrap().extend_from_slice(bytes);
+        self.permits_rx.recv().map_err(io::Error::other)?;
+        self.output.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
@@ -31,47 +31,47 @@
 }
 
 fn writer() -> (BoundedWriter, LogProgress, Sender<()>, Arc<Mutex<Vec<u8>>>) {
-    let (take, takes) = channel();
-    let taken = Arc::default();
-    let reader = SlowReader {
-        takes,
-        taken: Arc::clone(&taken),
+    let (permit, permits_rx) = channel();
+    let output = Arc::default();
+    let stepped = SteppedOutput {
+        permits_rx,
+        output: Arc::clone(&output),
     };
     let progress = LogProgress::default();
-    let writer = BoundedWriter::new(reader, progress.clone());
-    (writer, progress, take, taken)
+    let writer = BoundedWriter::new(stepped, progress.clone());
+    (writer, progress, permit, output)
 }
 
 #[test]
-fn a_process_that_ends_can_wait_for_its_last_lines() {
-    let (mut writer, progress, take, taken) = writer();
+fn a_process_can_wait_until_its_last_lines_are_written() {
+    let (mut writer, progress, permit, output) = writer();
     writer.write_all(b"one\ntwo\nthree\n").unwrap();
     for _ in 0..3 {
-        take.send(()).unwrap();
+        permit.send(()).unwrap();
     }
-    assert!(progress.wait_written(PATIENCE));
-    assert_eq!(taken.lock().unwrap().as_slice(), b"one\ntwo\nthree\n");
+    assert!(progress.wait_until_written(TEST_TIMEOUT));
+    assert_eq!(output.lock().unwrap().as_slice(), b"one\ntwo\nthree\n");
     assert_eq!(progress.dropped(), 0);
 }
 
 #[test]
-fn a_reader_that_takes_nothing_holds_it_up_for_a_bounded_time() {
-    let (mut writer, progress, take, _taken) = writer();
+fn the_wait_for_a_stalled_reader_is_bounded() {
+    let (mut writer, progress, permit, _output) = writer();
     writer.write_all(b"one\ntwo\n").unwrap();
-    take.send(()).unwrap();
-    assert!(!progress.wait_written(Duration::from_millis(20)));
+    permit.send(()).unwrap();
+    assert!(!progress.wait_until_written(Duration::from_millis(20)));
 }
 
 #[test]
-fn a_line_that_is_dropped_is_not_waited_for() {
-    let (mut writer, progress, take, _taken) = writer();
-    // More than wait for a reader that takes nothing.
+fn dropped_lines_are_not_waited_for() {
+    let (mut writer, progress, permit, _output) = writer();
+    // More lines than can be pending or accepted in a second.
     for _ in 0..4_100 {
         writer.write_all(b"line\n").unwrap();
     }
     assert!(progress.dropped() > 0);
     for _ in 0..4_100 {
-        take.send(()).unwrap();
+        permit.send(()).unwrap();
     }
-    assert!(progress.wait_written(PATIENCE));
+    assert!(progress.wait_until_written(TEST_TIMEOUT));
 }
--- a/crates/shared/cloverpier_timers/src/lib.rs
+++ b/crates/shared/cloverpier_timers/src/lib.rs
@@ -1,15 +1,15 @@
-//! Waits by a clock that counts the time for which the machine is suspended.
+//! Timers by a clock that includes the time for which the machine is suspended.
 //!
-//! The runtime's own timers stop while the machine is suspended. A wait that ends by them is
-//! over too late by that time: a request's deadline, a call's timeout, the pause before a renewal. The
-//! waits of [`Timers`] are over as soon as the passed-in [`Clock`] says so, whatever the runtime's
-//! clock does. So a machine that was suspended behaves like one whose processes stood still, of which
-//! all decisions take account by the age of what they know.
+//! The timers of the async runtime stop while the machine is suspended. A request's deadline, a call's
+//! timeout or the pause before a lease renewal would be late by the length of the suspension. The waits of
+//! [`Timers`] end when the given [`Clock`] reaches their end, independent of the runtime's clock. A suspended
+//! machine thus behaves like a machine whose processes were paused, a case that all decisions handle by the
+//! age of their input.
 //!
-//! [`Timers::watch_resumes`] has to run as a task of each process; it finds out by comparing both
-//! clocks. Without it a wait ends by the runtime's timers alone.
+//! Each process must run [`Timers::watch_resumes`] as a task, which detects suspensions by comparing both
+//! clocks. Without that task, waits end by the runtime's timers alone.
 //!
-//! Owns who waits for the next resume. Relies on the clock to count the suspended time.
+//! Owns the notification of tasks that wait for a resume. Relies on the clock to include suspensions.
 
 use cloverpier_core::{Clock, SystemClock};
 use std::future::Future;
@@ -19,18 +19,18 @@
 use tokio::sync::Notify;
 use tokio::sync::futures::Notified;
 
-/// How often both clocks are compared: a wait that should have ended during the suspension ends so
-/// long after it at most. Ten wake-ups of a process a second.
-pub const CHECK_PERIOD: Duration = Duration::from_millis(100);
-/// The clocks have to differ by so much: far more than the granularity of the runtime's timers (1
-/// ms), and less than any bound that is waited for.
-pub const LEAST_SUSPENSION: Duration = Duration::from_millis(20);
+/// How often the clock and the runtime's clock are compared. A wait whose end falls into a suspension ends
+/// at most this long after the resume. The comparison wakes the process ten times per second.
+pub const SUSPENSION_CHECK_PERIOD: Duration = Duration::from_millis(100);
+/// The minimum difference between the clocks that counts as a suspension: far more than the granularity of
+/// the runtime's timers (1 ms), and less than any timeout that depends on suspensions.
+pub const MIN_SUSPENSION: Duration = Duration::from_millis(20);
 
-/// The time that was allowed for something has passed.
+/// The error of a timeout: the future did not complete in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Elapsed;
 
-/// The waits of a process; clones share their resumes.
+/// Creates the waits of a process. Clones share the clock and the notification of resumes.
 #[derive(Clone, Debug)]
 pub struct Timers {
     clock: Arc<dyn Clock>,
@@ -38,14 +38,14 @@
 }
 
 impl Default for Timers {
-    /// Waits by the machine's clock.
+    /// Creates timers by the machine's clock, [`SystemClock`].
     fn default() -> Self {
         Self::new(Arc::new(SystemClock))
     }
 }
 
 impl Timers {
-    /// Waits by a clock.
+    /// Creates timers by the given clock.
     pub fn new(clock: Arc<dyn Clock>) -> Self {
         Self {
             clock,
@@ -53,20 +53,20 @@
         }
     }
 
-    /// The present moment.
+    /// The current time of the clock.
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// Waits for the next time that the machine resumes, from this call on.
+    /// Completes at the first resume of the machine after this call.
     pub fn resumed(&self) -> Notified<'_> {
         self.resumed.notified()
     }
 
-    /// Waits until a moment of the clock.
+    /// Waits until the clock reaches `at`.
     pub async fn sleep_until(&self, at: Instant) {
         loop {
-            // Asked for before the clock is read, so that no resume is missed between.
+            // Registered before the clock is read, so that a resume in between is not missed.
             let resumed = self.resumed();
             let remaining = at.saturating_duration_since(self.now());
             if remaining.is_zero() {
@@ -79,60 +79,61 @@
         }
     }
 
-    /// Waits for a time.
-    pub async fn sleep(&self, time: Duration) {
-        match self.now().checked_add(time) {
+    /// Waits for a duration of the clock, suspensions included.
+    pub async fn sleep(&self, duration: Duration) {
+        match self.now().checked_add(duration) {
             Some(at) => self.sleep_until(at).await,
-            // Longer than the clock can count.
+            // The end is beyond the range of `Instant`.
             None => std::future::pending().await,
         }
     }
 
-    /// Waits for something until a moment of the clock.
+    /// Waits for a future until the clock reaches `at`. A future that is ready at once completes also if
+    /// `at` has passed.
     ///
     /// # Errors
     ///
-    /// [`Elapsed`] if it has not come by then.
+    /// Returns [`Elapsed`] if the future is not complete by then.
     pub async fn timeout_at<T>(
         &self,
         at: Instant,
-        awaited: impl Future<Output = T>,
+        future: impl Future<Output = T>,
     ) -> Result<T, Elapsed> {
-        let mut awaited = pin!(awaited);
+        let mut future = pin!(future);
         tokio::select! {
             biased;
-            value = &mut awaited => Ok(value),
+            value = &mut future => Ok(value),
             () = self.sleep_until(at) => Err(Elapsed),
         }
     }
 
-    /// Waits for something for a time.
+    /// Waits for a future for at most `duration`, suspensions included.
     ///
     /// # Errors
     ///
-    /// [`Elapsed`] if it has not come within it.
+    /// Returns [`Elapsed`] if the future is not complete within that time.
     pub async fn timeout<T>(
         &self,
-        time: Duration,
-        awaited: impl Future<Output = T>,
+        duration: Duration,
+        future: impl Future<Output = T>,
     ) -> Result<T, Elapsed> {
-        let mut awaited = pin!(awaited);
+        let mut future = pin!(future);
         tokio::select! {
             biased;
-            value = &mut awaited => Ok(value),
-            () = self.sleep(time) => Err(Elapsed),
+            value = &mut future => Ok(value),
+            () = self.sleep(duration) => Err(Elapsed),
         }
     }
 
-    /// Ends the waits that are over each time the machine resumes, and says for how long it was
-    /// suspended; runs until the process ends.
+    /// Detects suspensions of the machine. After each, calls `on_resume` with the length of the suspension,
+    /// and ends the waits whose time has passed. Never returns.
     pub async fn watch_resumes(&self, mut on_resume: impl FnMut(Duration)) {
         loop {
             let (clock, runtime) = (self.now(), tokio::time::Instant::now());
-            tokio::time::sleep(CHECK_PERIOD).await;
+            tokio::time::sleep(SUSPENSION_CHECK_PERIOD).await;
             let passed = self.now().saturating_duration_since(clock);
             let suspended = passed.saturating_sub(runtime.elapsed());
-            if suspended >= LEAST_SUSPENSION {
+            if suspended >= MIN_SUSPENSION {
                 on_resume(suspended);
                 self.resumed.notify_waiters();
             }
--- a/crates/shared/cloverpier_timers/tests/suspension.rs
+++ b/crates/shared/cloverpier_timers/tests/suspension.rs
@@ -1,7 +1,7 @@
-//! Waits that span a suspension: the clock goes on, the runtime's timers don't.
+//! Waits during a suspension of the machine, in which the clock continues and the runtime's timers stop.
 
 use cloverpier_core::{Clock, ManualClock, SystemClock};
-use cloverpier_timers::{CHECK_PERIOD, Elapsed, LEAST_SUSPENSION, Timers};
+use cloverpier_timers::{Elapsed, MIN_SUSPENSION, SUSPENSION_CHECK_PERIOD, Timers};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -10,11 +10,11 @@
 
 const LONG: Duration = Duration::from_secs(3_600);
 
-/// A clock that goes on while the runtime's stands still, when it is told to.
+/// A clock that follows the runtime's clock, and jumps ahead of it by each simulated suspension.
 #[derive(Clone, Debug)]
 struct SuspendableClock {
-    began: Instant,
-    runtime_began: tokio::time::Instant,
+    started_at: Instant,
+    runtime_started_at: tokio::time::Instant,
     suspended: ManualClock,
 }
 
@@ -22,8 +22,8 @@
     fn new() -> Self {
         let suspended = ManualClock::new();
         Self {
-            began: suspended.now(),
-            runtime_began: tokio::time::Instant::now(),
+            started_at: suspended.now(),
+            runtime_started_at: tokio::time::Instant::now(),
             suspended,
         }
     }
@@ -35,90 +35,96 @@
 
 impl Clock for SuspendableClock {
     fn now(&self) -> Instant {
-        let suspended = self.suspended.now() - self.began;
-        self.began + suspended + self.runtime_began.elapsed()
+        let suspended = self.suspended.now() - self.started_at;
+        self.started_at + suspended + self.runtime_started_at.elapsed()
     }
 }
 
-/// Runs a test with a clock and the timers by it, whose resumes are watched; returns what the watch
-/// was told.
+/// Runs a test with a clock and its timers, with the detection of resumes running. Returns the lengths of
+/// the detected suspensions.
 async fn with_timers<F: Future<Output = ()>>(
     test: impl FnOnce(SuspendableClock, Timers) -> F,
 ) -> Vec<Duration> {
     let clock = SuspendableClock::new();
     let timers = Timers::new(Arc::new(clock.clone()));
-    let seen: Rc<RefCell<Vec<Duration>>> = Rc::default();
-    let (watching, told) = (timers.clone(), Rc::clone(&seen));
+    let suspensions: Rc<RefCell<Vec<Duration>>> = Rc::default();
+    let (watched, detected) = (timers.clone(), Rc::clone(&suspensions));
     let local = LocalSet::new();
     local.spawn_local(async move {
-        watching
-            .watch_resumes(|time| told.borrow_mut().push(time))
+        watched
+            .watch_resumes(|time| detected.borrow_mut().push(time))
             .await;
     });
     local.run_until(test(clock, timers)).await;
-    seen.take()
+    suspensions.take()
 }
 
-/// The runtime's time that something takes.
+/// The duration of a future by the runtime's clock, and its output.
 async fn time_of<T>(work: impl Future<Output = T>) -> (Duration, T) {
-    let began = tokio::time::Instant::now();
+    let started_at = tokio::time::Instant::now();
     let value = work.await;
-    (began.elapsed(), value)
+    (started_at.elapsed(), value)
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_wait_without_a_suspension_takes_its_time() {
-    let seen = with_timers(|_, timers| async move {
+async fn a_wait_without_a_suspension_takes_its_duration() {
+    let suspensions = with_timers(|_, timers| async move {
         let (took, ()) = time_of(timers.sleep(LONG)).await;
-        assert!(took >= LONG && took < LONG + CHECK_PERIOD, "{took:?}");
+        assert!(
+            took >= LONG && took < LONG + SUSPENSION_CHECK_PERIOD,
+            "{took:?}"
+        );
     });
-    assert_eq!(seen.await, []);
+    assert_eq!(suspensions.await, []);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_wait_that_ends_while_the_machine_is_suspended_is_over_when_it_resumes() {
-    let seen = with_timers(|clock, timers| async move {
+async fn a_wait_that_ends_during_a_suspension_ends_at_the_resume() {
+    let suspensions = with_timers(|clock, timers| async move {
         let waiting = timers.clone();
         let wait = spawn_local(async move { time_of(waiting.sleep(LONG)).await });
-        tokio::time::sleep(CHECK_PERIOD / 2).await;
+        tokio::time::sleep(SUSPENSION_CHECK_PERIOD / 2).await;
         clock.suspend(LONG);
         let (took, ()) = wait.await.unwrap();
-        assert!(took <= CHECK_PERIOD * 2, "{took:?}");
+        assert!(took <= SUSPENSION_CHECK_PERIOD * 2, "{took:?}");
     });
-    let seen = seen.await;
-    assert_eq!(seen.len(), 1);
+    let suspensions = suspensions.await;
+    assert_eq!(suspensions.len(), 1);
     assert!(
-        seen[0] >= LONG && seen[0] < LONG + LEAST_SUSPENSION,
-        "{seen:?}"
+        suspensions[0] >= LONG && suspensions[0] < LONG + MIN_SUSPENSION,
+        "{suspensions:?}"
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_left_of_a_wait_is_waited_for() {
+async fn a_suspension_shortens_the_rest_of_a_wait() {
     with_timers(|clock, timers| async move {
         let waiting = timers.clone();
         let wait = spawn_local(async move { time_of(waiting.sleep(LONG)).await });
-        tokio::time::sleep(CHECK_PERIOD / 2).await;
+        tokio::time::sleep(SUSPENSION_CHECK_PERIOD / 2).await;
         clock.suspend(LONG / 4);
         let (took, ()) = wait.await.unwrap();
         let left = LONG - LONG / 4;
-        assert!(took >= left && took <= left + CHECK_PERIOD, "{took:?}");
+        assert!(
+            took >= left && took <= left + SUSPENSION_CHECK_PERIOD,
+            "{took:?}"
+        );
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_timeout_is_over_when_the_machine_resumes_and_what_has_come_counts() {
+async fn a_timeout_ends_at_the_resume_and_a_ready_future_completes() {
     with_timers(|clock, timers| async move {
         let waiting = timers.clone();
         let never = std::future::pending::<()>();
         let wait = spawn_local(async move { time_of(waiting.timeout(LONG, never)).await });
-        tokio::time::sleep(CHECK_PERIOD / 2).await;
+        tokio::time::sleep(SUSPENSION_CHECK_PERIOD / 2).await;
         clock.suspend(LONG);
         let (took, result) = wait.await.unwrap();
         assert_eq!(result, Err(Elapsed));
-        assert!(took <= CHECK_PERIOD * 2, "{took:?}");
-        // An answer that is there when the time is over is taken.
+        assert!(took <= SUSPENSION_CHECK_PERIOD * 2, "{took:?}");
+        // A future that is ready completes although its timeout has passed.
         let past = clock.now();
         assert_eq!(timers.timeout_at(past, async { 7 }).await, Ok(7));
     })
@@ -126,29 +132,29 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn those_who_ask_learn_of_the_resume() {
+async fn a_task_can_wait_for_the_next_resume() {
     with_timers(|clock, timers| async move {
-        tokio::time::sleep(CHECK_PERIOD / 2).await;
+        tokio::time::sleep(SUSPENSION_CHECK_PERIOD / 2).await;
         let resumed = timers.resumed();
         clock.suspend(LONG);
         let (took, ()) = time_of(resumed).await;
-        assert!(took <= CHECK_PERIOD * 2, "{took:?}");
+        assert!(took <= SUSPENSION_CHECK_PERIOD * 2, "{took:?}");
     })
     .await;
 }
 
 #[test]
-fn the_machines_clock_goes_on_and_never_back() {
+fn the_machines_clock_is_monotonic() {
     let clock = SystemClock;
-    let mut former = clock.now();
+    let mut previous = clock.now();
     for _ in 0..1_000 {
         let now = clock.now();
-        assert!(now >= former);
-        former = now;
+        assert!(now >= previous);
+        previous = now;
     }
-    // Without a suspension between, both of the machine's clocks tell the same time.
-    let (counting, steady) = (clock.now(), Instant::now());
+    // Without a suspension in between, the clock and the standard monotonic clock advance equally.
+    let (clock_start, monotonic_start) = (clock.now(), Instant::now());
     std::thread::sleep(Duration::from_millis(30));
-    let apart = (clock.now() - counting).abs_diff(steady.elapsed());
-    assert!(apart < Duration::from_millis(20), "{apart:?}");
+    let difference = (clock.now() - clock_start).abs_diff(monotonic_start.elapsed());
+    assert!(difference < Duration::from_millis(20), "{difference:?}");
 }
