--- a/crates/router/cloverpier_router/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -224,7 +224,7 @@
         let route = &self.request.route;
         let has_alternative =
             route.retry_rule().is_idempotent() && self.attempts.sent() < route.max_attempts;
-        let probe_timeout = self.router.settings().silence.answer_within;
+        let probe_timeout = self.router.settings().liveness.probe_timeout;
         LivenessBounds::of_plain(
             route.objective,
             route.timeout,
--- a/crates/router/cloverpier_router/src/stream/open.rs
+++ b/crates/router/cloverpier_router/src/stream/open.rs
@@ -177,21 +177,21 @@
 
     /// Bounds on silence before the first event, while the engine reads the prompt.
     fn waiting_bounds(&self) -> LivenessBounds {
-        let silence = self.router.settings().silence;
+        let silence = self.router.settings().liveness;
         LivenessBounds {
-            probe_after: silence.ask_before_first,
-            probe_timeout: silence.answer_before_first,
-            stall_after: silence.stuck_before_first,
+            probe_after: silence.first_event_probe_after,
+            probe_timeout: silence.first_event_probe_timeout,
+            stall_after: silence.first_event_stall_after,
         }
     }
 
     /// Bounds on silence between events.
     pub(super) fn running_bounds(&self) -> LivenessBounds {
-        let silence = self.router.settings().silence;
+        let silence = self.router.settings().liveness;
         let bounds = LivenessBounds {
-            probe_after: silence.ask_after,
-            probe_timeout: silence.answer_within,
-            stall_after: silence.stuck_after,
+            probe_after: silence.probe_after,
+            probe_timeout: silence.probe_timeout,
+            stall_after: silence.stall_after,
         };
         bounds.with_gap_objective(self.request.route.gap_objective)
     }
--- a/crates/shared/cloverpier_settings/src/crashes.rs
+++ b/crates/shared/cloverpier_settings/src/crashes.rs
@@ -1,32 +1,34 @@
-//! The settings on requests that end upstreams, which both programs have.
+//! The settings of both programs for requests whose contents crash upstreams.
 //!
-//! What follows from them is decided in `cloverpier_crashes`. Owns their names, bounds and defaults.
+//! `cloverpier_crashes` decides which contents are blocked. This module owns the names, ranges and defaults
+//! of the keys.
 
-use crate::reader::Reader;
+use crate::reader::TableReader;
 use cloverpier_crashes::{ContentKey, CrashLimit};
 use std::collections::HashSet;
 
-/// Ends of upstreams that stop a content where the settings do not say: the users' bound.
+/// The default number of crashes of upstreams after which a request content is blocked: the bound that the
+/// operators require.
 const DEFAULT_LIMIT: u64 = 3;
-/// The highest limit that can be set: as many ends are kept of a content.
+/// The maximum of `crash_limit`: the number of crashes that are recorded for each request content.
 const MAX_LIMIT: u64 = 16;
 
-/// Which requests are sent to no further upstream, by the upstreams that they ended.
+/// When requests are blocked because their content crashes upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CrashSettings {
-    /// Ends that stop a content; 0 where none is to be stopped.
+    /// The number of crashes after which a request content is blocked; 0 never blocks contents.
     pub limit: CrashLimit,
-    /// Contents that are never stopped.
+    /// The request contents that operators have exempted from blocking.
     pub cleared: HashSet<ContentKey>,
 }
 
 impl CrashSettings {
-    pub(crate) fn read(r: &mut Reader) -> Self {
+    pub(crate) fn read(r: &mut TableReader) -> Self {
         let limit = r.number_or("crash_limit", 0, MAX_LIMIT, DEFAULT_LIMIT);
         Self {
             // At most 16.
             limit: CrashLimit(limit as u32),
-            cleared: r.contents("cleared_contents"),
+            cleared: r.content_keys("cleared_contents"),
         }
     }
 }
--- a/crates/shared/cloverpier_settings/src/daemon.rs
+++ b/crates/shared/cloverpier_settings/src/daemon.rs
@@ -1,63 +1,64 @@
-//! The settings of `cloverpierd`; docs/OPERATIONS.md lists its keys.
+//! The settings of `cloverpierd`; docs/OPERATIONS.md lists the keys.
 //!
-//! Secrets have at least sixteen characters, and neither log nor debug output shows them.
+//! Owns the names, ranges and defaults of the keys. Relies on [`Secret`] to keep secrets out of logs and
+//! `Debug` output.
 
 use crate::crashes::CrashSettings;
-use crate::reader::{Reader, SettingFaults, level};
+use crate::reader::{SettingErrors, TableReader, read_log_level};
 use cloverpier_core::{DataCentre, Secret, VmName};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Characters of a secret at least: 16 random ones are 96 bits in base 64.
-const MIN_SECRET: usize = 16;
+/// The minimum length of a secret in bytes: 16 random characters of base 64 contain 96 bits.
+const MIN_SECRET_LEN: usize = 16;
 
-/// The settings of `cloverpierd`.
+/// The settings of one `cloverpierd` process.
 #[derive(Clone, Debug)]
 pub struct DaemonSettings {
-    /// The VM's name.
+    /// The name of the VM that the process runs on.
     pub vm: VmName,
-    /// Its data centre.
+    /// The data centre of the VM.
     pub data_centre: DataCentre,
-    /// Where callers are listened to.
+    /// The address on which the process accepts callers' requests.
     pub callers_listen: SocketAddr,
-    /// Where peers and operators are listened to.
+    /// The address on which the process accepts requests of peers and operators.
     pub peers_listen: SocketAddr,
-    /// Where callers reach the VM; the listening address if not set.
+    /// The address at which callers reach the process; defaults to `callers_listen`.
     pub callers_at: SocketAddr,
-    /// Where peers reach the VM; the listening address if not set.
+    /// The address at which peers reach the process; defaults to `peers_listen`.
     pub peers_at: SocketAddr,
-    /// The platform.
+    /// The address of the platform, which stores the configuration.
     pub platform: SocketAddr,
-    /// Peers to ask while the platform is down.
+    /// Peers from which the process fetches the configuration and the members if the platform is unavailable.
     pub seeds: Vec<SocketAddr>,
-    /// The secret that peers share.
+    /// The secret that all peers share, with which they authenticate requests to each other.
     pub peer_secret: Secret,
-    /// The key that operators present.
+    /// The key with which operators authenticate their requests.
     pub operator_key: Secret,
-    /// A statsd server for metrics.
+    /// The statsd server that metrics are sent to; `None` discards metrics.
     pub statsd: Option<SocketAddr>,
-    /// How long callers keep the answer which addresses to use.
+    /// How long callers may cache the list of addresses to send requests to.
     pub addresses_ttl: Duration,
-    /// How long a key that may not be repeated is remembered.
+    /// How long the idempotency key of a request that must not run twice is recorded.
     pub record_horizon: Duration,
-    /// How long copies of tokens are collected before they are sent to a peer.
+    /// How long generated tokens are batched before they are copied to a peer.
     pub copy_interval: Duration,
-    /// How often each upstream is asked for its load.
+    /// The interval between load queries to each engine. With many engines, the interval is longer.
     pub load_period: Duration,
-    /// Which requests are sent to no further upstream, by the upstreams that they ended.
+    /// When requests are blocked because their content crashes upstreams.
     pub crashes: CrashSettings,
-    /// `error`, `warn`, `info` or `debug`.
+    /// The minimum level of log lines: `error`, `warn`, `info` or `debug`.
     pub log_level: String,
 }
 
 impl DaemonSettings {
-    /// Reads settings from TOML.
+    /// Parses and validates the text of a settings file in TOML.
     ///
     /// # Errors
     ///
-    /// [`SettingFaults`] lists every key that can't stand, unknown ones too.
-    pub fn parse(text: &str) -> Result<Self, SettingFaults> {
-        let mut r = Reader::parse(text)?;
+    /// Returns [`SettingErrors`] with every missing, invalid or unknown key.
+    pub fn parse(text: &str) -> Result<Self, SettingErrors> {
+        let mut r = TableReader::parse(text)?;
         let callers_listen = r.address("callers_listen");
         let peers_listen = r.address("peers_listen");
         let settings = Self {
@@ -65,31 +66,31 @@
             data_centre: DataCentre::new(r.text("data_centre", "the data centre's name")),
             callers_listen,
             peers_listen,
-            // Where others reach this process, if not where it listens.
-            callers_at: r.address_or("callers_at").unwrap_or(callers_listen),
-            peers_at: r.address_or("peers_at").unwrap_or(peers_listen),
+            // Other processes reach this process at its listen addresses unless these keys are set.
+            callers_at: r.optional_address("callers_at").unwrap_or(callers_listen),
+            peers_at: r.optional_address("peers_at").unwrap_or(peers_listen),
             platform: r.address("platform"),
             seeds: r.addresses("seeds"),
             peer_secret: secret(&mut r, "peer_secret"),
             operator_key: secret(&mut r, "operator_key"),
-            statsd: r.address_or("statsd"),
+            statsd: r.optional_address("statsd"),
             addresses_ttl: Duration::from_secs(r.number_or("addresses_ttl_s", 1, 3_600, 20)),
             record_horizon: Duration::from_secs(r.number_or("record_horizon_s", 1, 86_400, 600)),
             copy_interval: Duration::from_millis(r.number_or("copy_interval_ms", 0, 100, 2)),
             load_period: Duration::from_millis(r.number_or("load_period_ms", 50, 60_000, 500)),
             crashes: CrashSettings::read(&mut r),
-            log_level: level(&mut r),
+            log_level: read_log_level(&mut r),
         };
         r.finish()?;
         Ok(settings)
     }
 }
 
-fn secret(r: &mut Reader, key: &str) -> Secret {
+fn secret(r: &mut TableReader, key: &str) -> Secret {
     let expected = "a secret of at least 16 characters";
     let text = r.text(key, expected);
-    if !text.is_empty() && text.len() < MIN_SECRET {
-        r.fault(key, expected);
+    if !text.is_empty() && text.len() < MIN_SECRET_LEN {
+        r.record_error(key, expected);
     }
     Secret::new(text)
 }
--- a/crates/shared/cloverpier_settings/src/lib.rs
+++ b/crates/shared/cloverpier_settings/src/lib.rs
@@ -1,15 +1,15 @@
-//! The settings files of both programs, read from TOML; all faults are reported at once.
+//! Parses the settings files of both programs, which are in TOML, and reports all errors at once.
 //!
-//! Owns the names of the keys, their ranges and their defaults ([`RouterSettings`] for
-//! `cloverpier-front`, [`DaemonSettings`] for `cloverpierd`). Relies on `toml` for the
-//! syntax. A key that is missing, of another kind or unknown is a fault that names it.
+//! Owns the names, ranges and defaults of the keys: [`RouterSettings`] for `cloverpier-front`, and
+//! [`DaemonSettings`] for `cloverpierd`. Relies on `toml` for the syntax. Each required key that is missing,
+//! each value of another type or out of range, and each unknown key is a [`SettingError`] with that key.
 //!
 //! ```
 //! use cloverpier_settings::prelude::*;
 //!
-//! let faults = DaemonSettings::parse("vm = 3\nfoo = 1\n").unwrap_err();
-//! assert!(faults.faults.iter().any(|f| f.key == "foo"));
-//! assert!(faults.faults.iter().any(|f| f.key == "vm"));
+//! let errors = DaemonSettings::parse("vm = 3\nfoo = 1\n").unwrap_err();
+//! assert!(errors.errors.iter().any(|e| e.key == "foo"));
+//! assert!(errors.errors.iter().any(|e| e.key == "vm"));
 //! ```
 
 mod crashes;
@@ -18,14 +18,14 @@
 mod reader;
 mod router;
 
-/// What users of the crate need daily.
+/// The public items of this crate.
 pub mod prelude {
     pub use crate::crashes::CrashSettings;
     pub use crate::daemon::DaemonSettings;
     pub use crate::file::read_settings;
-    pub use crate::reader::{SettingFault, SettingFaults};
+    pub use crate::reader::{SettingError, SettingErrors};
     pub use crate::router::{
-        ExposureSettings, RetrySettings, RouterListen, RouterSettings, SilenceSettings,
+        ExposureSettings, LivenessSettings, RetrySettings, RouterListen, RouterSettings,
         SingletonSettings,
     };
 }
--- a/crates/shared/cloverpier_settings/src/reader.rs
+++ b/crates/shared/cloverpier_settings/src/reader.rs
@@ -1,7 +1,7 @@
-//! Reads one table of TOML and collects what is wrong with it.
+//! Reads the values of a TOML table by key, and collects the errors of all keys.
 //!
-//! Each key is taken out once, with its expected form and its default; what is left at the end is
-//! unknown. Owns the texts of faults.
+//! Each read removes a key from the table and checks the type and range of its value; the keys that remain
+//! at the end are unknown. Owns the texts of errors.
 
 use cloverpier_crashes::ContentKey;
 use snafu::Snafu;
@@ -10,90 +10,92 @@
 use std::net::SocketAddr;
 use toml::{Table, Value};
 
-/// One key that can't stand.
+/// A key that is missing, invalid or unknown.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SettingFault {
-    /// The key.
+pub struct SettingError {
+    /// The key; `(file)` if the text is no valid TOML.
     pub key: String,
-    /// What was expected.
+    /// A description of the values that the key accepts.
     pub expected: String,
 }
 
-impl fmt::Display for SettingFault {
+impl fmt::Display for SettingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: expected {}", self.key, self.expected)
     }
 }
 
-/// All that is wrong with the settings.
+/// All errors of a settings file; `Display` writes one line for each.
 #[derive(Debug, Snafu, PartialEq, Eq)]
-#[snafu(display("{}", lines(faults)))]
-pub struct SettingFaults {
-    /// The faults, in the order of the settings.
-    pub faults: Vec<SettingFault>,
+#[snafu(display("{}", lines(errors)))]
+pub struct SettingErrors {
+    /// The errors, in the order in which the keys are read; unknown keys are last.
+    pub errors: Vec<SettingError>,
 }
 
-fn lines(faults: &[SettingFault]) -> String {
-    let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
+fn lines(errors: &[SettingError]) -> String {
+    let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
 
-/// A table that is being read; each key is taken out once.
+/// A TOML table from which each key is read once. A read with an invalid value returns a default and
+/// records an error, which [`TableReader::finish`] returns.
 #[derive(Debug)]
-pub(crate) struct Reader {
+pub(crate) struct TableReader {
     table: Table,
-    faults: Vec<SettingFault>,
+    errors: Vec<SettingError>,
 }
 
-impl Reader {
-    /// Reads the text of a settings file.
-    pub(crate) fn parse(text: &str) -> Result<Self, SettingFaults> {
-        let table = text.parse().map_err(|e: toml::de::Error| SettingFaults {
-            faults: vec![SettingFault {
+impl TableReader {
+    /// Parses the text of a settings file.
+    pub(crate) fn parse(text: &str) -> Result<Self, SettingErrors> {
+        let table = text.parse().map_err(|e: toml::de::Error| SettingErrors {
+            errors: vec![SettingError {
                 key: "(file)".to_owned(),
                 expected: format!("TOML: {}", e.message()),
             }],
         })?;
         Ok(Self {
             table,
-            faults: Vec::new(),
+            errors: Vec::new(),
         })
     }
 
-    pub(crate) fn fault(&mut self, key: &str, expected: &str) {
-        self.faults.push(SettingFault {
+    pub(crate) fn record_error(&mut self, key: &str, expected: &str) {
+        self.errors.push(SettingError {
             key: key.to_owned(),
             expected: expected.to_owned(),
         });
     }
 
-    /// Takes a key, `None` where it is missing or of another kind.
+    /// Removes a key and converts its value with `parse`; `None` if the key is missing or its value invalid.
+    /// Records an error for an invalid value, and for a missing key if `required`.
     fn take<T>(
         &mut self,
         key: &str,
         expected: &str,
-        needed: bool,
-        read: impl Fn(&Value) -> Option<T>,
+        required: bool,
+        parse: impl Fn(&Value) -> Option<T>,
     ) -> Option<T> {
         match self.table.remove(key) {
-            None if needed => {
-                self.fault(key, &format!("{expected}; it is missing"));
+            None if required => {
+                self.record_error(key, &format!("{expected}; it is missing"));
                 None
             }
             None => None,
             Some(value) => {
-                let found = read(&value);
-                if found.is_none() {
-                    self.fault(key, expected);
+                let parsed = parse(&value);
+                if parsed.is_none() {
+                    self.record_error(key, expected);
                 }
-                found
+                parsed
             }
         }
     }
 
     pub(crate) fn text(&mut self, key: &str, expected: &str) -> String {
         let text = |v: &Value| v.as_str().filter(|s| !s.is_empty()).map(str::to_owned);
-        // The fault is noted; settings with faults are never used.
+        // After an error, the empty text is never used: `finish` returns the error.
         self.take(key, expected, true, text).unwrap_or_default()
     }
 
@@ -108,31 +110,32 @@
         found.unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0)))
     }
 
-    pub(crate) fn address_or(&mut self, key: &str) -> Option<SocketAddr> {
+    pub(crate) fn optional_address(&mut self, key: &str) -> Option<SocketAddr> {
         self.take(key, ADDRESS, false, as_address)
     }
 
     pub(crate) fn addresses(&mut self, key: &str) -> Vec<SocketAddr> {
         let list = |v: &Value| v.as_array()?.iter().map(as_address).collect();
         let expected = "a list of IP addresses with ports";
-        // No list is an empty one; a fault is noted by `take`.
+        // `None` means a missing key, or an invalid value, for which `take` recorded an error.
         self.take(key, expected, false, list).unwrap_or_default()
     }
 
-    /// Contents as log lines name them.
-    pub(crate) fn texts(&mut self, key: &str) -> Vec<String> {
+    /// Reads an optional list of strings; a missing key is an empty list.
+    pub(crate) fn text_list(&mut self, key: &str) -> Vec<String> {
         let text = |v: &Value| v.as_str().map(str::to_owned);
         let list = |v: &Value| v.as_array()?.iter().map(text).collect();
-        // No list is an empty one; a fault is noted by `take`.
+        // `None` means a missing key, or an invalid value, for which `take` recorded an error.
         self.take(key, "a list of texts", false, list)
             .unwrap_or_default()
     }
 
-    pub(crate) fn contents(&mut self, key: &str) -> HashSet<ContentKey> {
+    /// Reads an optional list of request contents, each as the hexadecimal key that log lines contain.
+    pub(crate) fn content_keys(&mut self, key: &str) -> HashSet<ContentKey> {
         let content = |v: &Value| ContentKey::parse(v.as_str()?);
         let list = |v: &Value| v.as_array()?.iter().map(content).collect();
         let expected = "a list of contents, 32 hexadecimal digits each";
-        // No list is an empty one; a fault is noted by `take`.
+        // `None` means a missing key, or an invalid value, for which `take` recorded an error.
         self.take(key, expected, false, list).unwrap_or_default()
     }
 
@@ -147,11 +150,11 @@
     }
 
     pub(crate) fn decimal_or(&mut self, key: &str, low: f64, high: f64, default: f64) -> f64 {
-        // Absent; a value out of range was noted as a fault of the settings.
-        self.decimal(key, low, high).unwrap_or(default)
+        // `None` means a missing key, or an invalid value, for which `take` recorded an error.
+        self.optional_decimal(key, low, high).unwrap_or(default)
     }
 
-    pub(crate) fn decimal(&mut self, key: &str, low: f64, high: f64) -> Option<f64> {
+    pub(crate) fn optional_decimal(&mut self, key: &str, low: f64, high: f64) -> Option<f64> {
         let expected = format!("a number from {low} to {high}");
         let number = |v: &Value| {
             let n = v.as_float().or_else(|| v.as_integer().map(|i| i as f64))?;
@@ -165,17 +168,17 @@
         found.unwrap_or(default)
     }
 
-    /// Ends the reading; keys that nobody took are unknown.
-    pub(crate) fn finish(mut self) -> Result<(), SettingFaults> {
+    /// Returns the recorded errors, with an error for each key that was not read.
+    pub(crate) fn finish(mut self) -> Result<(), SettingErrors> {
         let unknown: Vec<String> = self.table.keys().cloned().collect();
         for key in unknown {
-            self.fault(&key, "a known key");
+            self.record_error(&key, "a known key");
         }
-        if self.faults.is_empty() {
+        if self.errors.is_empty() {
             return Ok(());
         }
-        Err(SettingFaults {
-            faults: self.faults,
+        Err(SettingErrors {
+            errors: self.errors,
         })
     }
 }
@@ -186,12 +189,12 @@
     value.as_str()?.parse().ok()
 }
 
-/// Reads the log level, which both programs have.
-pub(crate) fn level(r: &mut Reader) -> String {
+/// Reads `log_level`, a key of both programs.
+pub(crate) fn read_log_level(r: &mut TableReader) -> String {
     let expected = "\"error\", \"warn\", \"info\" or \"debug\"";
     let text = r.text_or("log_level", expected, "info");
     if !["error", "warn", "info", "debug"].contains(&text.as_str()) {
-        r.fault("log_level", expected);
+        r.record_error("log_level", expected);
     }
     text
 }
--- a/crates/shared/cloverpier_settings/src/router.rs
+++ b/crates/shared/cloverpier_settings/src/router.rs
@@ -1,142 +1,147 @@
-//! The settings of `cloverpier-front`.
+//! The settings of `cloverpier-front`, the router.
 //!
-//! Each field has the name of its key where the key is a single word; docs/OPERATIONS.md
-//! lists all keys. On the platform the file is filled from `platform/settings.toml.template`.
+//! Owns the names, ranges and defaults of the keys; docs/OPERATIONS.md lists the keys. On the platform, the
+//! file is generated from `platform/settings.toml.template`.
 
 use crate::crashes::CrashSettings;
-use crate::reader::{Reader, SettingFaults, level};
+use crate::reader::{SettingErrors, TableReader, read_log_level};
 use cloverpier_core::{DataCentre, VmName};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A VM's link where the settings do not say: the narrowest of the users' VMs, so that
-/// nothing is handed out faster than such a link carries it.
+/// The default bandwidth of a VM's link, in megabits per second: that of the slowest VMs in use, so that
+/// copies are never sent to peers faster than a link can carry them.
 const DEFAULT_LINK_MBPS: f64 = 10.0;
-/// The smallest VM that the platform's pages name.
+/// The default memory of a VM, in mebibytes: that of the smallest VM of the platform.
 const DEFAULT_MEMORY_MB: u64 = 110;
 
-/// Where a router listens.
+/// The addresses on which a router accepts connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouterListen {
-    /// For callers' requests.
+    /// The address for callers' requests.
     pub callers: SocketAddr,
-    /// For the platform's question whether the router is ready.
+    /// The address for the platform's readiness checks.
     pub ready: SocketAddr,
-    /// For callers' question which addresses to use.
+    /// The address of the directory, from which callers get the addresses to send requests to.
     pub directory: SocketAddr,
-    /// For other routers, over TCP and UDP.
+    /// The address for other routers, over TCP and UDP.
     pub peers: SocketAddr,
-    /// For readers of metrics.
+    /// The address that serves metrics; `None` does not serve them.
     pub metrics: Option<SocketAddr>,
 }
 
-/// Bounds on repeats, kept by all routers together, for each service.
+/// The retry budget of each service, which all routers together do not exceed: within any `window`, at most
+/// `ratio` times the number of requests, plus `slack`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetrySettings {
-    /// Repeats for each request.
+    /// The permitted number of retries per request.
     pub ratio: f64,
-    /// Repeats besides.
+    /// The permitted number of retries in addition to `ratio`.
     pub slack: f64,
-    /// The sliding window.
+    /// The length of the sliding window in which requests and retries are counted.
     pub window: Duration,
 }
 
-/// The bound on the requests that a version which is not known to be good gets, kept by all routers
-/// together.
+/// The limit on the number of requests to a software version that is not yet known to be good, as during a
+/// roll-out. All routers together do not exceed the limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExposureSettings {
-    /// The part of all requests that reach its service.
+    /// The permitted fraction of the service's requests, from 0 to 1.
     pub share: f64,
-    /// Requests besides.
+    /// The permitted number of requests in addition to `share`.
     pub slack: f64,
 }
 
-/// Work that one router at a time does for all, under a lease in the store.
+/// Tasks that one router at a time performs for the whole fleet, while it holds a lease in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SingletonSettings {
-    /// Where the platform takes usage reports and orders of engines.
+    /// The address of the platform's API for usage reports and orders of engines.
     pub api: SocketAddr,
-    /// Whether usage is reported.
+    /// Whether the lease holder reports the usage of client accounts (`metering`).
     pub meters: bool,
-    /// Whether engines are ordered.
+    /// Whether the lease holder orders engines (`autoscale`).
     pub scales: bool,
-    /// How long the lease lasts.
+    /// How long the lease is valid without a renewal.
     pub lease: Duration,
-    /// The length of a window of usage.
+    /// The length of a window for which usage is summed up and reported.
     pub usage_window: Duration,
-    /// How long after its end a window's report is in time.
+    /// How long after the end of a window the platform accepts its report.
     pub usage_late: Duration,
 }
 
-/// How silence of a model engine is judged.
+/// Timeouts for streams from model engines that stop sending events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SilenceSettings {
-    /// Silence between events after which the engine is asked.
-    pub ask_after: Duration,
-    /// Silence before the first event after which the engine is asked.
-    pub ask_before_first: Duration,
-    /// Silence after the question that means that the engine is dead.
-    pub answer_within: Duration,
-    /// The same before the first event, where a lost packet may be waited for.
-    pub answer_before_first: Duration,
-    /// Silence of one stream from a living engine that ends it.
-    pub stuck_after: Duration,
-    /// The same before the first event.
-    pub stuck_before_first: Duration,
+pub struct LivenessSettings {
+    /// Silence of an engine between two events after which the router probes the engine.
+    pub probe_after: Duration,
+    /// Silence of an engine before the first event after which the router probes the engine; longer, as the
+    /// engine processes the prompt.
+    pub first_event_probe_after: Duration,
+    /// Silence of an engine after the start of a probe, after which the router declares the engine dead. The
+    /// upstreams of plain requests have the same timeout.
+    pub probe_timeout: Duration,
+    /// The same before the first event; longer, to allow for the retransmission of a lost packet.
+    pub first_event_probe_timeout: Duration,
+    /// Time without an event of one stream after which the router moves the stream to another engine, even if
+    /// the engine is alive.
+    pub stall_after: Duration,
+    /// The same before the first event of the stream.
+    pub first_event_stall_after: Duration,
 }
 
 /// The settings of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterSettings {
-    /// The VM's name.
+    /// The name of the VM that the router runs on.
     pub vm: VmName,
-    /// Its data centre.
+    /// The data centre of the VM.
     pub data_centre: DataCentre,
-    /// Where it listens.
+    /// The addresses on which the router accepts connections.
     pub listen: RouterListen,
-    /// The platform's store.
+    /// The address of the platform's store, which contains the configuration and the upstreams.
     pub store: SocketAddr,
-    /// Some routers to begin with; they may be gone.
+    /// Addresses of routers that this router contacts at its start; some may have shut down.
     pub seeds: Vec<SocketAddr>,
-    /// From a termination signal to the end of the process.
+    /// The maximum time from a termination signal until the process exits.
     pub grace: Duration,
-    /// How long callers keep the directory's answer.
+    /// How long callers may cache a response of the directory.
     pub directory_keep: Duration,
-    /// How often routers send each other heartbeats.
+    /// The interval between heartbeats to other routers, in a small fleet.
     pub heartbeat: Duration,
-    /// Megabits a second that the VM's link carries.
+    /// The bandwidth of the VM's link, in megabits per second.
     pub link_mbps: f64,
-    /// The VM's memory, in bytes.
+    /// The memory of the VM, in bytes.
     pub memory_bytes: u64,
-    /// How long after the end of an upstream its address belongs to no other service; 0 where
-    /// nothing is known of that.
+    /// How long after the end of an upstream its address is not assigned to another service; 0 if the
+    /// platform guarantees no such time.
     pub address_reuse: Duration,
-    /// Bounds on repeats.
+    /// The retry budget of each service.
     pub retry: RetrySettings,
-    /// The bound on new versions; `None` where the operator orders no roll-outs.
+    /// The limit on requests to a new version; `None` if the operator orders no roll-outs.
     pub exposure: Option<ExposureSettings>,
-    /// Work that one router at a time does; `None` where there is none.
+    /// Tasks that one router at a time performs; `None` if the settings list no known task.
     pub singleton: Option<SingletonSettings>,
-    /// Such work that the settings name and this release does not know; nobody does it.
+    /// The tasks in `singleton_work` that this release does not implement, and ignores.
     pub unknown_work: Vec<String>,
-    /// How silence is judged.
-    pub silence: SilenceSettings,
-    /// Whether engines copy runs' memory to another engine as it grows.
+    /// Timeouts for streams from model engines that stop sending events.
+    pub liveness: LivenessSettings,
+    /// Whether engines replicate the KV caches of requests in progress to another engine, as far as the
+    /// service supports that.
     pub backups: bool,
-    /// Which requests are sent to no further upstream, by the upstreams that they ended.
+    /// When requests are blocked because their content crashes upstreams.
     pub crashes: CrashSettings,
-    /// `error`, `warn`, `info` or `debug`.
+    /// The minimum level of log lines: `error`, `warn`, `info` or `debug`.
     pub log_level: String,
 }
 
 impl RouterSettings {
-    /// Reads settings from TOML.
+    /// Parses and validates the text of a settings file in TOML.
     ///
     /// # Errors
     ///
-    /// [`SettingFaults`] lists every key that can't stand, unknown ones too.
-    pub fn parse(text: &str) -> Result<Self, SettingFaults> {
-        let mut r = Reader::parse(text)?;
+    /// Returns [`SettingErrors`] with every missing, invalid or unknown key.
+    pub fn parse(text: &str) -> Result<Self, SettingErrors> {
+        let mut r = TableReader::parse(text)?;
         let mut unknown_work = Vec::new();
         let settings = Self {
             vm: VmName::new(r.text("vm", "the VM's name")),
@@ -154,27 +159,27 @@
             exposure: read_exposure(&mut r),
             singleton: read_singleton(&mut r, &mut unknown_work),
             unknown_work,
-            silence: read_silence(&mut r),
+            liveness: read_liveness(&mut r),
             backups: r.flag_or("backups", true),
             crashes: CrashSettings::read(&mut r),
-            log_level: level(&mut r),
+            log_level: read_log_level(&mut r),
         };
         r.finish()?;
         Ok(settings)
     }
 }
 
-fn read_listen(r: &mut Reader) -> RouterListen {
+fn read_listen(r: &mut TableReader) -> RouterListen {
     RouterListen {
         callers: r.address("callers_listen"),
         ready: r.address("ready_listen"),
         directory: r.address("directory_listen"),
         peers: r.address("peers_listen"),
-        metrics: r.address_or("metrics_listen"),
+        metrics: r.optional_address("metrics_listen"),
     }
 }
 
-fn read_retry(r: &mut Reader) -> RetrySettings {
+fn read_retry(r: &mut TableReader) -> RetrySettings {
     RetrySettings {
         ratio: r.decimal_or("retry_ratio", 0.0, 100.0, 0.2),
         slack: r.decimal_or("retry_slack", 0.0, 1e6, 20.0),
@@ -182,32 +187,35 @@
     }
 }
 
-fn read_exposure(r: &mut Reader) -> Option<ExposureSettings> {
+fn read_exposure(r: &mut TableReader) -> Option<ExposureSettings> {
     let slack = r.decimal_or("exposure_slack", 0.0, 1e6, 0.0);
-    let share = r.decimal("exposure_share", 0.0, 1.0)?;
+    let share = r.optional_decimal("exposure_share", 0.0, 1.0)?;
     Some(ExposureSettings { share, slack })
 }
 
-/// The names of the work in the settings.
+/// The values of `singleton_work` that this release implements.
 const METERING: &str = "metering";
 const AUTOSCALE: &str = "autoscale";
 
-/// Reads the work that one router at a time does; `unknown` gets the names of such work that are not
-/// known.
-fn read_singleton(r: &mut Reader, unknown: &mut Vec<String>) -> Option<SingletonSettings> {
-    let api = r.address_or("singleton_api");
-    let named = r.texts("singleton_work");
+/// Reads the tasks that one router at a time performs; `unknown_work` gets the tasks that this release does
+/// not implement.
+fn read_singleton(
+    r: &mut TableReader,
+    unknown_work: &mut Vec<String>,
+) -> Option<SingletonSettings> {
+    let api = r.optional_address("singleton_api");
+    let configured = r.text_list("singleton_work");
     let lease = millis(r, "singleton_lease_ms", 3_000);
     let usage_window = seconds(r.decimal_or("usage_window_s", 0.1, 86_400.0, 60.0));
     let usage_late = seconds(r.decimal_or("usage_late_s", 0.1, 86_400.0, 30.0));
     let is_known = |name: &String| name == METERING || name == AUTOSCALE;
-    let (known, others): (Vec<_>, Vec<_>) = named.into_iter().partition(is_known);
-    *unknown = others;
+    let (known, unknown): (Vec<_>, Vec<_>) = configured.into_iter().partition(is_known);
+    *unknown_work = unknown;
     if !known.is_empty() && api.is_none() {
-        r.fault("singleton_api", "an address, which `singleton_work` needs");
+        r.record_error("singleton_api", "an address, which `singleton_work` needs");
     }
-    let named = api.filter(|_| !known.is_empty());
-    named.map(|api| SingletonSettings {
+    let used_api = api.filter(|_| !known.is_empty());
+    used_api.map(|api| SingletonSettings {
         api,
         meters: known.iter().any(|name| name == METERING),
         scales: known.iter().any(|name| name == AUTOSCALE),
@@ -217,18 +225,18 @@
     })
 }
 
-fn read_silence(r: &mut Reader) -> SilenceSettings {
-    SilenceSettings {
-        ask_after: millis(r, "ask_after_ms", 150),
-        ask_before_first: millis(r, "ask_before_first_ms", 700),
-        answer_within: millis(r, "answer_within_ms", 200),
-        answer_before_first: millis(r, "answer_before_first_ms", 450),
-        stuck_after: millis(r, "stuck_after_ms", 1_000),
-        stuck_before_first: millis(r, "stuck_before_first_ms", 5_000),
+fn read_liveness(r: &mut TableReader) -> LivenessSettings {
+    LivenessSettings {
+        probe_after: millis(r, "ask_after_ms", 150),
+        first_event_probe_after: millis(r, "ask_before_first_ms", 700),
+        probe_timeout: millis(r, "answer_within_ms", 200),
+        first_event_probe_timeout: millis(r, "answer_before_first_ms", 450),
+        stall_after: millis(r, "stuck_after_ms", 1_000),
+        first_event_stall_after: millis(r, "stuck_before_first_ms", 5_000),
     }
 }
 
-fn millis(r: &mut Reader, key: &str, default: u64) -> Duration {
+fn millis(r: &mut TableReader, key: &str, default: u64) -> Duration {
     Duration::from_millis(r.number_or(key, 1, 3_600_000, default))
 }
 
--- a/crates/shared/cloverpier_settings/tests/keys.rs
+++ b/crates/shared/cloverpier_settings/tests/keys.rs
@@ -1,8 +1,9 @@
-//! The keys of both settings files, so that no rename reaches them.
+//! The keys, ranges and defaults of both settings files. Guards against a rename of a field that changes the
+//! name of a key.
 
 use cloverpier_settings::prelude::*;
 
-const ROUTER_ON_PLATFORM: &[(&str, &str)] = &[
+const ROUTER_KEYS: &[(&str, &str)] = &[
     ("vm", "\"vm-1\""),
     ("data_centre", "\"hall-a\""),
     ("callers_listen", "\"127.0.0.1:7101\""),
@@ -40,7 +41,7 @@
     ("log_level", "\"warn\""),
 ];
 
-const DAEMON: &[(&str, &str)] = &[
+const DAEMON_KEYS: &[(&str, &str)] = &[
     ("vm", "\"vm-1\""),
     ("data_centre", "\"hall-a\""),
     ("callers_listen", "\"127.0.0.1:7101\""),
@@ -66,31 +67,31 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// The faults of a file in which every key has a value that no key takes.
-fn faults_of_all<T: std::fmt::Debug>(
+/// The errors of a file in which every key has a value that no key accepts.
+fn errors_for_invalid_values<T: std::fmt::Debug>(
     keys: &[(&str, &str)],
-    parse: impl Fn(&str) -> Result<T, SettingFaults>,
+    parse: impl Fn(&str) -> Result<T, SettingErrors>,
 ) -> String {
-    let wrong: Vec<(&str, &str)> = keys.iter().map(|(key, _)| (*key, "{}")).collect();
-    parse(&text_of(&wrong)).unwrap_err().to_string()
+    let invalid: Vec<(&str, &str)> = keys.iter().map(|(key, _)| (*key, "{}")).collect();
+    parse(&text_of(&invalid)).unwrap_err().to_string()
 }
 
 #[test]
-fn every_key_is_known_and_checked() {
-    assert!(DaemonSettings::parse(&text_of(DAEMON)).is_ok());
-    assert!(RouterSettings::parse(&text_of(ROUTER_ON_PLATFORM)).is_ok());
-    let daemon = faults_of_all(DAEMON, DaemonSettings::parse);
-    let router = faults_of_all(ROUTER_ON_PLATFORM, RouterSettings::parse);
-    assert_eq!(daemon.lines().count(), DAEMON.len());
-    assert_eq!(router.lines().count(), ROUTER_ON_PLATFORM.len());
+fn every_key_is_recognized_and_validated() {
+    assert!(DaemonSettings::parse(&text_of(DAEMON_KEYS)).is_ok());
+    assert!(RouterSettings::parse(&text_of(ROUTER_KEYS)).is_ok());
+    let daemon = errors_for_invalid_values(DAEMON_KEYS, DaemonSettings::parse);
+    let router = errors_for_invalid_values(ROUTER_KEYS, RouterSettings::parse);
+    assert_eq!(daemon.lines().count(), DAEMON_KEYS.len());
+    assert_eq!(router.lines().count(), ROUTER_KEYS.len());
     insta::assert_snapshot!(format!(
         "== cloverpierd\n{daemon}\n== cloverpier-front\n{router}"
     ));
 }
 
 #[test]
-fn what_may_be_left_out_has_its_default() {
-    let needed = [
+fn optional_keys_have_defaults() {
+    let required = [
         "vm",
         "data_centre",
         "callers_listen",
@@ -99,9 +100,7 @@
         "peers_listen",
         "store",
     ];
-    let keys = ROUTER_ON_PLATFORM
-        .iter()
-        .filter(|(key, _)| needed.contains(key));
+    let keys = ROUTER_KEYS.iter().filter(|(key, _)| required.contains(key));
     let settings = RouterSettings::parse(&text_of(&keys.copied().collect::<Vec<_>>())).unwrap();
     insta::assert_debug_snapshot!((
         settings.grace,
@@ -111,16 +110,16 @@
         settings.retry.ratio,
         settings.retry.slack,
         settings.retry.window,
-        settings.silence.ask_after,
-        settings.silence.ask_before_first,
-        settings.silence.answer_within,
-        settings.silence.answer_before_first,
+        settings.liveness.probe_after,
+        settings.liveness.first_event_probe_after,
+        settings.liveness.probe_timeout,
+        settings.liveness.first_event_probe_timeout,
         settings.log_level,
     ));
     assert_eq!(
         (settings.crashes.limit.0, settings.crashes.cleared.len()),
         (3, 0)
     );
-    assert_eq!(settings.silence.stuck_after.as_millis(), 1_000);
-    assert_eq!(settings.silence.stuck_before_first.as_millis(), 5_000);
+    assert_eq!(settings.liveness.stall_after.as_millis(), 1_000);
+    assert_eq!(settings.liveness.first_event_stall_after.as_millis(), 5_000);
 }
--- a/crates/shared/cloverpier_settings/tests/settings.rs
+++ b/crates/shared/cloverpier_settings/tests/settings.rs
@@ -1,8 +1,8 @@
-//! Settings that can't stand are told all at once.
+//! Parsing of both settings files: defaults, errors, and secrets in `Debug` output.
 
 use cloverpier_settings::prelude::*;
 
-const GOOD: &str = r#"
+const VALID_DAEMON: &str = r#"
 vm = "vm-1"
 data_centre = "hall-a"
 callers_listen = "127.0.0.1:7101"
@@ -14,15 +14,15 @@
 "#;
 
 #[test]
-fn good_settings_are_read_with_their_defaults() {
-    let settings = DaemonSettings::parse(GOOD).unwrap();
+fn valid_settings_are_parsed_with_their_defaults() {
+    let settings = DaemonSettings::parse(VALID_DAEMON).unwrap();
     assert_eq!(settings.callers_at, settings.callers_listen);
     assert_eq!(settings.addresses_ttl.as_secs(), 20);
     assert_eq!(settings.log_level, "info");
 }
 
 #[test]
-fn all_faults_are_told_at_once() {
+fn all_errors_are_reported_at_once() {
     let text = r#"
 vm = ""
 data_centre = 7
@@ -34,11 +34,11 @@
 copy_interval_ms = -1
 colour = "blue"
 "#;
-    let faults = DaemonSettings::parse(text).unwrap_err();
-    insta::assert_snapshot!(faults.to_string());
+    let errors = DaemonSettings::parse(text).unwrap_err();
+    insta::assert_snapshot!(errors.to_string());
 }
 
-const ROUTER: &str = r#"
+const VALID_ROUTER: &str = r#"
 vm = "front-hall-a-1"
 data_centre = "hall-a"
 callers_listen = "127.0.0.1:7101"
@@ -49,17 +49,17 @@
 "#;
 
 #[test]
-fn work_of_one_router_needs_the_api_where_it_is_done() {
-    let text = format!("{ROUTER}singleton_work = [\"metering\"]\n");
-    let faults = RouterSettings::parse(&text).unwrap_err();
-    let keys: Vec<&str> = faults.faults.iter().map(|f| f.key.as_str()).collect();
+fn singleton_work_requires_the_api_address() {
+    let text = format!("{VALID_ROUTER}singleton_work = [\"metering\"]\n");
+    let errors = RouterSettings::parse(&text).unwrap_err();
+    let keys: Vec<&str> = errors.errors.iter().map(|f| f.key.as_str()).collect();
     assert_eq!(keys, ["singleton_api"]);
 }
 
 #[test]
-fn work_that_is_not_known_is_named_and_not_done() {
+fn unknown_singleton_work_is_listed_and_ignored() {
     let text = format!(
-        "{ROUTER}singleton_api = \"127.0.0.1:7001\"\nsingleton_work = [\"metering\", \"tidying\"]\n"
+        "{VALID_ROUTER}singleton_api = \"127.0.0.1:7001\"\nsingleton_work = [\"metering\", \"tidying\"]\n"
     );
     let settings = RouterSettings::parse(&text).unwrap();
     let singleton = settings.singleton.unwrap();
@@ -68,14 +68,14 @@
 }
 
 #[test]
-fn broken_toml_is_one_fault_of_the_file() {
-    let faults = DaemonSettings::parse("vm = ").unwrap_err();
-    assert_eq!(faults.faults.len(), 1);
-    assert_eq!(faults.faults[0].key, "(file)");
+fn invalid_toml_is_one_error_of_the_file() {
+    let errors = DaemonSettings::parse("vm = ").unwrap_err();
+    assert_eq!(errors.errors.len(), 1);
+    assert_eq!(errors.errors[0].key, "(file)");
 }
 
 #[test]
-fn secrets_do_not_show_in_debug_output() {
-    let shown = format!("{:?}", DaemonSettings::parse(GOOD).unwrap());
+fn secrets_are_not_in_debug_output() {
+    let shown = format!("{:?}", DaemonSettings::parse(VALID_DAEMON).unwrap());
     assert!(!shown.contains("sixteen"), "{shown}");
 }
