--- a/crates/router/cloverpier_router_policy/src/limit.rs
+++ b/crates/router/cloverpier_router_policy/src/limit.rs
@@ -66,7 +66,7 @@
 /// The effect of a response, or of a peer's report, on the limit of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitChange {
-    /// The limit is the same as before, or the statement is out of date.
+    /// The advertised rate is the same as before, or the response is ignored as out of date.
     Unchanged,
     /// The upstream, which was not limited before, advertises this rate.
     Started(Rate),
--- a/crates/router/cloverpier_router_policy/src/permit.rs
+++ b/crates/router/cloverpier_router_policy/src/permit.rs
@@ -40,11 +40,12 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// After this time a caller should retry whose request finds no limiter. By then the router has usually
+/// The time after which a caller should retry if its request finds no limiter. By then the router has usually
 /// received heartbeats or gossip from live routers.
 const NO_LIMITER_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The limits and permits that one router has recorded and granted.
+/// The limits that one router has recorded, the permits that it grants, and the replies to its own permit
+/// requests.
 #[derive(Clone, Debug)]
 pub struct Permits {
     own: SocketAddr,
@@ -211,7 +212,8 @@
         }
         let refusal = match &reply.allocation {
             Some(allocation) => allocation.refusal,
-            // The routers' records of the fleet differ. A retry after the next period finds the limiter.
+            // The routers' records of the fleet differ. After the next heartbeats, a retry usually finds the
+            // limiter.
             None => Some(PermitRefusal {
                 next_permit: NO_LIMITER_RETRY_DELAY,
                 retry_after: NO_LIMITER_RETRY_DELAY,
--- a/crates/router/cloverpier_router_policy/src/permit/client.rs
+++ b/crates/router/cloverpier_router_policy/src/permit/client.rs
@@ -17,7 +17,7 @@
 /// The number of consecutive timeouts after which a router counts as unresponsive: it has stopped, or runs
 /// a release without permits.
 const MAX_CONSECUTIVE_TIMEOUTS: u32 = 3;
-/// How long an unresponsive router is not regarded as a limiter.
+/// How long an unresponsive router is skipped in the selection of limiters.
 const UNRESPONSIVE_PERIOD: Duration = Duration::from_secs(5);
 
 /// The last refusal for an upstream.
@@ -132,7 +132,7 @@
         self.unresponsive_since.remove(&router);
     }
 
-    /// Whether a router is not regarded as a limiter because its replies timed out.
+    /// Whether a router is skipped in the selection of limiters because its replies timed out.
     pub fn is_unresponsive(&self, router: SocketAddr, now: Instant) -> bool {
         let since = self.unresponsive_since.get(&router);
         since.is_some_and(|since| now.saturating_duration_since(*since) < UNRESPONSIVE_PERIOD)
--- a/crates/router/cloverpier_router_policy/src/permit/limiter.rs
+++ b/crates/router/cloverpier_router_policy/src/permit/limiter.rs
@@ -99,7 +99,7 @@
 /// The bucket of an upstream whose limiter this router is.
 #[derive(Clone, Debug)]
 struct OwnBucket {
-    /// The start of the hold, after which the bucket is used.
+    /// When the hold started in which this router refuses all permits for the upstream.
     hold_started_at: Instant,
     bucket: PermitBucket,
 }
@@ -130,8 +130,8 @@
 }
 
 impl Limiter {
-    /// Creates the state of the router at `own`, which grants no permits before the first call of
-    /// [`Limiter::on_routers`].
+    /// Creates the state of the router at `own`, which grants no permits before the end of the hold that the
+    /// first call of [`Limiter::on_routers`] starts.
     pub fn new(own: SocketAddr, now: Instant) -> Self {
         Self {
             map: LimiterMap::new(own, Vec::new(), 0),
--- a/crates/router/cloverpier_router_policy/src/permit/request.rs
+++ b/crates/router/cloverpier_router_policy/src/permit/request.rs
@@ -56,9 +56,9 @@
     pub number: u64,
     /// The upstream that the permits are for.
     pub upstream: UpstreamKey,
-    /// See [`PermitDemand::count`].
+    /// The number of requested permits; 0 only checks whether the limiter replies.
     pub count: u32,
-    /// See [`PermitDemand::max_wait`].
+    /// How long each of the callers' requests may wait for its permit.
     pub max_wait: Duration,
     /// The limit of the upstream as recorded by the sender, so that the limiter gets a limit that it has
     /// not received yet; `None` if the sender has no limit recorded.
@@ -80,7 +80,7 @@
     pub limit: Option<LimitReport>,
 }
 
-/// What a router does with a request that it has selected an upstream for.
+/// The decision of a router on a caller's request for which it has selected an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitDecision {
     /// Send the request now: the upstream is not limited.
--- a/crates/router/cloverpier_router_policy/src/permit/search.rs
+++ b/crates/router/cloverpier_router_policy/src/permit/search.rs
@@ -27,8 +27,8 @@
     of_objective.min(time_left.mul_f64(TIME_LEFT_FRACTION))
 }
 
-/// The number of refusals after which a request is offered to unlimited upstreams only, until it starts to
-/// wait for a permit, and again from then on.
+/// The number of refusals after which a request is offered only to upstreams that are not limited. The count
+/// restarts at 0 when the request starts to wait for a permit.
 const MAX_REFUSALS: usize = 2;
 
 /// The state of one request's search for an upstream.
@@ -38,9 +38,11 @@
     max_permit_wait: Duration,
     /// Whether the request waits for permits now.
     is_waiting: bool,
-    /// The upstreams for which the request got no permit, since its wait began if it waits.
+    /// The upstreams for which the request got no permit in the current phase: before it waits for permits, or
+    /// while it waits.
     refused: Vec<UpstreamKey>,
-    /// The shortest retry time of these refusals; `None` before the first.
+    /// The shortest time after which the caller should retry, of the refusals in the current phase; `None`
+    /// before the first refusal.
     retry_after: Option<Duration>,
 }
 
--- a/crates/shared/cloverpier_core/src/secret.rs
+++ b/crates/shared/cloverpier_core/src/secret.rs
@@ -49,7 +49,7 @@
         same_secret(&self.0, &Self::of(key).0)
     }
 
-    /// Returns the digest as 64 hexadecimal digits, if it was computed by [`KeyDigest::of`].
+    /// Returns the digest as hexadecimal text, which is not validated if the digest was deserialized.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/crates/shared/cloverpier_settings/src/router.rs
+++ b/crates/shared/cloverpier_settings/src/router.rs
@@ -57,7 +57,7 @@
 pub struct SingletonSettings {
     /// The address of the platform's API for usage reports and orders of engines.
     pub api: SocketAddr,
-    /// Whether the lease holder reports the usage of client accounts (`metering`).
+    /// Whether the lease holder reports the number of requests of each client account (`metering`).
     pub meters: bool,
     /// Whether the lease holder orders engines (`autoscale`).
     pub scales: bool,
@@ -74,18 +74,21 @@
 pub struct LivenessSettings {
     /// Silence of an engine between two events after which the router probes the engine.
     pub probe_after: Duration,
-    /// Silence of an engine before the first event after which the router probes the engine; longer, as the
-    /// engine processes the prompt.
+    /// Silence of an engine before the first event after which the router probes the engine. Longer than
+    /// `probe_after`, as the engine processes the prompt during this time.
     pub first_event_probe_after: Duration,
     /// Silence of an engine after the start of a probe, after which the router declares the engine dead. The
     /// upstreams of plain requests have the same timeout.
     pub probe_timeout: Duration,
-    /// The same before the first event; longer, to allow for the retransmission of a lost packet.
+    /// Silence of an engine after the start of a probe, before the first event of a stream, after which the
+    /// router declares the engine dead. Longer than `probe_timeout`, to allow for the retransmission of a lost
+    /// packet.
     pub first_event_probe_timeout: Duration,
     /// Time without an event of one stream after which the router moves the stream to another engine, even if
     /// the engine is alive.
     pub stall_after: Duration,
-    /// The same before the first event of the stream.
+    /// Time without the first event of a stream after which the router moves the stream to another engine, even
+    /// if the engine is alive.
     pub first_event_stall_after: Duration,
 }
 
@@ -112,8 +115,8 @@
     pub link_mbps: f64,
     /// The memory of the VM, in bytes.
     pub memory_bytes: u64,
-    /// How long after the end of an upstream its address is not assigned to another service; 0 if the
-    /// platform guarantees no such time.
+    /// The minimum time between the end of an upstream and the assignment of its address to another service; 0
+    /// if the platform guarantees no such time.
     pub address_reuse: Duration,
     /// The retry budget of each service.
     pub retry: RetrySettings,
@@ -121,7 +124,8 @@
     pub exposure: Option<ExposureSettings>,
     /// Tasks that one router at a time performs; `None` if the settings list no known task.
     pub singleton: Option<SingletonSettings>,
-    /// The tasks in `singleton_work` that this release does not implement, and ignores.
+    /// The entries of `singleton_work` that this release does not implement; the router logs them at its start
+    /// and ignores them.
     pub unknown_work: Vec<String>,
     /// Timeouts for streams from model engines that stop sending events.
     pub liveness: LivenessSettings,
--- a/crates/shared/cloverpier_timers/src/lib.rs
+++ b/crates/shared/cloverpier_timers/src/lib.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Elapsed;
 
-/// Creates the waits of a process. Clones share the clock and the notification of resumes.
+/// The waits and timeouts of a process. Clones share the clock and the notification of resumes.
 #[derive(Clone, Debug)]
 pub struct Timers {
     clock: Arc<dyn Clock>,
