--- a/crates/router/cloverpier_router_policy/tests/permit.rs
+++ b/crates/router/cloverpier_router_policy/tests/permit.rs
@@ -13,7 +13,9 @@
 use std::time::{Duration, Instant};
 
 const UPSTREAM: UpstreamKey = UpstreamKey(7);
+/// The longest time until all routers have noticed a change of the live routers.
 const HOLD: Duration = Duration::from_secs(1);
+/// The time between two calls of [`Permits::on_period`].
 const PERIOD: Duration = Duration::from_millis(200);
 const NO_WAIT: Duration = Duration::ZERO;
 
