--- a/crates/router/cloverpier_router/src/limit_reports.rs
+++ b/crates/router/cloverpier_router/src/limit_reports.rs
@@ -9,7 +9,7 @@
 use cloverpier_router_policy::dissemination::{
     is_within_repeat_window, may_have_missed_facts, sends_missed_facts,
 };
-use cloverpier_router_policy::limit::{LimitReport, in_messages};
+use cloverpier_router_policy::limit::{LimitReport, split_into_messages};
 use cloverpier_router_policy::prelude::*;
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -74,7 +74,7 @@
 
 fn send(router: &Router, reports: &[LimitReport], to: &Recipients) {
     let sender = router.settings().listen.peers;
-    for limits in in_messages(reports) {
+    for limits in split_into_messages(reports) {
         let reports = PeerMessage::Limits(LimitReports { sender, limits });
         router.peers.outbox.send(reports, to.clone());
     }
--- a/crates/router/cloverpier_router_policy/src/load_query.rs
+++ b/crates/router/cloverpier_router_policy/src/load_query.rs
@@ -117,7 +117,7 @@
     rng: &mut fastrand::Rng,
 ) -> Option<Upstream> {
     let needs_no_query = is_small_fleet(peers) || demand.prompt_location.is_some();
-    if needs_no_query || demand.engine_memory.is_none() || !demand.limits.limits_any() {
+    if needs_no_query || demand.engine_memory.is_none() || !demand.limits.any_limited() {
         return None;
     }
     let first = by_estimated_cost(table, demand, rng).into_iter().next()?;
--- a/tools/src/limit_play/world.rs
+++ b/tools/src/limit_play/world.rs
@@ -156,7 +156,7 @@
     pub fn statement(&self, upstream: usize) -> LimitStatement {
         let names = (NAMED_FROM..self.limits_end()).contains(&self.now);
         let rate = self.upstreams[upstream].rate.filter(|_| names);
-        rate.map_or(LimitStatement::Unnamed, LimitStatement::Named)
+        rate.map_or(LimitStatement::Absent, LimitStatement::Advertised)
     }
 
     pub fn place_of(&self, upstream: usize) -> LimitedUpstream<'_> {
@@ -164,7 +164,7 @@
         LimitedUpstream {
             key: state.key,
             data_centre: &state.data_centre,
-            born_ms: None,
+            start_time_ms: None,
         }
     }
 
@@ -255,11 +255,11 @@
             Some(LimitedUpstream {
                 key,
                 data_centre: &state.data_centre,
-                born_ms: None,
+                start_time_ms: None,
             })
         };
-        state.permits.give_up_old(find, now);
-        for limiter in self.routers[router].permits.silent_limiters(now) {
+        state.permits.release_obsolete(find, now);
+        for limiter in self.routers[router].permits.unresponsive_limiters(now) {
             self.ask(router, 0, limiter, None);
         }
         self.repeat(router);
