--- a/crates/router/cloverpier_router/src/engine_query.rs
+++ b/crates/router/cloverpier_router/src/engine_query.rs
@@ -1,8 +1,8 @@
 //! Queries to engines about their load and their cached prompts.
 //!
-//! A query takes a connection of the pool and returns it afterwards, so that a stream which is then sent to the
-//! engine needs no new connection. Owns no state. Relies on its caller for a timeout: dropping the future ends
-//! the query.
+//! A query uses a connection of the pool alone and returns it afterwards, so that a stream which is then sent to the
+//! engine needs no new connection. Owns no state. Relies on the calling module for a timeout: dropping the future
+//! ends the query.
 
 use crate::connection::{Connection, describe};
 use crate::http_client::{CallError, HttpAnswer, get_request};
--- a/crates/router/cloverpier_router/src/outcome.rs
+++ b/crates/router/cloverpier_router/src/outcome.rs
@@ -136,7 +136,7 @@
 
 /// The result of a request, for its log line.
 pub(crate) struct RequestSummary<'a> {
-    /// The HTTP status that the caller got.
+    /// The HTTP status that the caller got; 200 for a stream whose caller left, even before the head was sent.
     pub status: StatusCode,
     /// The kind of end, as log lines and the counter `requests` distinguish it.
     pub end: RequestEnd,
@@ -155,7 +155,8 @@
     }
 }
 
-/// The events of a stream that were passed on, for the log line at its end; all zero for a plain request.
+/// The events of a stream that were passed on, for the log line at its end; the default, without events, for a plain
+/// request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StreamProgress {
     /// Number of events that were passed on.
@@ -164,7 +165,7 @@
     pub first_event: Option<Instant>,
     /// When the last events were passed on; `None` before the first.
     last_event: Option<Instant>,
-    /// The longest time between passing on events and the next ones.
+    /// The longest time between two chunks of events that were passed on; zero with fewer than two chunks.
     longest_pause: Duration,
 }
 
--- a/crates/router/cloverpier_router/src/prompt_search.rs
+++ b/crates/router/cloverpier_router/src/prompt_search.rs
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 
 /// Waits until the engine that has read a prompt is located or the search times out. Returns at once if the engine
-/// is known already. The result is read from [`Router::prompts`].
+/// is known already. The location is recorded in [`crate::prompts`].
 pub(crate) async fn find_prompt(router: &Rc<Router>, request: &RelayRequest, prompt: PromptKey) {
     if is_located(router, prompt) {
         return;
--- a/crates/router/cloverpier_router/src/wait.rs
+++ b/crates/router/cloverpier_router/src/wait.rs
@@ -22,7 +22,7 @@
     pub router: &'a Rc<Router>,
     pub upstream: &'a Upstream,
     pub health: &'a Rc<UpstreamHealth>,
-    /// The request's deadline.
+    /// The request's deadline, at which the wait ends.
     pub deadline: Instant,
     /// Cancels the attempt when the request's content is blocked; `None` once the upstream has begun to respond,
     /// which shows that it survives the request.
