--- a/crates/router/cloverpier_router/src/crashes/abandoned.rs
+++ b/crates/router/cloverpier_router/src/crashes/abandoned.rs
@@ -1,7 +1,8 @@
-//! Attempts that end with nobody to wait for them, as when their caller leaves.
+//! Detection of abandoned attempts: attempts whose task is dropped before their outcome is known, as when the caller
+//! disconnects.
 //!
-//! An upstream may run such an attempt all the same, and end by it. Owns nothing but the attempt's
-//! own data; [`super::record`] records what was lost.
+//! The upstream may still execute an abandoned attempt and crash because of it. Owns only the data of the attempts
+//! that are being watched; [`super::record`] records the abandoned ones as lost.
 
 use super::record;
 use crate::relay_request::RelayRequest;
@@ -11,9 +12,10 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// An attempt under way: one that is dropped before its outcome is known was abandoned.
+/// Watches a sent attempt. If the guard is dropped before [`Self::disarm`], the attempt is recorded as lost with
+/// [`LossCause::Abandoned`].
 pub(crate) struct AbandonGuard {
-    /// `None` once the outcome is known.
+    /// `None` once the guard is disarmed.
     attempt: Option<SentAttempt>,
 }
 
@@ -21,24 +23,25 @@
     router: Rc<Router>,
     request: Rc<RelayRequest>,
     upstream: Upstream,
-    begun: Instant,
+    started_at: Instant,
 }
 
 impl AbandonGuard {
-    /// Begins to watch an attempt that is about to be sent.
+    /// Starts to watch an attempt that is about to be sent; the time of this call counts as its start.
     pub fn begin(router: &Rc<Router>, request: &Rc<RelayRequest>, upstream: &Upstream) -> Self {
         Self {
             attempt: Some(SentAttempt {
                 router: Rc::clone(router),
                 request: Rc::clone(request),
                 upstream: upstream.clone(),
-                begun: router.now(),
+                started_at: router.now(),
             }),
         }
     }
 
-    /// Ends the watch: the upstream has begun to answer, or whoever learned of the failure records it.
-    pub fn settle(mut self) {
+    /// Stops watching the attempt: it succeeded, the first event of its stream arrived, or its failure is recorded
+    /// elsewhere.
+    pub fn disarm(mut self) {
         self.attempt = None;
     }
 }
@@ -50,9 +53,9 @@
                 router,
                 request,
                 upstream,
-                begun,
+                started_at,
             } = attempt;
-            let ran_for = router.now().saturating_duration_since(begun);
+            let ran_for = router.now().saturating_duration_since(started_at);
             record::on_lost(&router, &request, &upstream, LossCause::Abandoned, ran_for);
         }
     }
--- a/crates/router/cloverpier_router/src/crashes/mod.rs
+++ b/crates/router/cloverpier_router/src/crashes/mod.rs
@@ -1,26 +1,26 @@
-//! What requests did to upstreams: learns it, judges it, and stops what ends them.
+//! Crash attribution: finds out which request contents crash upstreams, and blocks them.
 //!
 //! | concern | module |
 //! | --- | --- |
-//! | what is known, and which requests are under way | [`state`] |
-//! | what this router sees: attempts that are lost, upstreams that end or live | [`record`] |
-//! | attempts that nobody waits for any more | [`abandoned`] |
-//! | lost attempts, from the questions about their upstreams to the judgement | [`judgement`] |
-//! | whether a request may be sent now | [`hold`] |
-//! | one attempt after the other, where the next could be one too many | [`turn`] |
-//! | what follows once a content is stopped | [`verdicts`] |
-//! | what peers are sent, and send | [`reports`] |
-//! | the upstreams around one that ended | [`neighbours`] |
+//! | the crash tracker, and the requests whose attempts may be cancelled | [`state`] |
+//! | events that this router observes: lost attempts, crashes and responses of upstreams | [`record`] |
+//! | attempts that are abandoned before their outcome is known | [`abandoned`] |
+//! | lost attempts, until a crash is recorded or the attempt is discarded | [`resolution`] |
+//! | whether a request may be sent now, and holding it until it may | [`admission`] |
+//! | registration of attempts that may still crash their upstreams | [`in_flight`] |
+//! | cancelling requests whose content is blocked | [`block_changes`] |
+//! | crash reports to and from peers | [`reports`] |
+//! | the other upstreams of a crashed upstream's service | [`neighbours`] |
 //!
-//! Decides nothing: `cloverpier_crashes` does. Other modules name the module that they call, so that those
-//! which only record depend on nothing that asks upstreams.
+//! Decides nothing: `cloverpier_crashes` does. Code outside of this folder imports the single modules, so that code
+//! that only records events does not depend on the modules that probe upstreams.
 
 pub(crate) mod abandoned;
-pub(crate) mod hold;
-pub(crate) mod judgement;
+pub(crate) mod admission;
+pub(crate) mod block_changes;
+mod in_flight;
 mod neighbours;
 pub(crate) mod record;
 pub(crate) mod reports;
+pub(crate) mod resolution;
 pub(crate) mod state;
-mod turn;
-pub(crate) mod verdicts;
--- a/crates/router/cloverpier_router/src/crashes/record.rs
+++ b/crates/router/cloverpier_router/src/crashes/record.rs
@@ -1,7 +1,8 @@
-//! Records what this router sees of upstreams at which requests are lost, and of their ends.
+//! Reports the events that this router observes to the crash tracker: lost attempts, and crashes, suspected failures
+//! and responses of upstreams.
 //!
-//! What follows is decided in `cloverpier_crashes` and carried out by [`super::judgement`], which each
-//! change wakes. Owns no state: [`super::state`] does.
+//! `cloverpier_crashes` decides which upstreams have crashed; each event wakes [`super::resolution`], which carries out
+//! the result. Owns no state: [`super::state`] does.
 
 use crate::relay_request::RelayRequest;
 use crate::router::Router;
@@ -10,9 +11,12 @@
 use cloverpier_router_policy::prelude::*;
 use std::time::{Duration, Instant};
 
-/// Records an attempt that was lost at an upstream, to be judged once it is known whether the upstream
-/// ended. One at an upstream that was about to leave says nothing: it ends by itself. An entry that
-/// vanished while the attempt was under way is no departure: those of upstreams that end vanish, too.
+/// Records an attempt that was lost at an upstream after `ran_for`. The attempt stays unresolved until it is known
+/// whether the upstream crashed.
+///
+/// Attempts at an upstream that was leaving, or whose entry was removed before the attempt started, are ignored: such
+/// an upstream shuts down by itself. An entry that was removed during the attempt is no sign of a planned shutdown, as
+/// the entries of crashed upstreams are removed, too.
 pub(crate) fn on_lost(
     router: &Router,
     request: &RelayRequest,
@@ -23,9 +27,9 @@
     let now = router.now();
     let table = router.upstreams.borrow();
     let state = table.get(&upstream.name);
-    // A moment before this machine's clock began is as good as its beginning.
-    let begun = now.checked_sub(ran_for).unwrap_or(now);
-    let was_leaving = state.is_some_and(|s| s.is_leaving() || s.was_delisted_at(begun));
+    // Without an `Instant` that far back, shortly after the start of the machine, the present time is used.
+    let started_at = now.checked_sub(ran_for).unwrap_or(now);
+    let was_leaving = state.is_some_and(|s| s.is_leaving() || s.was_delisted_at(started_at));
     drop(table);
     if was_leaving {
         return;
@@ -34,64 +38,76 @@
         content: request.content(),
         loss,
         has_completed: false,
-        crash_id: end_of(upstream),
-        upstream: ended_upstream(upstream, now),
+        crash_id: crash_id_of(upstream),
+        upstream: upstream_event(upstream, now),
         ran_for,
     };
     let content = request.repeated_part();
     router
         .crashes
-        .change(|cases| cases.on_lost(&content, attempt));
+        .update(|tracker| tracker.on_lost(&content, attempt));
 }
 
-/// Records that an upstream's host has no process at its address any more.
-pub(crate) fn on_end(router: &Router, upstream: &Upstream, now: Instant) {
-    let ended = ended_upstream(upstream, now);
-    router.crashes.change(|cases| cases.on_process_gone(ended));
+/// Records that an upstream's host refused a connection, or that another process responds at the address: the
+/// upstream's process does not exist any more.
+pub(crate) fn on_process_gone(router: &Router, upstream: &Upstream, now: Instant) {
+    let crashed = upstream_event(upstream, now);
+    router
+        .crashes
+        .update(|tracker| tracker.on_process_gone(crashed));
 }
 
-/// Records that an upstream is dead as far as a peer knows, or by its silence since a moment.
-pub(crate) fn on_death(router: &Router, upstream: &Upstream, silent_since: Instant, now: Instant) {
-    let died = ended_upstream(upstream, now);
-    let change = |cases: &mut CrashTracker| cases.on_suspected_failure(died, silent_since);
-    router.crashes.change(change);
+/// Records an upstream that is suspected to have failed: it is unreachable and has shown no activity since
+/// `silent_since`, or a peer suspects it, and `silent_since` equals `now`.
+pub(crate) fn on_suspected_failure(
+    router: &Router,
+    upstream: &Upstream,
+    silent_since: Instant,
+    now: Instant,
+) {
+    let suspect = upstream_event(upstream, now);
+    let update = |tracker: &mut CrashTracker| tracker.on_suspected_failure(suspect, silent_since);
+    router.crashes.update(update);
 }
 
-/// Records that an upstream has ended some time ago, as another start answers in its place.
-pub(crate) fn on_former_start(router: &Router, upstream: &Upstream) {
-    let former = ended_upstream(upstream, router.now());
+/// Records that a newer process responds in place of an upstream's process, which has crashed at an unknown time.
+pub(crate) fn on_process_replaced(router: &Router, upstream: &Upstream) {
+    let former = upstream_event(upstream, router.now());
     router
         .crashes
-        .change(|cases| cases.on_process_replaced(former));
+        .update(|tracker| tracker.on_process_replaced(former));
 }
 
-/// Records that an upstream lives, which has answered a question that it was asked at a moment.
-pub(crate) fn on_alive(router: &Router, upstream: &Upstream, asked: Instant) {
-    let sign = UpstreamResponse {
+/// Records a response of an upstream to a probe that was sent at `sent_at`.
+pub(crate) fn on_probe_response(router: &Router, upstream: &Upstream, sent_at: Instant) {
+    let response = UpstreamResponse {
         upstream: UpstreamKey::of(&upstream.name).0,
-        sent_at: asked,
+        sent_at,
         received_at: router.now(),
     };
-    router.crashes.change(|cases| cases.on_response(sign));
+    router
+        .crashes
+        .update(|tracker| tracker.on_response(response));
 }
 
-/// Records that an upstream has answered a request that was sent at a moment.
-pub(crate) fn on_answer(router: &Router, upstream: &Upstream, sent: Instant) {
+/// Records a response of an upstream to a request that was sent at `sent_at`. Has no effect unless an attempt at the
+/// upstream is unresolved.
+pub(crate) fn on_request_response(router: &Router, upstream: &Upstream, sent_at: Instant) {
     let key = UpstreamKey::of(&upstream.name);
-    if router.crashes.cases.borrow().has_unresolved_at(key.0) {
-        on_alive(router, upstream, sent);
+    if router.crashes.tracker.borrow().has_unresolved_at(key.0) {
+        on_probe_response(router, upstream, sent_at);
     }
 }
 
-fn end_of(upstream: &Upstream) -> CrashId {
+fn crash_id_of(upstream: &Upstream) -> CrashId {
     CrashId {
         upstream: UpstreamKey::of(&upstream.name).0,
-        // Where an upstream does not say when it started, each start has a name of its own.
+        // An upstream that does not report its start time has another name after each start.
         time_ms: upstream.start_time_ms().unwrap_or(UNKNOWN_START_TIME),
     }
 }
 
-fn ended_upstream(upstream: &Upstream, at: Instant) -> UpstreamEvent {
+fn upstream_event(upstream: &Upstream, at: Instant) -> UpstreamEvent {
     UpstreamEvent {
         upstream: UpstreamKey::of(&upstream.name).0,
         service: upstream.service.clone(),
--- a/crates/router/cloverpier_router/src/crashes/reports.rs
+++ b/crates/router/cloverpier_router/src/crashes/reports.rs
@@ -1,10 +1,10 @@
-//! Sends peers the requests that end upstreams, and applies what peers send.
+//! Exchange of crash reports between routers: which request contents may have crashed upstreams.
 //!
-//! The messages' contents are decided in `cloverpier_router_policy::crash_reports`, repeats in
-//! `dissemination` there. Owns no state: [`super::state`] holds what is known, and when it was sent
-//! last.
+//! `cloverpier_router_policy::crash_reports` decides what is reported and splits the reports into datagrams,
+//! `cloverpier_router_policy::dissemination` when they are repeated. Owns no state: [`super::state`] holds the recorded
+//! crashes and the time of the last new report.
 
-use super::verdicts::apply_verdicts;
+use super::block_changes::apply_block_changes;
 use crate::outbox::Recipients;
 use crate::peer_messages::{CrashReports, PeerMessage};
 use crate::router::Router;
@@ -17,11 +17,11 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Tells all peers what is known of contents.
+/// Sends the recorded crashes of some contents to all peers, and restarts the time for which reports are repeated.
 pub(crate) fn send_to_all(router: &Router, contents: &[ContentKey], now: Instant) {
     let reports = router
         .crashes
-        .cases
+        .tracker
         .borrow()
         .registry
         .reports(contents, now);
@@ -31,21 +31,23 @@
     }
 }
 
-/// Tells a peer of the suspect contents, if it may have missed them.
+/// Calls [`send_missed`] if a heartbeat shows that its sender may have missed crash reports, as it is new, was silent
+/// or was restarted. `previous` is the state of the sender before the heartbeat; `None` if the sender is new.
 pub(crate) fn send_if_missed(
     router: &Router,
     peer: SocketAddr,
-    former: Option<&PeerEntry>,
+    previous: Option<&PeerEntry>,
     entry: &PeerEntry,
 ) {
-    if may_have_missed_facts(former, entry, router.peer_timeout()) {
-        greet_newcomer(router, peer);
+    if may_have_missed_facts(previous, entry, router.peer_timeout()) {
+        send_missed(router, peer);
     }
 }
 
-/// Sends a peer that may have missed something what is known, where this router is one of those that do.
-pub(crate) fn greet_newcomer(router: &Router, peer: SocketAddr) {
-    if router.crashes.cases.borrow().registry.is_empty() {
+/// Sends the suspect contents to a peer that may have missed reports. In a large fleet only some routers, drawn at
+/// random, send them.
+pub(crate) fn send_missed(router: &Router, peer: SocketAddr) {
+    if router.crashes.tracker.borrow().registry.is_empty() {
         return;
     }
     if sends_missed_facts(router.peers.count(), &mut router.rng.borrow_mut()) {
@@ -53,7 +55,7 @@
     }
 }
 
-/// Tells one peer of the suspect contents, for a while after something was learned.
+/// Sends the suspect contents to one random peer, while the last new report is recent. Called once per heartbeat.
 pub(crate) fn repeat(router: &Router, now: Instant) {
     if !is_within_repeat_window(router.crashes.last_report.get(), now) {
         return;
@@ -64,11 +66,11 @@
 }
 
 fn send_suspects(router: &Router, to: &Recipients, now: Instant) {
-    let cases = router.crashes.cases.borrow();
-    let reports = cases
+    let tracker = router.crashes.tracker.borrow();
+    let reports = tracker
         .registry
-        .reports(&cases.registry.suspect_or_blocked(now), now);
-    drop(cases);
+        .reports(&tracker.registry.suspect_or_blocked(now), now);
+    drop(tracker);
     send(router, reports, to);
 }
 
@@ -83,17 +85,18 @@
     }
 }
 
-/// Takes a peer's report; what was new is passed on for a while, as far as it is suspect.
+/// Merges a peer's crash reports. If they add anything, a large fleet's router passes them on, and suspect contents are
+/// sent to peers repeatedly for a while.
 pub(crate) fn on_reports(router: &Router, reports: CrashReports, now: Instant) {
-    let mut cases = router.crashes.cases.borrow_mut();
-    let changed = cases.registry.merge(&reports.contents, now);
-    drop(cases);
+    let mut tracker = router.crashes.tracker.borrow_mut();
+    let changed = tracker.registry.merge(&reports.contents, now);
+    drop(tracker);
     if changed.is_empty() {
         return;
     }
     router.metrics.crashes.count("heard");
     router.crashes.last_report.set(Some(now));
     let from = format!("peer {}", reports.sender);
-    apply_verdicts(router, &from, now);
+    apply_block_changes(router, &from, now);
     router.peers.pass_on(PeerMessage::Crashes(reports));
 }
--- a/crates/router/cloverpier_router/src/crashes/state.rs
+++ b/crates/router/cloverpier_router/src/crashes/state.rs
@@ -1,5 +1,7 @@
-//! What this router knows of requests that end upstreams, and which requests are under way.
-//! The other modules here learn it and act by it. Owns both.
+//! State of this router's crash attribution.
+//!
+//! Owns the crash tracker and the list of requests whose attempts may have to be cancelled. The other modules of this
+//! folder update and read them.
 
 use crate::relay_request::RelayRequest;
 use cloverpier_crashes::prelude::*;
@@ -9,39 +11,42 @@
 use std::time::Instant;
 use tokio::sync::Notify;
 
-/// What this router knows of requests that end upstreams.
+/// The crash tracker of this router, and what is needed to act on its changes.
 #[derive(Debug)]
-pub(crate) struct Crashes {
-    pub cases: RefCell<CrashTracker>,
-    /// Requests under way, and some that have ended.
-    pub in_flight: RefCell<Vec<Weak<RelayRequest>>>,
-    /// When something about a content was learned last that peers should know.
+pub(crate) struct CrashState {
+    /// The recorded crashes, by request content, and the lost and in-flight attempts.
+    pub tracker: RefCell<CrashTracker>,
+    /// Requests whose attempts are cancelled if their content becomes blocked. Finished ones are removed occasionally.
+    pub requests: RefCell<Vec<Weak<RelayRequest>>>,
+    /// When this router last sent a new report to all peers, or received a peer's report with new information; `None`
+    /// before the first. Reports are repeated to peers for a few seconds after that.
     pub last_report: Cell<Option<Instant>>,
-    /// Wakes the loop that judges, and requests that wait for a judgement.
-    pub changed: Notify,
-    /// Wakes requests that wait for another's attempt. Apart from the above, as attempts begin and end
-    /// with each request.
-    pub turns: Notify,
+    /// Wakes the loop that resolves lost attempts, and held requests, when the tracker's crashes or lost attempts
+    /// change.
+    pub tracker_changed: Notify,
+    /// Wakes held requests when an attempt is sent or finishes. Separate from `tracker_changed`, as this happens with
+    /// each request and the loop must not wake for it.
+    pub in_flight_changed: Notify,
 }
 
-impl Crashes {
-    /// Knows of no end yet.
+impl CrashState {
+    /// Creates the state without any crashes, with the limit and the cleared contents of the settings.
     pub fn new(settings: &CrashSettings) -> Self {
-        let mut cases = CrashTracker::new(settings.limit, CrashTimestamp::ProcessStart);
+        let mut tracker = CrashTracker::new(settings.limit, CrashTimestamp::ProcessStart);
         let cleared = settings.cleared.clone();
-        cases.registry.configure(settings.limit, cleared);
+        tracker.registry.configure(settings.limit, cleared);
         Self {
-            cases: RefCell::new(cases),
-            in_flight: RefCell::default(),
+            tracker: RefCell::new(tracker),
+            requests: RefCell::default(),
             last_report: Cell::default(),
-            changed: Notify::new(),
-            turns: Notify::new(),
+            tracker_changed: Notify::new(),
+            in_flight_changed: Notify::new(),
         }
     }
 
-    /// Changes the cases and wakes whoever waits for a judgement.
-    pub fn change(&self, change: impl FnOnce(&mut CrashTracker)) {
-        change(&mut self.cases.borrow_mut());
-        self.changed.notify_waiters();
+    /// Updates the tracker, then wakes the loop that resolves lost attempts and the held requests.
+    pub fn update(&self, update: impl FnOnce(&mut CrashTracker)) {
+        update(&mut self.tracker.borrow_mut());
+        self.tracker_changed.notify_waiters();
     }
 }
--- a/crates/router/cloverpier_router/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -8,7 +8,7 @@
 use crate::choice_log::{ChoiceNote, log_choice};
 use crate::connection::Connection;
 use crate::crashes::abandoned::AbandonGuard;
-use crate::crashes::{hold, judgement, record};
+use crate::crashes::{admission, record, resolution};
 use crate::decision_log::RequestEnd;
 use crate::held_bytes::HeldBytes;
 use crate::load_guard::LoadGuard;
@@ -98,7 +98,7 @@
 
     async fn run(&mut self) -> Result<Reply, GivenUp> {
         loop {
-            let mut admitted = hold::admit(self.router, self.request).await;
+            let mut admitted = admission::admit(self.router, self.request).await;
             if admitted.admission == Admission::Blocked {
                 return Err(GivenUp::stopped());
             }
@@ -107,7 +107,7 @@
                 Ok(upstream) => upstream,
                 Err(reason) => return self.without_upstream(reason),
             };
-            if !admitted.still_holds(self.router, self.request) {
+            if !admitted.is_still_valid(self.router, self.request) {
                 continue;
             }
             self.attempts.on_send();
@@ -115,7 +115,7 @@
             admitted.on_sent();
             let guard = AbandonGuard::begin(self.router, self.request, &upstream);
             let outcome = self.attempt(&upstream).await;
-            guard.settle();
+            guard.disarm();
             let failure = match outcome {
                 Ok(reply) => {
                     self.count_begun(begun);
@@ -272,7 +272,7 @@
             }
         }
         keep(self.router, upstream, connection);
-        judgement::on_completed(self.router, self.request);
+        resolution::on_completed(self.router, self.request);
         self.check_status(UpstreamAnswer::new(head, held.freeze()))
             .map(UpstreamAnswer::into_reply)
     }
--- a/crates/router/cloverpier_router/src/probe.rs
+++ b/crates/router/cloverpier_router/src/probe.rs
@@ -148,7 +148,7 @@
         CheckResult::Alive => {
             router.metrics.probes.count("alive");
             health.on_activity(now);
-            record::on_alive(router, upstream, sent);
+            record::on_probe_response(router, upstream, sent);
         }
         CheckResult::Replaced => {
             router.metrics.probes.count("replaced");
@@ -170,8 +170,10 @@
     let health = router.health.of(upstream, now);
     let last_activity = health.last_activity.get();
     match cause {
-        DeathCause::NoProcess => record::on_end(router, upstream, now),
-        DeathCause::Unreachable => record::on_death(router, upstream, last_activity, now),
+        DeathCause::NoProcess => record::on_process_gone(router, upstream, now),
+        DeathCause::Unreachable => {
+            record::on_suspected_failure(router, upstream, last_activity, now)
+        }
     }
     let is_new = router.upstreams.borrow_mut().suspect(&upstream.name, now);
     router.suspected.notify_one();
@@ -230,7 +232,7 @@
         Err(error) => {
             router.metrics.probes.count("suspect-silent");
             if error.is_refused() {
-                record::on_end(&router, &upstream, router.now());
+                record::on_process_gone(&router, &upstream, router.now());
             }
             return;
         }
@@ -252,7 +254,7 @@
 
 fn on_alive(router: &Router, upstream: &Upstream, check_begun: Instant) {
     router.metrics.probes.count("suspect-alive");
-    record::on_alive(router, upstream, check_begun);
+    record::on_probe_response(router, upstream, check_begun);
     let now = router.now();
     let suspected_for = router.upstreams.borrow_mut().on_alive(&upstream.name, now);
     if let Some(suspected_for) = suspected_for {
--- a/crates/router/cloverpier_router/src/router.rs
+++ b/crates/router/cloverpier_router/src/router.rs
@@ -24,7 +24,7 @@
 //! across an `await`.
 
 use crate::budgets::RetryBudgets;
-use crate::crashes::state::Crashes;
+use crate::crashes::state::CrashState;
 use crate::datagrams::Datagrams;
 use crate::health::HealthTable;
 use crate::lifecycle::Lifecycle;
@@ -73,7 +73,7 @@
     pub(crate) peers: Peers,
     pub(crate) prompts: Prompts,
     budgets: RetryBudgets,
-    pub(crate) crashes: Crashes,
+    pub(crate) crashes: CrashState,
     pub(crate) rollouts: Rollouts,
     /// `None` where the settings name no work that one router at a time does.
     pub(crate) singleton: Option<Singleton>,
@@ -136,7 +136,7 @@
             peers: Peers::new(member(&settings)),
             prompts: Prompts::default(),
             budgets: RetryBudgets::default(),
-            crashes: Crashes::new(&settings.crashes),
+            crashes: CrashState::new(&settings.crashes),
             rollouts: Rollouts::default(),
             suspected: Notify::new(),
             last_leaving: Cell::default(),
--- a/crates/router/cloverpier_router/src/send.rs
+++ b/crates/router/cloverpier_router/src/send.rs
@@ -234,7 +234,7 @@
     verdict?;
     // Only the upstream that the request names runs it, so this is the upstream's own answer.
     health.on_own_answer(router.now());
-    record::on_answer(router, call.upstream, call.sent);
+    record::on_request_response(router, call.upstream, call.sent);
     if let Some(limit) = idle_limit(&head.headers) {
         connection.idle_limit = limit;
     }
--- a/crates/router/cloverpier_router/src/start.rs
+++ b/crates/router/cloverpier_router/src/start.rs
@@ -3,7 +3,7 @@
 //! Each part is a task on one thread; removing a part is removing a line. Listeners come first,
 //! so that a port that is taken ends the start.
 
-use crate::crashes::judgement;
+use crate::crashes::resolution;
 use crate::decision_log::log_dependency;
 use crate::heartbeats;
 use crate::peer_fetch;
@@ -74,7 +74,7 @@
     }
     spawn_local(resume::watch_resumes(Rc::clone(&router)));
     spawn_local(probe::check_suspects(Rc::clone(&router)));
-    spawn_local(judgement::judge_lost(Rc::clone(&router)));
+    spawn_local(resolution::resolve_lost_attempts(Rc::clone(&router)));
     spawn_local(sweep(Rc::clone(&router), log_progress));
     if let Some(path) = settings_path {
         spawn_local(stop::reload_settings(Rc::clone(&router), path));
--- a/crates/router/cloverpier_router/src/stop.rs
+++ b/crates/router/cloverpier_router/src/stop.rs
@@ -4,7 +4,7 @@
 //! settings file is read again when it changes or on a hang-up signal; a file with faults is
 //! logged and the former settings stay.
 
-use crate::crashes::verdicts;
+use crate::crashes::block_changes;
 use crate::decision_log::Dependency;
 use crate::decision_log::log_dependency;
 use crate::router::Router;
@@ -118,7 +118,7 @@
     match RouterSettings::parse(text) {
         Ok(settings) => {
             router.set_settings(settings);
-            verdicts::on_settings(router);
+            block_changes::on_settings(router);
             router.log.info("settings.reloaded", &NoFields {});
         }
         Err(faults) => {
--- a/crates/router/cloverpier_router/src/stream/mod.rs
+++ b/crates/router/cloverpier_router/src/stream/mod.rs
@@ -14,7 +14,7 @@
 use crate::body::{AnswerBroken, ReplyBody};
 use crate::connection::Connection;
 use crate::crashes::abandoned::AbandonGuard;
-use crate::crashes::hold::Admitted;
+use crate::crashes::admission::Admitted;
 use crate::crashes::record;
 use crate::decision_log::RequestEnd;
 use crate::health::UpstreamHealth;
@@ -147,7 +147,7 @@
             attempts: Attempts::new(route.retry_rule(), route.max_attempts),
             tried: Vec::new(),
             attempt_begun: request.arrived,
-            admitted: Admitted::NEW,
+            admitted: Admitted::UNRESTRICTED,
             source: None,
             unanswered: None,
             replica: None,
@@ -289,7 +289,7 @@
     /// Ends the watch of the present attempt.
     fn settle(&mut self) {
         if let Some(guard) = self.unanswered.take() {
-            guard.settle();
+            guard.disarm();
         }
     }
 
--- a/crates/router/cloverpier_router/src/stream/open.rs
+++ b/crates/router/cloverpier_router/src/stream/open.rs
@@ -4,8 +4,8 @@
 
 use super::{Source, StreamRun};
 use crate::crashes::abandoned::AbandonGuard;
-use crate::crashes::hold::Admitted;
-use crate::crashes::{hold, judgement};
+use crate::crashes::admission::Admitted;
+use crate::crashes::{admission, resolution};
 use crate::load_guard::LoadGuard;
 use crate::outcome::GivenUp;
 use crate::prompt_search::find_prompt;
@@ -25,8 +25,8 @@
         self.find_prompt().await;
         loop {
             // The turn of the run that was lost is over.
-            self.admitted = Admitted::NEW;
-            self.admitted = hold::admit(&self.router, &self.request).await;
+            self.admitted = Admitted::UNRESTRICTED;
+            self.admitted = admission::admit(&self.router, &self.request).await;
             if self.admitted.admission == Admission::Blocked {
                 return Err(GivenUp::stopped());
             }
@@ -35,7 +35,7 @@
             let (upstream, extras) = found
                 .ok_or_else(GivenUp::stopped)?
                 .map_err(|reason| GivenUp::without_upstream(&self.attempts, reason))?;
-            if !self.admitted.still_holds(&self.router, &self.request) {
+            if !self.admitted.is_still_valid(&self.router, &self.request) {
                 continue;
             }
             self.attempts.on_send();
@@ -50,7 +50,7 @@
                 }
                 Err(failure) => failure,
             };
-            guard.settle();
+            guard.disarm();
             rollouts::on_failure(&self.router, &self.request, &upstream, &failure);
             self.note_loss(&upstream, &failure);
             let may_have_run = failure.outcome().may_have_run();
@@ -169,7 +169,7 @@
             Err(_) => return Err(AttemptFailure::DeadlinePassedSent),
         };
         keep(&self.router, upstream, opened.connection);
-        judgement::on_completed(&self.router, &self.request);
+        resolution::on_completed(&self.router, &self.request);
         let status = opened.head.status.as_u16();
         self.upstream_failure = Some(UpstreamAnswer::new(opened.head, body));
         Err(AttemptFailure::UpstreamError { status })
--- a/crates/router/cloverpier_router/src/stream/receive.rs
+++ b/crates/router/cloverpier_router/src/stream/receive.rs
@@ -4,7 +4,7 @@
 
 use super::{Source, StreamRun};
 use crate::connection::describe;
-use crate::crashes::judgement;
+use crate::crashes::resolution;
 use crate::probe;
 use crate::send::keep;
 use crate::singleton;
@@ -117,7 +117,7 @@
         let mut table = self.router.upstreams.borrow_mut();
         table.on_result(&source.upstream.name, false);
         drop(table);
-        judgement::on_completed(&self.router, &self.request);
+        resolution::on_completed(&self.router, &self.request);
         keep(&self.router, &source.upstream, source.connection);
     }
 
--- a/crates/router/cloverpier_router/src/successors.rs
+++ b/crates/router/cloverpier_router/src/successors.rs
@@ -41,7 +41,7 @@
     }
     let successor = successor(router, former, answering);
     let successor = successor.filter(|upstream| add(router, &former.name, upstream, "answers"));
-    record::on_former_start(router, former);
+    record::on_process_replaced(router, former);
     let is_new = router.upstreams.borrow_mut().on_replaced(&former.name);
     if !is_new && successor.is_none() {
         return;
--- a/crates/router/cloverpier_router/src/web.rs
+++ b/crates/router/cloverpier_router/src/web.rs
@@ -6,7 +6,7 @@
 
 use crate::body::ReplyBody;
 use crate::caller_stream::CallerStream;
-use crate::crashes::verdicts;
+use crate::crashes::block_changes;
 use crate::held_bytes::HeldBytes;
 use crate::intake::receive_request;
 use crate::lifecycle::InFlight;
@@ -119,7 +119,7 @@
 
 async fn relay(router: &Rc<Router>, request: Rc<RelayRequest>, now: Instant) -> Reply {
     router.on_request(&request.service.name, now);
-    verdicts::track(router, &request);
+    block_changes::track_request(router, &request);
     if !request.route.streaming {
         return relay_plain(router, &request).await;
     }
