--- a/crates/router/cloverpier_router/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -195,7 +195,8 @@
 
     async fn attempt(&mut self, upstream: &Upstream) -> Result<Reply, AttemptFailure> {
         rollouts::on_sent(self.router, self.request, upstream);
-        let measuring = rollouts::measure(self.router, self.request, upstream, Measure::Response);
+        let measuring =
+            rollouts::start_measurement(self.router, self.request, upstream, Measure::Response);
         let load = LoadGuard::begin(self.router, &upstream.name, self.request.load());
         let sent_at = self.router.now();
         let mut liveness = Liveness::new(self.bounds(), sent_at);
@@ -213,7 +214,7 @@
         table.on_result(&upstream.name, false);
         drop(table);
         if let Some(measuring) = measuring {
-            measuring.answered();
+            measuring.complete();
         }
         let since_arrival = now.saturating_duration_since(self.request.arrived);
         self.router.metrics.first_answer.observe(since_arrival);
--- a/crates/router/cloverpier_router/src/rollout_state.rs
+++ b/crates/router/cloverpier_router/src/rollout_state.rs
@@ -1,5 +1,8 @@
-//! The orders of roll-outs that this router knows. [`crate::rollouts`] learns of them and records what
-//! it sees. Owns the book of orders, and the orders as the store holds them.
+//! State of the roll-outs at this router: the registry of orders with their progress, and the orders as the store
+//! holds them.
+//!
+//! Owns both. [`crate::rollouts`] and [`crate::rollout_store`] update them with the views of peers and of the store;
+//! [`crate::rollouts`] also records this router's counts in the registry.
 
 use crate::source::StoredRollout;
 use cloverpier_core::ServiceName;
@@ -9,24 +12,25 @@
 use std::collections::HashMap;
 use tokio::sync::Notify;
 
-/// The orders that this router knows.
+/// The roll-out orders that this router has received.
 #[derive(Debug, Default)]
-pub(crate) struct Rollouts {
-    pub book: RefCell<RolloutRegistry>,
-    /// Orders as the store holds them, by service, at routers that read it.
+pub(crate) struct RolloutState {
+    /// The newest order of each service, with its progress and the counts of responses at either version.
+    pub registry: RefCell<RolloutRegistry>,
+    /// The orders as the store holds them, by service. Empty at routers that have never read the store.
     pub stored: RefCell<HashMap<ServiceName, StoredRollout>>,
-    /// Wakes the loop that takes the steps.
-    pub changed: Notify,
+    /// Wakes [`crate::rollout_steps::drive_rollouts`] when an order is new, or its progress has changed.
+    pub registry_changed: Notify,
 }
 
-impl Rollouts {
-    /// All views, for peers.
+impl RolloutState {
+    /// The views of all orders, ended and withdrawn ones too, for a peer that requests them.
     pub fn views(&self) -> Vec<RolloutView> {
-        self.book.borrow().views()
+        self.registry.borrow().views()
     }
 
-    /// Waits until an order is new or further on.
-    pub async fn changed(&self) {
-        self.changed.notified().await;
+    /// Waits until an order is new, or its progress has changed.
+    pub async fn wait_for_change(&self) {
+        self.registry_changed.notified().await;
     }
 }
--- a/crates/router/cloverpier_router/src/rollout_steps.rs
+++ b/crates/router/cloverpier_router/src/rollout_steps.rs
@@ -1,13 +1,14 @@
-//! Takes the steps of roll-outs: reports, and decides.
+//! The loop that drives roll-outs: reports this router's counts, and decides the next step.
 //!
-//! A loop that sleeps while no order is under way. Every router reports what it saw to those that
-//! watch the store; these decide, and have [`crate::rollout_store`] write the status. What a step
-//! is decided by is in `cloverpier_router_policy::rollout::schedule`. Owns when what was done last.
+//! Every router reports its counts to the routers that watch the store. These decide the steps, and write the status
+//! to the store through [`crate::rollout_store`]. The rules of a decision are in
+//! `cloverpier_router_policy::rollout::schedule`. The loop sleeps while there is no running or recently ended order.
+//! Owns the times of the last report and of the last resend to peers.
 
 use crate::outbox::Recipients;
 use crate::peer_messages::{PeerMessage, RolloutEvidence};
-use crate::rollout_store::{WriteTurns, write_statuses};
-use crate::rollouts::{notify_peers, on_decided, on_evidence};
+use crate::rollout_store::{PendingWrites, write_statuses};
+use crate::rollouts::{on_decided, on_evidence, send_views};
 use crate::router::Router;
 use crate::source::ConfigurationSource;
 use cloverpier_core::ServiceName;
@@ -17,66 +18,73 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often a router that decides looks at what is known.
-const STEP_PERIOD: Duration = Duration::from_millis(100);
-/// How often a router reports what it saw.
-const REPORT_PERIOD: Duration = Duration::from_millis(250);
-/// How often orders are sent to a few peers again, as datagrams are lost.
-const TELL_PERIOD: Duration = Duration::from_secs(1);
+/// Interval of the loop, and so of the decisions, while there is a running or recently ended order.
+const STEP_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which a router reports its counts to the routers that decide.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which the views of orders are sent to a few random peers again, since datagrams may be lost.
+const VIEW_RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Takes the steps until the process ends.
-pub(crate) async fn take_steps(router: Rc<Router>, source: Rc<impl ConfigurationSource>) {
-    let mut clock = StepClock::default();
-    let mut turns = WriteTurns::default();
+/// Reports, decides and writes statuses, until the process exits.
+pub(crate) async fn drive_rollouts(router: Rc<Router>, source: Rc<impl ConfigurationSource>) {
+    let mut timers = StepTimers::default();
+    let mut pending_writes = PendingWrites::default();
     loop {
         let now = router.now();
-        let is_quiet = router.rollouts.book.borrow().views_to_send(now).is_empty();
-        if is_quiet {
-            router.rollouts.changed().await;
+        let is_idle = router
+            .rollouts
+            .registry
+            .borrow()
+            .views_to_send(now)
+            .is_empty();
+        if is_idle {
+            router.rollouts.wait_for_change().await;
         } else {
-            router.timers.sleep(STEP_PERIOD).await;
+            router.timers.sleep(STEP_INTERVAL).await;
         }
         let now = router.now();
-        if clock.is_report_due(now) {
-            report(&router, now);
+        if timers.is_report_due(now) {
+            send_reports(&router, now);
         }
-        if clock.is_tell_due(now) {
-            notify_peers(&router, Recipients::Few, now);
+        if timers.is_view_resend_due(now) {
+            send_views(&router, Recipients::Few, now);
         }
         if router.store.role().watches() {
             decide_all(&router, now);
-            write_statuses(&router, &*source, &mut turns).await;
+            write_statuses(&router, &*source, &mut pending_writes).await;
         }
     }
 }
 
-/// When what was done last.
+/// When the periodic messages of the loop were last due; `None` before the first time.
 #[derive(Debug, Default)]
-struct StepClock {
-    reported: Option<Instant>,
-    told: Option<Instant>,
+struct StepTimers {
+    reported_at: Option<Instant>,
+    views_sent_at: Option<Instant>,
 }
 
-impl StepClock {
+impl StepTimers {
     fn is_report_due(&mut self, now: Instant) -> bool {
-        is_due(&mut self.reported, REPORT_PERIOD, now)
+        is_due(&mut self.reported_at, REPORT_INTERVAL, now)
     }
 
-    fn is_tell_due(&mut self, now: Instant) -> bool {
-        is_due(&mut self.told, TELL_PERIOD, now)
+    fn is_view_resend_due(&mut self, now: Instant) -> bool {
+        is_due(&mut self.views_sent_at, VIEW_RESEND_INTERVAL, now)
     }
 }
 
-fn is_due(last: &mut Option<Instant>, period: Duration, now: Instant) -> bool {
-    let is_due = last.is_none_or(|at| now.saturating_duration_since(at) >= period);
+/// Whether `interval` has passed since `last`, or `last` is `None`; if so, sets `last` to `now`.
+fn is_due(last: &mut Option<Instant>, interval: Duration, now: Instant) -> bool {
+    let is_due = last.is_none_or(|at| now.saturating_duration_since(at) >= interval);
     if is_due {
         *last = Some(now);
     }
     is_due
 }
 
-/// Reports what this router saw to the routers that decide, itself among them.
-fn report(router: &Router, now: Instant) {
+/// Sends this router's counts to the routers that watch the store, and records them at this router, as it may be one
+/// that decides.
+fn send_reports(router: &Router, now: Instant) {
     let sender = router.settings().listen.peers;
     let watchers = router.peers.watchers(now, router.peer_timeout());
     for report in own_reports(router, now) {
@@ -94,11 +102,11 @@
 }
 
 fn own_reports(router: &Router, now: Instant) -> Vec<EvidenceReport> {
-    let book = router.rollouts.book.borrow();
+    let registry = router.rollouts.registry.borrow();
     let table = router.upstreams.borrow();
     let mut reports = Vec::new();
-    for service in book.active() {
-        let Some(rollout) = book.get(&service) else {
+    for service in registry.active() {
+        let Some(rollout) = registry.get(&service) else {
             continue;
         };
         let Some(order) = rollout.active() else {
@@ -112,13 +120,14 @@
 }
 
 fn decide_all(router: &Router, now: Instant) {
-    let active = router.rollouts.book.borrow().active();
+    let active = router.rollouts.registry.borrow().active();
     for service in active {
         decide(router, &service, now);
     }
 }
 
-/// Decides how a roll-out goes on. A completion is not acted by before the store holds it.
+/// Decides how a service's roll-out continues. A completion takes effect only once the store holds it, so nothing is
+/// done here for [`Step::Complete`].
 fn decide(router: &Router, service: &ServiceName, now: Instant) {
     let Some((progress, step)) = next_step(router, service, now) else {
         return;
@@ -126,16 +135,18 @@
     match step {
         Step::Stay | Step::Complete => {}
         Step::Update(next) => on_decided(router, service, next, None, now),
-        Step::RollBack(objection) => {
+        Step::RollBack(regression) => {
             let next = Progress {
                 stage: Stage::RolledBack,
                 ..progress
             };
-            on_decided(router, service, next, objection.as_ref(), now);
+            on_decided(router, service, next, regression.as_ref(), now);
         }
     }
 }
 
+/// The present progress of a service's order, and the step that follows from the counts of all routers. `None` without
+/// a running order, or if the settings disable roll-outs.
 pub(crate) fn next_step(
     router: &Router,
     service: &ServiceName,
@@ -145,8 +156,8 @@
     let mut routers = router.peers.live(now, router.peer_timeout());
     routers.push(router.settings().listen.peers);
     let table = router.upstreams.borrow();
-    let mut book = router.rollouts.book.borrow_mut();
-    let rollout = book.get_mut(service)?;
+    let mut registry = router.rollouts.registry.borrow_mut();
+    let rollout = registry.get_mut(service)?;
     rollout.fleet.take_snapshot(now);
     let order = rollout.active()?;
     let progress = rollout.view.progress;
--- a/crates/router/cloverpier_router/src/rollouts.rs
+++ b/crates/router/cloverpier_router/src/rollouts.rs
@@ -1,9 +1,8 @@
-//! What this router knows and sees of roll-outs.
+//! Roll-outs at this router: applies orders and progress, and counts the results of attempts at either version.
 //!
-//! Records how attempts went at either version; [`crate::rollout_state`] owns the orders.
-//! [`crate::rollout_steps`] reports that to the routers that decide, and decides itself where this
-//! router is one; which versions an attempt may go to, what counts as a bad answer and what follows is
-//! decided in `cloverpier_router_policy::rollout`.
+//! `cloverpier_router_policy::rollout` decides which versions an attempt may go to, which responses are bad and which
+//! step follows. [`crate::rollout_steps`] reports the counts to the routers that decide, and decides if this router is
+//! one of them. Owns the running measurements of responses; [`crate::rollout_state`] owns the orders and the counts.
 
 use crate::decision_log::{RolloutOrdered, RolloutProgressed};
 use crate::outbox::Recipients;
@@ -22,27 +21,29 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The versions that an attempt of a service may go to, drawn anew for each.
+/// The rule on the versions that an attempt of a service may go to. It is drawn at random for each attempt, so that the
+/// target version gets its share of the attempts.
 pub(crate) fn version_rule(router: &Router, service: &ServiceName, now: Instant) -> VersionRule {
     let table = router.upstreams.borrow();
     let upstreams_of = |version: &_| table.count_of_version(service, version);
     let mut rng = router.rng.borrow_mut();
-    let book = router.rollouts.book.borrow();
-    book.rule(service, upstreams_of, now, &mut rng)
+    let registry = router.rollouts.registry.borrow();
+    registry.rule(service, upstreams_of, now, &mut rng)
 }
 
-/// Records the versions that updates of the list name.
+/// Records the versions that an update of the list of upstreams contains.
 pub(crate) fn on_listed(router: &Router, update: &AppliedUpdate, now: Instant) {
-    let mut book = router.rollouts.book.borrow_mut();
-    book.on_listed(&update.versions, now);
+    let mut registry = router.rollouts.registry.borrow_mut();
+    registry.on_listed(&update.versions, now);
 }
 
-/// Applies views of a peer or of the store; what is new is logged and handed on.
+/// Merges views of a peer or of the store into the registry. Changes are logged and sent to peers; `from` is their
+/// source in the log lines.
 pub(crate) fn apply_views(router: &Router, views: Vec<RolloutView>, from: &str, now: Instant) {
     let mut has_update = false;
     for view in views {
         let service = view.service.clone();
-        let update = router.rollouts.book.borrow_mut().on_view(view, now);
+        let update = router.rollouts.registry.borrow_mut().on_view(view, now);
         has_update |= update != OrderUpdate::Unchanged;
         match update {
             OrderUpdate::Unchanged => {}
@@ -55,32 +56,33 @@
         }
     }
     if has_update {
-        notify_peers(router, Recipients::Many, now);
-        router.rollouts.changed.notify_one();
+        send_views(router, Recipients::Many, now);
+        router.rollouts.registry_changed.notify_one();
     }
 }
 
-/// Records a progress that this router decided, and sends it to peers.
+/// Merges a progress that this router decided, and sends it to peers if it changes the order's progress. `regression`
+/// is the reason of a rollback; `None` for any other progress, and for a version that has too few responses.
 pub(crate) fn on_decided(
     router: &Router,
     service: &ServiceName,
     progress: Progress,
-    objection: Option<&Regression>,
+    regression: Option<&Regression>,
     now: Instant,
 ) {
-    let mut book = router.rollouts.book.borrow_mut();
-    let is_new = book.on_progress(service, progress, now);
-    drop(book);
+    let mut registry = router.rollouts.registry.borrow_mut();
+    let is_new = registry.on_progress(service, progress, now);
+    drop(registry);
     if is_new {
-        log_progress(router, service, "this router", objection);
-        notify_peers(router, Recipients::Many, now);
-        router.rollouts.changed.notify_one();
+        log_progress(router, service, "this router", regression);
+        send_views(router, Recipients::Many, now);
+        router.rollouts.registry_changed.notify_one();
     }
 }
 
-/// Sends peers the orders that are under way, and those that ended recently.
-pub(crate) fn notify_peers(router: &Router, to: Recipients, now: Instant) {
-    let views = router.rollouts.book.borrow().views_to_send(now);
+/// Sends the views of running and recently ended orders to peers.
+pub(crate) fn send_views(router: &Router, to: Recipients, now: Instant) {
+    let views = router.rollouts.registry.borrow().views_to_send(now);
     if views.is_empty() {
         return;
     }
@@ -89,15 +91,15 @@
     router.peers.outbox.send(PeerMessage::Rollouts(reports), to);
 }
 
-/// Records what a router saw.
+/// Records the counts that a router reported for an order; the sender may be this router.
 pub(crate) fn on_evidence(router: &Router, sender: SocketAddr, report: EvidenceReport) {
-    let mut book = router.rollouts.book.borrow_mut();
-    book.on_report(sender, report);
+    let mut registry = router.rollouts.registry.borrow_mut();
+    registry.on_report(sender, report);
 }
 
 fn log_order(router: &Router, service: &ServiceName, from: &str) {
-    let book = router.rollouts.book.borrow();
-    let order = book.get(service).and_then(|r| r.view.order.clone());
+    let registry = router.rollouts.registry.borrow();
+    let order = registry.get(service).and_then(|r| r.view.order.clone());
     let duration = order.as_ref().map(|order| order.duration.as_secs_f64());
     router.metrics.rollouts.count("ordered");
     let line = RolloutOrdered {
@@ -113,10 +115,10 @@
     router: &Router,
     service: &ServiceName,
     from: &str,
-    objection: Option<&Regression>,
+    regression: Option<&Regression>,
 ) {
-    let book = router.rollouts.book.borrow();
-    let Some(rollout) = book.get(service) else {
+    let registry = router.rollouts.registry.borrow();
+    let Some(rollout) = registry.get(service) else {
         return;
     };
     let progress = rollout.view.progress;
@@ -132,18 +134,18 @@
         is_confirmed: progress.is_confirmed,
         sent_to_target: sent.target,
         sent_to_former: sent.previous,
-        fault: objection.map(|o| format!("{:?}", o.kind)),
-        route: objection.and_then(|o| o.route),
-        bad: objection.map(|o| o.bad),
-        answers: objection.map(|o| o.responses),
-        former_part: objection.map(|o| o.baseline_bad_share),
-        ratio: objection.map(|o| o.likelihood_ratio),
+        fault: regression.map(|o| format!("{:?}", o.kind)),
+        route: regression.and_then(|o| o.route),
+        bad: regression.map(|o| o.bad),
+        answers: regression.map(|o| o.responses),
+        former_part: regression.map(|o| o.baseline_bad_share),
+        ratio: regression.map(|o| o.likelihood_ratio),
         from,
     };
     router.log.info("rollout.progressed", &line);
 }
 
-/// The name of a stage, for metrics.
+/// The value of the metric's `kind` label for a stage.
 fn stage_name(stage: Stage) -> &'static str {
     match stage {
         Stage::Canary => "canary",
@@ -156,31 +158,32 @@
     }
 }
 
-/// An attempt of a service whose roll-out is under way.
+/// An attempt at an upstream of a service whose roll-out is running.
 #[derive(Clone, Debug)]
-struct Subject {
+struct RolloutAttempt {
     service: ServiceName,
     order: OrderId,
     upstream: UpstreamName,
-    start: IncarnationNumber,
+    incarnation: IncarnationNumber,
     is_target: bool,
     route: RouteKey,
 }
 
-impl Subject {
-    /// `None` where no roll-out of the request's service is under way.
+impl RolloutAttempt {
+    /// `None` if no roll-out of the request's service is running, or the upstream is not in the table any more.
     fn of(router: &Router, request: &RelayRequest, upstream: &Upstream) -> Option<Self> {
         let service = &request.service.name;
-        let book = router.rollouts.book.borrow();
-        let order = book.get(service)?.active()?;
+        let registry = router.rollouts.registry.borrow();
+        let order = registry.get(service)?.active()?;
         let table = router.upstreams.borrow();
-        // One that is forgotten by now has no start, and its answers say nothing.
-        let start = table.get(&upstream.name)?.incarnation();
+        // For an upstream that is not in the table any more, the process that responds is unknown, so its responses are
+        // not counted.
+        let incarnation = table.get(&upstream.name)?.incarnation();
         Some(Self {
             service: service.clone(),
             order: order.id,
             upstream: upstream.name.clone(),
-            start,
+            incarnation,
             is_target: upstream.version() == Some(&order.target),
             route: RouteKey::of(&request.route.name),
         })
@@ -189,92 +192,93 @@
     fn observed(&self) -> ObservedAttempt<'_> {
         ObservedAttempt {
             upstream: &self.upstream,
-            start: self.start,
+            start: self.incarnation,
             is_target: self.is_target,
             route: self.route,
         }
     }
 
-    /// Records something, unless the order has ended or is another one by now.
-    fn record<T>(&self, router: &Router, record: impl FnOnce(&mut OwnEvidence) -> T) -> Option<T> {
-        let mut book = router.rollouts.book.borrow_mut();
-        let rollout = book.get_mut(&self.service)?;
-        let is_same = rollout.active().is_some_and(|order| order.id == self.order);
-        is_same.then(|| record(&mut rollout.own))
+    /// Updates this router's counts for the order; `None` if the order has ended or another order has replaced it.
+    fn record<T>(&self, router: &Router, update: impl FnOnce(&mut OwnEvidence) -> T) -> Option<T> {
+        let mut registry = router.rollouts.registry.borrow_mut();
+        let rollout = registry.get_mut(&self.service)?;
+        let is_same_order = rollout.active().is_some_and(|order| order.id == self.order);
+        is_same_order.then(|| update(&mut rollout.own))
     }
 }
 
-/// A time that is being measured; dropped without an answer it says nothing.
+/// A running measurement of a response time. If dropped before [`Self::complete`], it is cancelled and not counted.
 #[derive(Debug)]
-pub(crate) struct Measuring {
+pub(crate) struct Measurement {
     router: Rc<Router>,
-    subject: Subject,
+    attempt: RolloutAttempt,
     id: MeasurementId,
 }
 
-impl Measuring {
-    /// Records a good answer.
-    pub fn answered(self) {
+impl Measurement {
+    /// Records the time of a good response.
+    pub fn complete(self) {
         let now = self.router.now();
-        let (id, observed) = (self.id, self.subject.observed());
-        self.subject
+        let (id, observed) = (self.id, self.attempt.observed());
+        self.attempt
             .record(&self.router, |own| own.on_response(id, observed, now));
     }
 }
 
-impl Drop for Measuring {
+impl Drop for Measurement {
     fn drop(&mut self) {
         let id = self.id;
-        self.subject
+        self.attempt
             .record(&self.router, |own| own.cancel_timing(id));
     }
 }
 
-/// Records that an attempt is sent.
+/// Counts an attempt that is sent, while a roll-out of its service is running.
 pub(crate) fn on_sent(router: &Router, request: &RelayRequest, upstream: &Upstream) {
-    if let Some(subject) = Subject::of(router, request, upstream) {
-        subject.record(router, |own| own.on_sent(subject.is_target));
+    if let Some(attempt) = RolloutAttempt::of(router, request, upstream) {
+        attempt.record(router, |own| own.on_sent(attempt.is_target));
     }
 }
 
-/// Begins to measure an answer, where a roll-out is under way.
-pub(crate) fn measure(
+/// Starts to measure a response of an upstream; `None` unless a roll-out of the request's service is running.
+pub(crate) fn start_measurement(
     router: &Rc<Router>,
     request: &RelayRequest,
     upstream: &Upstream,
     measure: Measure,
-) -> Option<Measuring> {
-    let subject = Subject::of(router, request, upstream)?;
+) -> Option<Measurement> {
+    let attempt = RolloutAttempt::of(router, request, upstream)?;
     let now = router.now();
-    let id = subject.record(router, |own| {
-        own.start_timing(subject.observed(), measure, now)
+    let id = attempt.record(router, |own| {
+        own.start_timing(attempt.observed(), measure, now)
     })?;
-    Some(Measuring {
+    Some(Measurement {
         router: Rc::clone(router),
-        subject,
+        attempt,
         id,
     })
 }
 
-/// Records an attempt that failed.
+/// Counts a failed attempt, while a roll-out of its service is running.
 pub(crate) fn on_failure(
     router: &Router,
     request: &RelayRequest,
     upstream: &Upstream,
     failure: &AttemptFailure,
 ) {
-    if let Some(subject) = Subject::of(router, request, upstream) {
+    if let Some(attempt) = RolloutAttempt::of(router, request, upstream) {
         let now = router.now();
-        subject.record(router, |own| {
-            own.on_failure(subject.observed(), failure, now);
+        attempt.record(router, |own| {
+            own.on_failure(attempt.observed(), failure, now);
         });
     }
 }
 
-/// Whether a run at an upstream is to move, as its version is about to be stopped.
-pub(crate) fn is_to_move(router: &Router, service: &ServiceName, upstream: &Upstream) -> bool {
-    let book = router.rollouts.book.borrow();
-    let Some(rollout) = book.get(service) else {
+/// Whether a stream at an upstream must move to another one: the roll-out is in [`Stage::Moving`], and the upstream has
+/// a previous version, whose upstreams stop once the roll-out is completed.
+pub(crate) fn must_move(router: &Router, service: &ServiceName, upstream: &Upstream) -> bool {
+    let registry = router.rollouts.registry.borrow();
+    let Some(rollout) = registry.get(service) else {
         return false;
     };
     let is_moving = rollout.view.progress.stage == Stage::Moving;
--- a/crates/router/cloverpier_router/src/router.rs
+++ b/crates/router/cloverpier_router/src/router.rs
@@ -14,8 +14,8 @@
 //! | [`Peers`] | peers' last heartbeats, and what they are sent next |
 //! | [`Prompts`] | which engine has read which prompt, and searches for that |
 //! | [`RetryBudgets`] | this router's use of each service's retry budget |
-//! | [`Crashes`] | contents of requests that ended upstreams |
-//! | [`Rollouts`] | orders of roll-outs, and what this router saw of them |
+//! | [`CrashState`] | contents of requests that ended upstreams |
+//! | [`RolloutState`] | orders of roll-outs, and what this router saw of them |
 //! | [`Singleton`] | the lease on work that one router at a time does, and that work |
 //! | [`CopyPacing`] | copies of the configuration that the link still carries |
 //! | [`Lifecycle`] | the planned stop and the requests in flight |
@@ -33,7 +33,7 @@
 use crate::peers::Peers;
 use crate::pool::ConnectionPool;
 use crate::prompts::Prompts;
-use crate::rollout_state::Rollouts;
+use crate::rollout_state::RolloutState;
 use crate::singleton::state::Singleton;
 use crate::store_view::StoreView;
 use crate::upstream_limits::{LimitParts, UpstreamLimits};
@@ -74,7 +74,7 @@
     pub(crate) prompts: Prompts,
     budgets: RetryBudgets,
     pub(crate) crashes: CrashState,
-    pub(crate) rollouts: Rollouts,
+    pub(crate) rollouts: RolloutState,
     /// `None` where the settings name no work that one router at a time does.
     pub(crate) singleton: Option<Singleton>,
     /// Wakes the checks of suspects.
@@ -137,7 +137,7 @@
             prompts: Prompts::default(),
             budgets: RetryBudgets::default(),
             crashes: CrashState::new(&settings.crashes),
-            rollouts: Rollouts::default(),
+            rollouts: RolloutState::default(),
             suspected: Notify::new(),
             last_leaving: Cell::default(),
             copy_pacing: RefCell::new(CopyPacing::default()),
--- a/crates/router/cloverpier_router/src/start.rs
+++ b/crates/router/cloverpier_router/src/start.rs
@@ -94,7 +94,7 @@
     let (cx, from) = both();
     spawn_local(store_sync::watch_rollouts(cx, from));
     let (cx, from) = both();
-    spawn_local(rollout_steps::take_steps(cx, from));
+    spawn_local(rollout_steps::drive_rollouts(cx, from));
     let (cx, from) = both();
     spawn_local(store_sync::ping_store(cx, from));
 }
--- a/crates/router/cloverpier_router/src/stream/measured.rs
+++ b/crates/router/cloverpier_router/src/stream/measured.rs
@@ -4,7 +4,7 @@
 //! comes of it.
 
 use super::StreamRun;
-use crate::rollouts::{self, Measuring};
+use crate::rollouts::{self, Measurement};
 use cloverpier_router_policy::prelude::Upstream;
 use cloverpier_router_policy::rollout::evidence::Measure;
 
@@ -15,9 +15,9 @@
 /// What is measured of a run that began a stream.
 pub(super) enum Measured {
     /// The time to its first event.
-    First(Measuring),
+    First(Measurement),
     /// The pace of this many events after it.
-    Pace(Measuring, u64),
+    Pace(Measurement, u64),
     /// Nothing any more.
     Nothing,
 }
@@ -29,7 +29,7 @@
             return Measured::Nothing;
         }
         let (router, request) = (&self.router, &self.request);
-        match rollouts::measure(router, request, upstream, Measure::Response) {
+        match rollouts::start_measurement(router, request, upstream, Measure::Response) {
             Some(measuring) => Measured::First(measuring),
             None => Measured::Nothing,
         }
@@ -43,16 +43,17 @@
         let measured = std::mem::replace(&mut source.measured, Measured::Nothing);
         source.measured = match measured {
             Measured::First(measuring) => {
-                measuring.answered();
+                measuring.complete();
                 let (router, request) = (&self.router, &self.request);
-                let pace = rollouts::measure(router, request, &source.upstream, Measure::Pace);
+                let pace =
+                    rollouts::start_measurement(router, request, &source.upstream, Measure::Pace);
                 pace.map_or(Measured::Nothing, |p| Measured::Pace(p, PACE_EVENTS))
             }
             Measured::Pace(measuring, left) if left > count => {
                 Measured::Pace(measuring, left - count)
             }
             Measured::Pace(measuring, _) => {
-                measuring.answered();
+                measuring.complete();
                 Measured::Nothing
             }
             Measured::Nothing => Measured::Nothing,
--- a/crates/router/cloverpier_router/src/stream/mod.rs
+++ b/crates/router/cloverpier_router/src/stream/mod.rs
@@ -271,7 +271,7 @@
         };
         let router = &self.router;
         let service = &self.request.service.name;
-        if !rollouts::is_to_move(router, service, &source.upstream) {
+        if !rollouts::must_move(router, service, &source.upstream) {
             return false;
         }
         let now = router.now();
