--- a/crates/router/cloverpier_router/src/lib.rs
+++ b/crates/router/cloverpier_router/src/lib.rs
@@ -113,7 +113,7 @@
     pub use crate::http_client::{CallError, HttpAnswer, HttpClient, LargeBounds};
     pub use crate::router::Router;
     pub use crate::singleton::{
-        LeaseRecord, RecordWritten, ServiceScaling, SignedBy, SingletonPlatform, StoredRecord,
+        HolderCall, LeaseRecord, RecordWriteResult, ServiceScaling, SingletonPlatform, StoredRecord,
     };
     pub use crate::source::{
         ConfigurationChange, ConfigurationSource, Freshness, PagePosition, ReadChange,
--- a/crates/router/cloverpier_router/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -144,7 +144,7 @@
     /// Counts the request, whose run began at a moment; further runs of it count no more.
     fn count_begun(&mut self, at: Instant) {
         if !std::mem::replace(&mut self.is_counted, true) {
-            singleton::on_begun(self.router, self.request, at);
+            singleton::on_request_started(self.router, self.request, at);
         }
     }
 
--- a/crates/router/cloverpier_router/src/singleton/keeper.rs
+++ b/crates/router/cloverpier_router/src/singleton/keeper.rs
@@ -1,10 +1,11 @@
-//! Keeps the lease: reads and writes its record as `cloverpier_router_policy::singleton::lease` says.
+//! The loop that keeps the lease: reads and writes the lease's record in the store.
 //!
-//! A loop at each router, which does nothing where the router may not hold the lease. Owns the record as
-//! it was read last, and the pause after failed calls.
+//! `cloverpier_router_policy::singleton::lease` decides each step. The loop runs at every router, and makes no calls
+//! while the router may not hold the lease. Owns the record as last read or written, and the backoff after failed
+//! calls; [`super::state::Singleton`] owns the state of the lease.
 
-use super::platform::{LeaseRecord, RecordWritten, SingletonPlatform, StoredRecord};
-use super::state::{Singleton, Work};
+use super::platform::{LeaseRecord, RecordWriteResult, SingletonPlatform, StoredRecord};
+use super::state::{HolderWork, Singleton};
 use super::{count, reports};
 use crate::decision_log::log_dependency;
 use crate::decision_log::{LeaseChanged, ms};
@@ -20,47 +21,50 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often it is decided anew whether this router may hold the lease.
-const TICK: Duration = Duration::from_millis(200);
-/// Pause after a failed call, doubled up to [`MAX_PAUSE`].
-const INITIAL_PAUSE: Duration = Duration::from_millis(100);
-const MAX_PAUSE: Duration = Duration::from_millis(800);
+/// Maximum time between two decisions whether this router may hold the lease.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Upper limit of the random pause after a failed call. The limit doubles with each consecutive failure, up to
+/// [`MAX_BACKOFF`]; a pause is at least half of it.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// Longest pause after a failed call.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// Keeps the lease until the process ends.
+/// Takes and renews the lease, until the process exits. Returns at once if the settings configure no singleton work.
 pub(super) async fn keep_lease(router: Rc<Router>, platform: Rc<impl SingletonPlatform>) {
     let Some(singleton) = &router.singleton else {
         return;
     };
-    let mut keeper = Keeper {
+    let mut keeper = LeaseKeeper {
         router: &router,
         singleton,
         platform: &*platform,
         record: None,
-        pause: INITIAL_PAUSE,
+        backoff: INITIAL_BACKOFF,
     };
     loop {
         keeper.take_step().await;
     }
 }
 
-struct Keeper<'a, P> {
+struct LeaseKeeper<'a, P> {
     router: &'a Router,
     singleton: &'a Singleton,
     platform: &'a P,
-    /// The record as it was read or written last.
+    /// The record as last read or written; `None` before the first read, or if the store has none.
     record: Option<LeaseRecord>,
-    pause: Duration,
+    /// Upper limit of the pause after the next failed call.
+    backoff: Duration,
 }
 
-impl<P: SingletonPlatform> Keeper<'_, P> {
+impl<P: SingletonPlatform> LeaseKeeper<'_, P> {
     async fn take_step(&mut self) {
         let now = self.router.now();
-        let wish = LeaseInput {
+        let input = LeaseInput {
             may_hold: self.may_hold(now),
             has_updates: self.decide_windows(now),
         };
         let fleet_ms = self.singleton.fleet_ms(now);
-        let step = self.singleton.lease.borrow().step(wish, fleet_ms, now);
+        let step = self.singleton.lease.borrow().step(input, fleet_ms, now);
         match step {
             LeaseStep::Wait(at) => self.wait(at, now).await,
             LeaseStep::Read => self.read().await,
@@ -68,58 +72,62 @@
         }
     }
 
-    /// Whether this router takes the lease when it is free, and renews its own: it watches the store
-    /// and serves, or holds the lease already.
+    /// Whether this router may take the lease when it has expired, and renew it: the router watches the store and is
+    /// ready, or holds the lease already, and is not ineligible because of failed calls.
     fn may_hold(&self, now: Instant) -> bool {
         let (store, singleton) = (&self.router.store, self.singleton);
-        let is_unfit = singleton.unfit_until.get().is_some_and(|at| now < at);
+        let is_ineligible = singleton.ineligible_until.get().is_some_and(|at| now < at);
         let holds = singleton.work.borrow().is_some();
         let watches = may_call(store.role(), store.is_fresh(now));
         let is_ready = self.router.state() == PeerState::Ready;
-        !is_unfit && (holds || (watches && is_ready))
+        !is_ineligible && (holds || (watches && is_ready))
     }
 
-    /// Decides the windows whose time has come; returns whether any are not written yet.
+    /// Decides the usage windows that are due; returns whether decided windows are not yet written to the record.
+    /// False at a router that does not hold the lease.
     fn decide_windows(&self, now: Instant) -> bool {
         let mut work = self.singleton.work.borrow_mut();
         let Some(work) = work.as_mut() else {
             return false;
         };
         if self.singleton.settings.meters {
-            let book = self.singleton.book.borrow();
-            work.has_updates |= work.usage.decide(&book, self.singleton.fleet_ms(now));
+            let fleet_usage = self.singleton.fleet_usage.borrow();
+            work.has_updates |= work
+                .usage
+                .decide(&fleet_usage, self.singleton.fleet_ms(now));
         }
         work.has_updates
     }
 
+    /// Waits until `at`, but at most for [`RECHECK_INTERVAL`].
     async fn wait(&self, at: Option<Instant>, now: Instant) {
-        let tick = now + TICK;
-        let until = at.map_or(tick, |at| at.min(tick));
+        let recheck_at = now + RECHECK_INTERVAL;
+        let until = at.map_or(recheck_at, |at| at.min(recheck_at));
         tokio::select! {
             () = self.router.timers.sleep_until(until) => {}
-            () = self.singleton.changed.notified() => {}
+            () = self.singleton.lease_changed.notified() => {}
         }
     }
 
     async fn read(&mut self) {
         match self.platform.read_record().await {
             Ok(stored) => {
-                self.pause = INITIAL_PAUSE;
-                self.on_seen(stored);
+                self.backoff = INITIAL_BACKOFF;
+                self.on_record_read(stored);
             }
             Err(error) => self.after_failure(&error.to_string()).await,
         }
     }
 
-    fn on_seen(&mut self, stored: StoredRecord) {
-        let seen = RecordSnapshot {
+    fn on_record_read(&mut self, stored: StoredRecord) {
+        let snapshot = RecordSnapshot {
             version: stored.version,
             tenure: stored.record.as_ref().map(|record| record.tenure.clone()),
         };
         let now = self.router.now();
-        self.singleton.lease.borrow_mut().on_read(&seen, now);
+        self.singleton.lease.borrow_mut().on_read(&snapshot, now);
         self.record = stored.record;
-        self.settle(now);
+        self.update_work(now);
     }
 
     async fn write(&mut self, write: &LeaseWrite) {
@@ -128,50 +136,52 @@
         let written = self.platform.write_record(write, &record).await;
         let now = self.router.now();
         match written {
-            RecordWritten::Done(version) => {
-                self.note_written(write, &WriteResult::Done(version), sent, now);
-                self.pause = INITIAL_PAUSE;
+            RecordWriteResult::Done(version) => {
+                self.record_result(write, &WriteResult::Done(version), sent, now);
+                self.backoff = INITIAL_BACKOFF;
                 self.on_recorded(&record);
                 self.record = Some(record);
-                self.settle(now);
+                self.update_work(now);
                 reports::notify_watchers(self.router, self.singleton);
             }
-            RecordWritten::Conflict(stored) => self.on_seen(stored),
-            RecordWritten::NotDone(error) => {
-                self.note_written(write, &WriteResult::NotDone, sent, now);
+            RecordWriteResult::Conflict(stored) => self.on_record_read(stored),
+            RecordWriteResult::NotDone(error) => {
+                self.record_result(write, &WriteResult::NotDone, sent, now);
                 self.after_failure(&error.to_string()).await;
             }
-            RecordWritten::Unknown(error) => {
-                self.note_written(write, &WriteResult::Unknown, sent, now);
+            RecordWriteResult::Unknown(error) => {
+                self.record_result(write, &WriteResult::Unknown, sent, now);
                 self.after_failure(&error.to_string()).await;
             }
         }
     }
 
-    fn note_written(&self, write: &LeaseWrite, result: &WriteResult, sent: Instant, now: Instant) {
+    fn record_result(&self, write: &LeaseWrite, result: &WriteResult, sent: Instant, now: Instant) {
         let mut lease = self.singleton.lease.borrow_mut();
         lease.on_written(write, result, sent, now);
     }
 
-    /// The record that a write puts in place: the holder's present work, or what the former holder left
-    /// with this router's name on it.
+    /// The content of the record for a write: with the state of this router's work if it holds the lease, otherwise with
+    /// the state that the previous holder left, under this router's tenure.
     fn next_record(&self, write: &LeaseWrite, now: Instant) -> LeaseRecord {
         let work = self.singleton.work.borrow();
         let Some(work) = work.as_ref() else {
             return match &self.record {
-                Some(former) => LeaseRecord {
+                Some(previous) => LeaseRecord {
                     tenure: write.tenure.clone(),
-                    renewals: former.renewals + 1,
-                    ..former.clone()
+                    renewals: previous.renewals + 1,
+                    ..previous.clone()
                 },
-                None => LeaseRecord::first(write.tenure.clone()),
+                None => LeaseRecord::initial(write.tenure.clone()),
             };
         };
-        let book = self.singleton.book.borrow();
+        let fleet_usage = self.singleton.fleet_usage.borrow();
         LeaseRecord {
             tenure: write.tenure.clone(),
             renewals: work.renewals + 1,
-            usage: work.usage.journal(&book, self.singleton.fleet_ms(now)),
+            usage: work
+                .usage
+                .journal(&fleet_usage, self.singleton.fleet_ms(now)),
             engines: work.plans(),
         }
     }
@@ -185,40 +195,41 @@
         }
     }
 
-    /// Begins or ends the work, as this router holds the lease now or does not.
-    fn settle(&self, now: Instant) {
+    /// Starts or ends the work if this router has taken or lost the lease, and logs the change.
+    fn update_work(&self, now: Instant) {
         let lease = self.singleton.lease.borrow();
         let held = lease.held_version();
         let token = lease.acts_until().map(|(token, _)| token);
         drop(lease);
         let mut work = self.singleton.work.borrow_mut();
         match (held, work.is_some()) {
-            (Some(version), false) => *work = Some(self.begin_work(version.era, now)),
+            (Some(version), false) => *work = Some(self.start_work(version.era, now)),
             (None, true) => *work = None,
             _ => return,
         }
         drop(work);
         let kind = if held.is_some() { "taken" } else { "lost" };
         count(&self.router.metrics, kind);
-        let former = self.record.as_ref().map(|record| &record.tenure);
+        let tenure = self.record.as_ref().map(|record| &record.tenure);
         let line = LeaseChanged {
             holds: held.is_some(),
             token,
             revision: held.and_then(|version| version.revision),
-            holder: former.map(|tenure| tenure.holder.vm.as_str()),
+            holder: tenure.map(|tenure| tenure.holder.vm.as_str()),
         };
         self.router.log.info("lease.changed", &line);
-        self.singleton.changed.notify_waiters();
+        self.singleton.lease_changed.notify_waiters();
     }
 
-    fn begin_work(&self, era: u64, now: Instant) -> Work {
+    /// The state of the work at a router that has just taken the lease, from the record that the previous holder left.
+    fn start_work(&self, era: u64, now: Instant) -> HolderWork {
         let singleton = self.singleton;
         let fleet_ms = singleton.fleet_ms(now);
         let uptime = now.saturating_duration_since(self.router.lifecycle.started());
         let record = self.record.as_ref();
-        // A record that was just made holds no journal of anybody.
+        // A record that no holder has renewed yet contains no journal.
         let journal = record.map(|r| &r.usage).filter(|usage| usage.written > 0);
-        Work {
+        HolderWork {
             usage: HolderUsage::take_over(
                 singleton.windows(),
                 journal,
@@ -227,25 +238,26 @@
                 fleet_ms,
             ),
             has_updates: false,
-            // Without a record nobody has ordered engines.
+            // Without a record, no holder has ordered engines.
             inherited_plans: record.map(|r| r.engines.clone()).unwrap_or_default(),
             scalers: BTreeMap::new(),
             renewals: record.map_or(0, |record| record.renewals),
         }
     }
 
+    /// Counts a failed call and sleeps before the next one. Only the first failure after a success is logged.
     async fn after_failure(&mut self, reason: &str) {
         count(&self.router.metrics, "store-failed");
-        if self.pause == INITIAL_PAUSE {
+        if self.backoff == INITIAL_BACKOFF {
             log_dependency(&self.router.log, "lease.uncertain", "lease", reason);
         }
-        let pause = jitter(&mut self.router.rng.borrow_mut(), self.pause);
-        self.pause = (self.pause * 2).min(MAX_PAUSE);
+        let pause = jitter(&mut self.router.rng.borrow_mut(), self.backoff);
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
         self.router.timers.sleep(pause).await;
     }
 }
 
-/// The time of day by this VM's own clock, which may be wrong.
+/// The time of day in milliseconds since 1970 by this VM's own clock, which may be wrong.
 pub(super) fn own_wall_ms() -> u64 {
     wall_ms()
 }
--- a/crates/router/cloverpier_router/src/singleton/mod.rs
+++ b/crates/router/cloverpier_router/src/singleton/mod.rs
@@ -1,12 +1,12 @@
-//! Work that one router at a time does for all: usage reports, and orders of engines.
+//! Singleton work: usage reports to the platform and orders of engines, which one router at a time does for all.
 //!
-//! Where the settings name such work, every router counts the requests that began to run and reports
-//! that with its load and its clock ([`reports`]); the routers that watch the store are ready to take the
-//! lease ([`keeper`]), and its holder does the work ([`work`]). Everything is decided in
-//! `cloverpier_router_policy::singleton`; the calls are a platform's ([`platform`]).
+//! If the settings configure singleton work, every router counts the requests that start to run, and reports these
+//! counts, its load and its clock ([`reports`]). Routers that watch the store may take the lease ([`keeper`]), and the
+//! holder of the lease does the work ([`work`]). `cloverpier_router_policy::singleton` makes all decisions; the adapter
+//! of a platform implements the calls ([`platform`]).
 //!
-//! [`state::Singleton`] owns what this router knows of the lease, of the other routers' counts, and of the
-//! work while it is the holder. Without such settings there is none, and nothing of it runs.
+//! [`state::Singleton`] owns the state of the lease, the reports of all routers, and the state of the work at the
+//! holder. If the settings configure no singleton work, there is no such state, and none of the tasks runs.
 
 mod keeper;
 mod platform;
@@ -15,7 +15,7 @@
 mod work;
 
 pub use platform::{
-    LeaseRecord, RecordWritten, ServiceScaling, SignedBy, SingletonPlatform, StoredRecord,
+    HolderCall, LeaseRecord, RecordWriteResult, ServiceScaling, SingletonPlatform, StoredRecord,
 };
 pub(crate) use reports::{on_lease_update, on_report};
 
@@ -27,7 +27,7 @@
 use std::time::Instant;
 use tokio::task::spawn_local;
 
-/// Starts the tasks, where the settings name such work.
+/// Starts the tasks of the singleton work, if the settings configure any.
 pub(crate) fn start(router: &Rc<Router>, platform: impl SingletonPlatform + 'static) {
     if router.singleton.is_none() {
         return;
@@ -38,12 +38,12 @@
     spawn_local(reports::send_reports(Rc::clone(router)));
 }
 
-/// Counts a request that an upstream began to run at a moment.
-pub(crate) fn on_begun(router: &Router, request: &RelayRequest, at: Instant) {
+/// Counts a request that an upstream started to run at `at`, if the settings configure usage reports.
+pub(crate) fn on_request_started(router: &Router, request: &RelayRequest, at: Instant) {
     let Some(singleton) = router.singleton.as_ref().filter(|s| s.settings.meters) else {
         return;
     };
-    // Requests of public routes are on nobody's account.
+    // Requests of public routes have no client account and are not reported.
     let Some(account) = &request.account else {
         return;
     };
--- a/crates/router/cloverpier_router/src/singleton/platform.rs
+++ b/crates/router/cloverpier_router/src/singleton/platform.rs
@@ -1,7 +1,7 @@
-//! The calls for work that one router at a time does, as an interface.
+//! The interface to the platform for singleton work: the calls on the lease's record, and the calls of its holder.
 //!
-//! The adapter of a platform implements [`SingletonPlatform`]. An implementation decides nothing: it
-//! makes one call and returns the outcome.
+//! The adapter of a platform implements [`SingletonPlatform`]. An implementation decides nothing: each method makes one
+//! call and returns the outcome. Owns no state.
 
 use crate::source::SourceError;
 use cloverpier_core::ServiceName;
@@ -15,24 +15,24 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// What the store holds of the lease, and what the next holder has to know of the work.
+/// The lease's record in the store: the holder, and the state of the work that the next holder takes over.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// Whose lease it is.
+    /// The process that holds the lease, with its fencing token.
     pub tenure: Tenure,
-    /// Counts the writes of a holder, so that each of them changes the record.
+    /// Number of writes of the record, so that each write changes its content.
     pub renewals: u64,
-    /// The windows of the usage reports.
+    /// Counts of the usage windows that are not reported yet. Empty in records without this field.
     #[serde(default)]
     pub usage: UsageJournal,
-    /// The engines that were ordered, by service.
+    /// The numbers of engines that the platform accepted orders for, by service. Empty in records without this field.
     #[serde(default)]
     pub engines: BTreeMap<ServiceName, EnginePlan>,
 }
 
 impl LeaseRecord {
-    /// The record of the first holder of all.
-    pub fn first(tenure: Tenure) -> Self {
+    /// The first record of a store, without any usage or ordered engines.
+    pub fn initial(tenure: Tenure) -> Self {
         Self {
             tenure,
             renewals: 1,
@@ -42,80 +42,82 @@
     }
 }
 
-/// The record as a read found it.
+/// The lease's record as the store returned it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredRecord {
-    /// Its version.
+    /// The era of the store, and the store's revision of the record's last change.
     pub version: RecordVersion,
-    /// The record; `None` where there is none.
+    /// The record's content; `None` if the record does not exist.
     pub record: Option<LeaseRecord>,
 }
 
-/// The result of a write.
+/// The result of a conditional write of the lease's record.
 #[derive(Debug)]
-pub enum RecordWritten {
-    /// It was done: the record has this version now.
+pub enum RecordWriteResult {
+    /// The write was applied, and the record has this version now.
     Done(RecordVersion),
-    /// It was not done: this is the record.
+    /// The write was not applied, as the record is in this state instead of the required one.
     Conflict(StoredRecord),
-    /// It was not done, and the answer does not say how the record is.
+    /// The write was not applied, and the response does not contain the record.
     NotDone(SourceError),
-    /// It may have been done, or be done later.
+    /// No usable response: the write may have been applied, or may still be applied later.
     Unknown(SourceError),
 }
 
-/// Who makes a call, for the platform's own checks.
+/// The identity under which the holder makes a call, sent to the platform for its own checks, and the time limit of the
+/// call.
 #[derive(Clone, Copy, Debug)]
-pub struct SignedBy<'a> {
-    /// The holder's VM.
+pub struct HolderCall<'a> {
+    /// The name of the holder's VM.
     pub holder: &'a str,
-    /// Its fencing token.
+    /// The fencing token of the holder's lease.
     pub token: u64,
-    /// How long the call may take: it is given up before the lease is over.
+    /// The time after which the implementation aborts the call. It ends before the lease expires.
     pub timeout: Duration,
 }
 
 /// The operator's bounds on the engines of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceScaling {
-    /// The service.
+    /// The service that the bounds apply to.
     pub service: ServiceName,
-    /// The bounds.
+    /// The smallest and largest numbers of engines, their start time and their prices.
     pub bounds: ScalingBounds,
 }
 
-/// Where the lease lies, and where the work is done.
+/// The platform's store, which holds the lease's record, and the platform's API, which takes usage reports and orders
+/// of engines.
 pub trait SingletonPlatform {
     /// Reads the lease's record.
     ///
     /// # Errors
     ///
-    /// [`SourceError`], as for each call.
+    /// [`SourceError`], as for each call of this trait, if the call fails or its response is unusable.
     fn read_record(&self) -> impl Future<Output = Result<StoredRecord, SourceError>>;
 
-    /// Writes the record, if it is as the write requires.
+    /// Writes the record if the stored one meets the condition of `write`.
     fn write_record(
         &self,
         write: &LeaseWrite,
         record: &LeaseRecord,
-    ) -> impl Future<Output = RecordWritten>;
+    ) -> impl Future<Output = RecordWriteResult>;
 
-    /// Reports the usage of a window.
+    /// Reports the number of requests of each client account that started to run in a window.
     fn report_usage(
         &self,
-        by: SignedBy<'_>,
+        call: HolderCall<'_>,
         window: Window,
         counts: &WindowCounts,
     ) -> impl Future<Output = Result<(), SourceError>>;
 
-    /// Orders how many engines a data centre holds.
+    /// Sets the number of engines of one kind that a data centre should hold for a service.
     fn order_engines(
         &self,
-        by: SignedBy<'_>,
+        call: HolderCall<'_>,
         service: &ServiceName,
         order: &EngineOrder,
     ) -> impl Future<Output = Result<OrderResult, SourceError>>;
 
-    /// Reads the bounds on the engines of all services that have some.
+    /// Reads the bounds on engines of each service that the operator has set bounds for.
     fn read_scaling(&self) -> impl Future<Output = Result<Vec<ServiceScaling>, SourceError>>;
 }
--- a/crates/router/cloverpier_router/src/singleton/reports.rs
+++ b/crates/router/cloverpier_router/src/singleton/reports.rs
@@ -1,8 +1,8 @@
-//! What routers report to the holder of the lease, and what the holder reports to them.
+//! Messages of the singleton work between routers: fleet reports to the holder of the lease, lease updates from it.
 //!
-//! Every router reports its counts, its load and its clock to the routers that watch the store, of
-//! which one mostly is the holder, and to the holder. The holder answers with the version of the lease's
-//! record, the time of day, and the first window of which it still needs counts. Owns no state.
+//! Every router reports its usage counts, its load and its clock to the routers that watch the store, one of which
+//! usually is the holder, and to the holder itself. The holder replies with the version of the lease's record, the
+//! fleet's time of day, and the first usage window that is not decided. Owns no state: [`super::state`] does.
 
 use super::keeper::own_wall_ms;
 use super::state::{ReportedLoads, Singleton};
@@ -17,20 +17,21 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often new counts are reported: what a router counted since is lost with it.
-const REPORT_PERIOD: Duration = Duration::from_millis(500);
-/// Reports without new counts are sent once in this many periods, for clocks and loads.
-const QUIET_PERIODS: u32 = 2;
+/// Interval at which new counts are reported. When a router crashes, the requests that it counted since its last report
+/// are lost.
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// Without new counts, a report is sent only in every second interval, for the clock and the load.
+const IDLE_REPORT_INTERVALS: u32 = 2;
 
-/// Sends reports until the process ends.
+/// Sends fleet reports until the process exits. Returns at once if the settings configure no singleton work.
 pub(super) async fn send_reports(router: Rc<Router>) {
     let Some(singleton) = &router.singleton else {
         return;
     };
-    for period in 0u32.. {
-        router.timers.sleep(REPORT_PERIOD).await;
+    for interval in 0u32.. {
+        router.timers.sleep(REPORT_INTERVAL).await;
         let has_updates = singleton.own_usage.borrow_mut().take_updates();
-        if has_updates || period.is_multiple_of(QUIET_PERIODS) {
+        if has_updates || interval.is_multiple_of(IDLE_REPORT_INTERVALS) {
             send_report(&router, singleton);
         }
     }
@@ -44,8 +45,8 @@
     to.sort_unstable();
     to.dedup();
     let started = router.lifecycle.started();
-    let pieces = split_into_reports(singleton.own_usage.borrow().windows());
-    for windows in pieces {
+    let parts = split_into_reports(singleton.own_usage.borrow().windows());
+    for windows in parts {
         let report = FleetReport {
             sender,
             incarnation: router.lifecycle.incarnation(),
@@ -59,11 +60,11 @@
             .peers
             .outbox
             .send(message, Recipients::These(to.clone()));
-        take_report(singleton, report, now);
+        record_report(singleton, report, now);
     }
 }
 
-/// This router's load at each service of engines.
+/// This router's load at each service that has engines; empty without a configuration.
 fn own_loads(router: &Router) -> Vec<(ServiceKey, ServiceLoad)> {
     let Some(configuration) = router.store.configuration() else {
         return Vec::new();
@@ -78,28 +79,28 @@
     loads.collect()
 }
 
-/// Records a router's report, and answers it where this router holds the lease.
+/// Records a router's fleet report, and replies with a lease update if this router holds the lease.
 pub(crate) fn on_report(router: &Router, report: FleetReport, now: Instant) {
     let Some(singleton) = &router.singleton else {
         return;
     };
     let sender = report.sender;
-    take_report(singleton, report, now);
+    record_report(singleton, report, now);
     if singleton.work.borrow().is_some() {
-        tell(router, singleton, vec![sender]);
+        send_update(router, singleton, vec![sender]);
     }
 }
 
-fn take_report(singleton: &Singleton, report: FleetReport, now: Instant) {
-    let from = UsageReporter {
+fn record_report(singleton: &Singleton, report: FleetReport, now: Instant) {
+    let reporter = UsageReporter {
         router: report.sender,
         incarnation: report.incarnation,
     };
     let mut clock = singleton.clock.borrow_mut();
     clock.on_reading(report.sender, report.wall_ms, now);
     drop(clock);
-    let mut book = singleton.book.borrow_mut();
-    book.on_report(from, report.started, report.windows);
+    let mut fleet_usage = singleton.fleet_usage.borrow_mut();
+    fleet_usage.on_report(reporter, report.started, report.windows);
     let mut loads = singleton.loads.borrow_mut();
     let reported = ReportedLoads {
         at: now,
@@ -108,13 +109,14 @@
     loads.insert(report.sender, reported);
 }
 
-/// Tells the routers that may take the lease that it was renewed.
+/// Sends a lease update to the routers that watch the store and so may take the lease, after it was renewed.
 pub(super) fn notify_watchers(router: &Router, singleton: &Singleton) {
     let watchers = router.peers.watchers(router.now(), router.peer_timeout());
-    tell(router, singleton, watchers);
+    send_update(router, singleton, watchers);
 }
 
-fn tell(router: &Router, singleton: &Singleton, to: Vec<SocketAddr>) {
+/// Sends a lease update, unless this router holds no lease or none of its writes was acknowledged.
+fn send_update(router: &Router, singleton: &Singleton, to: Vec<SocketAddr>) {
     let lease = singleton.lease.borrow();
     let (Some(version), Some((token, _))) = (lease.held_version(), lease.acts_until()) else {
         return;
@@ -135,7 +137,8 @@
     router.peers.outbox.send(message, Recipients::These(to));
 }
 
-/// Records what the holder says.
+/// Applies a lease update of the holder: the record's version, the fleet's time of day, and the first undecided usage
+/// window, before which counts are discarded. A router that holds the lease itself ignores all but the version.
 pub(crate) fn on_lease_update(router: &Router, update: &LeaseUpdate, now: Instant) {
     let Some(singleton) = &router.singleton else {
         return;
@@ -149,7 +152,10 @@
     }
     singleton.holder.set(Some(update.sender));
     singleton.clock.borrow_mut().adopt(update.fleet_ms, now);
-    let mut own = singleton.own_usage.borrow_mut();
-    own.discard_before(update.undecided);
-    singleton.book.borrow_mut().discard_before(update.undecided);
+    let mut own_usage = singleton.own_usage.borrow_mut();
+    own_usage.discard_before(update.undecided);
+    singleton
+        .fleet_usage
+        .borrow_mut()
+        .discard_before(update.undecided);
 }
--- a/crates/router/cloverpier_router/src/singleton/work.rs
+++ b/crates/router/cloverpier_router/src/singleton/work.rs
@@ -1,10 +1,11 @@
-//! What the holder of the lease does: usage reports, and orders of engines.
+//! The work of the lease's holder: usage reports to the platform, and orders of engines.
 //!
-//! A loop at each router, which does nothing while the router does not hold the lease. Each call is
-//! made only while the lease is sure to last, and given up before it is over. Owns how the calls go.
+//! The loop runs at every router, and makes no calls while the router does not hold the lease. A call to the platform's
+//! API starts only if the holder may act for long enough, and is aborted before the holder must stop acting. Owns since
+//! when calls fail, and the operator's bounds on engines; [`super::state::Singleton`] owns the state of the work.
 
 use super::count;
-use super::platform::{ServiceScaling, SignedBy, SingletonPlatform};
+use super::platform::{HolderCall, ServiceScaling, SingletonPlatform};
 use super::state::Singleton;
 use crate::decision_log::log_dependency;
 use crate::decision_log::{EnginesOrdered, UsageReported};
@@ -20,25 +21,29 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often the holder looks what is due.
-const WORK_PERIOD: Duration = Duration::from_millis(200);
-/// How often engines are planned.
-const PLAN_PERIOD: Duration = Duration::from_secs(1);
-/// A call is made only if the lease lasts for so much longer.
-const LEAST_LEFT: Duration = Duration::from_millis(300);
-/// A call that takes longer is given up, and made again.
+/// Interval of the loop.
+const WORK_INTERVAL: Duration = Duration::from_millis(200);
+/// Minimum time between two plans of the engines.
+const PLAN_INTERVAL: Duration = Duration::from_secs(1);
+/// A call under the lease is aborted at the latest this long before the holder must stop acting, and not started with
+/// less time left.
+const LEASE_END_MARGIN: Duration = Duration::from_millis(300);
+/// Time after which a call is aborted. The call is repeated later.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause after a failed call.
+/// Pause after a failed usage report.
 const FAILURE_PAUSE: Duration = Duration::from_millis(300);
-/// A holder whose calls fail for this multiple of the lease's duration leaves it to others for as long.
-const UNFIT_AFTER: u32 = 1;
-const UNFIT_FOR: u32 = 4;
-/// A router's report of its load counts for this long: some reports, of which one may be lost.
+/// A holder whose calls have failed for longer than this multiple of the lease's duration lets its lease expire, as the
+/// calls of another router may succeed.
+const INELIGIBLE_AFTER_LEASES: u32 = 1;
+/// For this multiple of the lease's duration, such a holder does not take the lease again.
+const INELIGIBLE_FOR_LEASES: u32 = 4;
+/// How long a router's reported load counts. A load is reported at least every second, and reports may be lost.
 const LOAD_TTL: Duration = Duration::from_secs(3);
-/// Engines are ordered only by a router that has known the list of upstreams for this long.
-const LIST_SETTLES: Duration = Duration::from_secs(2);
+/// A router orders engines only after it could watch the store for this long, as the orders depend on the listed
+/// engines.
+const LIST_SETTLE_DELAY: Duration = Duration::from_secs(2);
 
-/// Does the work until the process ends.
+/// Does the holder's work until the process exits. Returns at once if the settings configure no singleton work.
 pub(super) async fn do_work(router: Rc<Router>, platform: Rc<impl SingletonPlatform>) {
     let Some(singleton) = &router.singleton else {
         return;
@@ -49,10 +54,10 @@
         platform: &*platform,
         failing_since: None,
         scaling: None,
-        next_plan: router.now(),
+        next_plan_at: router.now(),
     };
     loop {
-        router.timers.sleep(WORK_PERIOD).await;
+        router.timers.sleep(WORK_INTERVAL).await;
         if singleton.work.borrow().is_some() {
             singleton.clock.borrow_mut().take_median(router.now());
         }
@@ -69,23 +74,25 @@
     router: &'a Router,
     singleton: &'a Singleton,
     platform: &'a P,
-    /// Since when calls fail.
+    /// When the first of the present series of failed calls failed; `None` after a success.
     failing_since: Option<Instant>,
-    /// The operator's bounds, and the version of the configuration in which they were read.
+    /// The operator's bounds on engines, and the version of this router's configuration when they were read; `None`
+    /// before the first read.
     scaling: Option<(u64, Vec<ServiceScaling>)>,
-    next_plan: Instant,
+    /// Engines are not planned before this moment.
+    next_plan_at: Instant,
 }
 
-/// What allows one call.
-struct Permit {
+/// Authorization for one call under the lease.
+struct CallAuthorization {
     holder: String,
     token: u64,
     timeout: Duration,
 }
 
-impl Permit {
-    fn signed(&self) -> SignedBy<'_> {
-        SignedBy {
+impl CallAuthorization {
+    fn holder_call(&self) -> HolderCall<'_> {
+        HolderCall {
             holder: &self.holder,
             token: self.token,
             timeout: self.timeout,
@@ -94,28 +101,28 @@
 }
 
 impl<P: SingletonPlatform> Worker<'_, P> {
-    /// Allows a call now, where the lease lasts long enough.
-    fn permit(&self) -> Option<Permit> {
+    /// Authorizes a call that starts now; `None` if this router does not hold the lease, or must stop acting too soon.
+    fn authorize_call(&self) -> Option<CallAuthorization> {
         let now = self.router.now();
         let (token, until) = self.singleton.lease.borrow().acts_until()?;
-        let left = until.saturating_duration_since(now);
-        (left > LEAST_LEFT).then(|| Permit {
+        let remaining = until.saturating_duration_since(now);
+        (remaining > LEASE_END_MARGIN).then(|| CallAuthorization {
             holder: self.router.settings().vm.to_string(),
             token,
-            timeout: (left - LEAST_LEFT).min(CALL_TIMEOUT),
+            timeout: (remaining - LEASE_END_MARGIN).min(CALL_TIMEOUT),
         })
     }
 
     async fn report_usage(&mut self) {
         for (window, counts) in self.due_reports() {
-            let Some(permit) = self.permit() else {
+            let Some(authorization) = self.authorize_call() else {
                 return;
             };
             let sent = self
                 .platform
-                .report_usage(permit.signed(), window, &counts)
+                .report_usage(authorization.holder_call(), window, &counts)
                 .await;
-            self.on_reported(&permit, window, &counts, &sent);
+            self.on_reported(&authorization, window, &counts, &sent);
             if sent.is_err() {
                 self.router.timers.sleep(FAILURE_PAUSE).await;
                 return;
@@ -123,7 +130,7 @@
         }
     }
 
-    /// The windows to report, where this router holds the lease.
+    /// The usage windows to report; empty if this router does not hold the lease.
     fn due_reports(&self) -> Vec<(Window, WindowCounts)> {
         let work = self.singleton.work.borrow();
         work.as_ref()
@@ -132,12 +139,12 @@
 
     fn on_reported(
         &mut self,
-        permit: &Permit,
+        authorization: &CallAuthorization,
         window: Window,
         counts: &WindowCounts,
         sent: &Result<(), SourceError>,
     ) {
-        self.note_outcome("usage", sent.as_ref().err());
+        self.record_outcome("usage", sent.as_ref().err());
         if sent.is_err() {
             return;
         }
@@ -150,20 +157,21 @@
             window,
             accounts: counts.len(),
             requests: counts.values().map(|count| u64::from(*count)).sum(),
-            token: permit.token,
+            token: authorization.token,
         };
         self.router.log.info("usage.reported", &line);
     }
 
-    /// Records how a call went; a holder whose calls keep failing leaves the lease to others.
-    fn note_outcome(&mut self, name: &str, error: Option<&SourceError>) {
+    /// Records the outcome of a call: `error` is `None` for a success. If calls keep failing, this router becomes
+    /// ineligible to hold the lease for a while.
+    fn record_outcome(&mut self, name: &str, error: Option<&SourceError>) {
         let now = self.router.now();
         let Some(error) = error else {
             self.failing_since = None;
             return;
         };
         count(&self.router.metrics, "call-failed");
-        let since = *self.failing_since.get_or_insert_with(|| {
+        let failing_since = *self.failing_since.get_or_insert_with(|| {
             log_dependency(
                 &self.router.log,
                 "dependency.lost",
@@ -173,20 +181,21 @@
             now
         });
         let duration = self.singleton.settings.lease;
-        if now.saturating_duration_since(since) > duration * UNFIT_AFTER {
+        if now.saturating_duration_since(failing_since) > duration * INELIGIBLE_AFTER_LEASES {
             self.failing_since = None;
-            let until = now + duration * UNFIT_FOR;
-            self.singleton.unfit_until.set(Some(until));
+            let until = now + duration * INELIGIBLE_FOR_LEASES;
+            self.singleton.ineligible_until.set(Some(until));
             log_dependency(&self.router.log, "lease.left", name, &error.to_string());
         }
     }
 
     async fn order_engines(&mut self) {
         let now = self.router.now();
-        if now < self.next_plan || self.permit().is_none() || !self.list_is_settled(now) {
+        if now < self.next_plan_at || self.authorize_call().is_none() || !self.is_list_settled(now)
+        {
             return;
         }
-        self.next_plan = now + PLAN_PERIOD;
+        self.next_plan_at = now + PLAN_INTERVAL;
         self.refresh_scaling().await;
         let Some((_, scaling)) = self.scaling.clone() else {
             return;
@@ -196,12 +205,13 @@
         }
     }
 
-    fn list_is_settled(&self, now: Instant) -> bool {
-        let serving = self.router.store.watches_from();
-        serving.is_some_and(|since| now.saturating_duration_since(since) > LIST_SETTLES)
+    /// Whether this router could watch the store for longer than [`LIST_SETTLE_DELAY`].
+    fn is_list_settled(&self, now: Instant) -> bool {
+        let watches_from = self.router.store.watches_from();
+        watches_from.is_some_and(|since| now.saturating_duration_since(since) > LIST_SETTLE_DELAY)
     }
 
-    /// Reads the operator's bounds anew where the configuration has changed.
+    /// Reads the operator's bounds on engines if the version of the configuration has changed since the last read.
     async fn refresh_scaling(&mut self) {
         let version = self.router.store.configuration_version();
         if self.scaling.as_ref().is_some_and(|(at, _)| *at == version) {
@@ -219,31 +229,32 @@
     async fn order_engines_of(&mut self, scaling: &ServiceScaling) {
         let (orders, load) = self.due_orders(scaling);
         for order in orders {
-            let Some(permit) = self.permit() else {
+            let Some(authorization) = self.authorize_call() else {
                 return;
             };
-            let call = self
-                .platform
-                .order_engines(permit.signed(), &scaling.service, &order);
+            let call =
+                self.platform
+                    .order_engines(authorization.holder_call(), &scaling.service, &order);
             let sent = call.await;
-            self.note_outcome("scaling", sent.as_ref().err());
+            self.record_outcome("scaling", sent.as_ref().err());
             let Ok(result) = sent else {
-                // It is noted above; the next plan makes the order again.
+                // The failure is recorded above; the next plan repeats the order.
                 return;
             };
-            self.on_ordered(&permit, &scaling.service, &order, result, load);
+            self.on_ordered(&authorization, &scaling.service, &order, result, load);
         }
     }
 
-    /// The orders that are due, and the load that decided them.
+    /// The orders that are due, and the highest recent load that they are planned for, as a number of engines.
     fn due_orders(&self, scaling: &ServiceScaling) -> (Vec<EngineOrder>, f64) {
         let now = self.router.now();
         let listed = listed_engines(&self.router.upstreams.borrow(), &scaling.service);
-        // Without the service's configuration or any upstream of it nothing is known of its load.
-        let Some(size) = self.engine_size(&scaling.service) else {
+        // Without the service's configuration or any upstream of the service, the capacity of an engine is unknown, and
+        // no engines are ordered.
+        let Some(capacity) = self.engine_capacity(&scaling.service) else {
             return (Vec::new(), 0.0);
         };
-        let load = self.load_of(&scaling.service, now).in_engines(size);
+        let load = self.fleet_load(&scaling.service, now).in_engines(capacity);
         let mut work = self.singleton.work.borrow_mut();
         let Some(work) = work.as_mut() else {
             return (Vec::new(), load);
@@ -253,7 +264,7 @@
             .scalers
             .entry(scaling.service.clone())
             .or_insert_with(|| {
-                let plan = inherited.unwrap_or_else(|| first_plan(&listed));
+                let plan = inherited.unwrap_or_else(|| initial_plan(&listed));
                 Autoscaler::new(scaling.bounds.clone(), plan)
             });
         scaler.set_bounds(scaling.bounds.clone());
@@ -261,7 +272,9 @@
         (scaler.orders(&listed, now), scaler.peak())
     }
 
-    fn engine_size(&self, service: &ServiceName) -> Option<EngineCapacity> {
+    /// The capacity of one engine of a service; `None` if the service is not configured, has no engines or has no
+    /// upstreams.
+    fn engine_capacity(&self, service: &ServiceName) -> Option<EngineCapacity> {
         let configuration = self.router.store.configuration()?;
         let mut services = configuration.unindexed().services.iter();
         let engine = services.find(|s| s.name == *service)?.engine?;
@@ -273,23 +286,23 @@
         })
     }
 
-    /// The load of all routers at a service.
-    fn load_of(&self, service: &ServiceName, now: Instant) -> ServiceLoad {
+    /// The sum of the recent loads of all routers at a service.
+    fn fleet_load(&self, service: &ServiceName, now: Instant) -> ServiceLoad {
         let key = ServiceKey::of(service);
         let mut loads = self.singleton.loads.borrow_mut();
         loads.retain(|_, reported| now.saturating_duration_since(reported.at) <= LOAD_TTL);
-        let mut all = ServiceLoad::default();
+        let mut total = ServiceLoad::default();
         let of_service = loads.values().flat_map(|reported| &reported.loads);
         for (_, load) in of_service.filter(|(of, _)| *of == key) {
-            all.streams += load.streams;
-            all.memory_tokens += load.memory_tokens;
+            total.streams += load.streams;
+            total.memory_tokens += load.memory_tokens;
         }
-        all
+        total
     }
 
     fn on_ordered(
         &self,
-        permit: &Permit,
+        authorization: &CallAuthorization,
         service: &ServiceName,
         order: &EngineOrder,
         result: OrderResult,
@@ -309,13 +322,13 @@
             count: order.count,
             result,
             peak_load: load,
-            token: permit.token,
+            token: authorization.token,
         };
         self.router.log.info("engines.ordered", &line);
     }
 }
 
-/// Engines of a service that are listed and stay, by data centre.
+/// The number of listed engines of a service that are not leaving, by data centre.
 fn listed_engines(table: &UpstreamTable, service: &ServiceName) -> BTreeMap<DataCentre, u32> {
     let mut listed = BTreeMap::new();
     for state in table.of_service(service).filter(|s| s.is_listed()) {
@@ -325,24 +338,24 @@
     listed
 }
 
-/// What the data centres hold before anything was ordered.
-fn first_plan(listed: &BTreeMap<DataCentre, u32>) -> EnginePlan {
-    let held = listed.iter().map(|(data_centre, count)| {
+/// The plan before any order: the listed engines of each data centre, all counted as on demand.
+fn initial_plan(listed: &BTreeMap<DataCentre, u32>) -> EnginePlan {
+    let plan = listed.iter().map(|(data_centre, count)| {
         let engines = Engines {
             on_demand: *count,
             spot: 0,
         };
         (data_centre.clone(), engines)
     });
-    held.collect()
+    plan.collect()
 }
 
-/// This router's own load at a service.
+/// The load that this router's own requests cause at a service.
 pub(super) fn own_load(table: &UpstreamTable, service: &ServiceName) -> ServiceLoad {
-    let mut all = ServiceLoad::default();
+    let mut total = ServiceLoad::default();
     for state in table.of_service(service) {
-        all.streams += u64::from(state.own_load.requests);
-        all.memory_tokens += u64::from(state.own_load.memory_tokens);
+        total.streams += u64::from(state.own_load.requests);
+        total.memory_tokens += u64::from(state.own_load.memory_tokens);
     }
-    all
+    total
 }
--- a/crates/router/cloverpier_router/src/stream/receive.rs
+++ b/crates/router/cloverpier_router/src/stream/receive.rs
@@ -44,7 +44,7 @@
         let now = self.router.now();
         if self.progress.events == 0 {
             // Later runs go on with the same request.
-            singleton::on_begun(&self.router, &self.request, now);
+            singleton::on_request_started(&self.router, &self.request, now);
         }
         self.progress.on_events(count, now);
         self.on_progress(now);
--- a/crates/router/cloverpier_router/tests/singleton_messages.rs
+++ b/crates/router/cloverpier_router/tests/singleton_messages.rs
@@ -1,7 +1,7 @@
-//! The bytes of the messages about work that one router at a time does.
+//! Wire format of the messages of the singleton work between routers.
 //!
-//! Each golden file must decode to the value below, and the value must encode to it: routers of other
-//! releases read these bytes.
+//! Each golden file must decode to the value in its test, and the value must encode to the bytes of the file. Routers
+//! of different releases exchange these messages, so a change of the bytes would break them during an upgrade.
 
 use cloverpier_core::AccountName;
 use cloverpier_router::peer_messages::{FleetReport, LeaseUpdate, PeerMessage, decode, encode};
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 
 #[track_caller]
-fn assert_is_golden(name: &str, text: &str, message: &PeerMessage) {
+fn assert_matches_golden(name: &str, text: &str, message: &PeerMessage) {
     let digits: String = text.split_whitespace().collect();
     let starts = (0..digits.len()).step_by(2);
     let bytes = starts.map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap());
@@ -21,9 +21,13 @@
     assert_eq!(
         &decode::<PeerMessage>(&bytes).unwrap(),
         message,
-        "{name} is read"
+        "decoding {name} gives another message"
+    );
+    assert_eq!(
+        encode(message).unwrap(),
+        bytes,
+        "encoding the message gives other bytes than {name}"
     );
-    assert_eq!(encode(message).unwrap(), bytes, "{name} is written");
 }
 
 fn sender() -> SocketAddr {
@@ -46,13 +50,13 @@
 }
 
 #[test]
-fn a_fleet_report_keeps_its_bytes() {
+fn fleet_report_matches_golden_bytes() {
     let counts = vec![
         (AccountName::new("lab"), 3),
         (AccountName::new("desk"), 300),
     ];
     let message = PeerMessage::FleetReport(report(vec![(358_000_002, counts)]));
-    assert_is_golden(
+    assert_matches_golden(
         "fleet_report",
         include_str!("golden/fleet_report.hex"),
         &message,
@@ -60,7 +64,7 @@
 }
 
 #[test]
-fn lease_updates_keep_their_bytes() {
+fn lease_update_matches_golden_bytes() {
     let message = PeerMessage::LeaseUpdate(LeaseUpdate {
         sender: sender(),
         version: RecordVersion {
@@ -71,7 +75,7 @@
         undecided: 358_000_001,
         fleet_ms: 1_790_000_012_345,
     });
-    assert_is_golden(
+    assert_matches_golden(
         "lease_update",
         include_str!("golden/lease_update.hex"),
         &message,
@@ -79,7 +83,7 @@
 }
 
 #[test]
-fn as_many_counts_as_one_report_holds_fit_into_a_datagram() {
+fn largest_fleet_report_fits_into_a_datagram() {
     let count = |n: usize| (AccountName::new(format!("{n:064}")), u32::MAX);
     let windows = vec![(u64::MAX, (0..MAX_COUNTS_PER_REPORT).map(count).collect())];
     let bytes = encode(&PeerMessage::FleetReport(report(windows))).unwrap();
