--- a/crates/router/cloverpier_router/src/choice_log.rs
+++ b/crates/router/cloverpier_router/src/choice_log.rs
@@ -58,7 +58,9 @@
     let peers = table.peer_load.at(UpstreamKey::of(&upstream.name));
     let service = &request.service.name;
     let out = table.exclusion_counts(service, note.now);
-    let limited = router.upstream_limits.limited_of(table.of_service(service));
+    let limited = router
+        .upstream_limits
+        .count_limited(table.of_service(service));
     router.log.info(
         "server.chosen",
         &UpstreamChosen {
--- a/crates/router/cloverpier_router/src/crashes/admission.rs
+++ b/crates/router/cloverpier_router/src/crashes/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of requests: whether a request may be sent to an upstream, by the crashes that its content may have caused.
+//! Admission of requests: whether a request may be sent to an upstream, by the crashes that its content may have
+//! caused.
 //!
 //! A request whose next attempt could crash one upstream too many is held here until the earlier attempts with the
 //! same content are resolved. `cloverpier_crashes` decides what is held and what is blocked. Owns no state. Relies on
--- a/crates/router/cloverpier_router/src/crashes/block_changes.rs
+++ b/crates/router/cloverpier_router/src/crashes/block_changes.rs
@@ -1,7 +1,8 @@
 //! Carries out changes of the blocked request contents: cancels the attempts of requests whose content is now blocked,
 //! and logs which contents are blocked and unblocked.
 //!
-//! The crash registry in `cloverpier_crashes` decides which contents are blocked. Owns no state: [`super::state`] does.
+//! The crash registry in `cloverpier_crashes` decides which contents are blocked. Owns no state: [`super::state`]
+//! does.
 
 use super::neighbours::upstream_name;
 use crate::decision_log::{ContentCleared, ContentStopped};
--- a/crates/router/cloverpier_router/src/crashes/record.rs
+++ b/crates/router/cloverpier_router/src/crashes/record.rs
@@ -1,8 +1,8 @@
 //! Reports the events that this router observes to the crash tracker: lost attempts, and crashes, suspected failures
 //! and responses of upstreams.
 //!
-//! `cloverpier_crashes` decides which upstreams have crashed; each event wakes [`super::resolution`], which carries out
-//! the result. Owns no state: [`super::state`] does.
+//! `cloverpier_crashes` decides which upstreams have crashed; each event wakes [`super::resolution`], which carries
+//! out the result. Owns no state: [`super::state`] does.
 
 use crate::relay_request::RelayRequest;
 use crate::router::Router;
--- a/crates/router/cloverpier_router/src/crashes/reports.rs
+++ b/crates/router/cloverpier_router/src/crashes/reports.rs
@@ -1,8 +1,8 @@
 //! Exchange of crash reports between routers: which request contents may have crashed upstreams.
 //!
 //! `cloverpier_router_policy::crash_reports` decides what is reported and splits the reports into datagrams,
-//! `cloverpier_router_policy::dissemination` when they are repeated. Owns no state: [`super::state`] holds the recorded
-//! crashes and the time of the last new report.
+//! `cloverpier_router_policy::dissemination` when they are repeated. Owns no state: [`super::state`] holds the
+//! recorded crashes and the time of the last new report.
 
 use super::block_changes::apply_block_changes;
 use crate::outbox::Recipients;
@@ -31,8 +31,9 @@
     }
 }
 
-/// Calls [`send_missed`] if a heartbeat shows that its sender may have missed crash reports, as it is new, was silent
-/// or was restarted. `previous` is the state of the sender before the heartbeat; `None` if the sender is new.
+/// Calls [`send_missed_if_selected`] if a heartbeat shows that its sender may have missed crash reports, as it is new,
+/// was silent or was restarted. `previous` is the state of the sender before the heartbeat; `None` if the sender is
+/// new.
 pub(crate) fn send_if_missed(
     router: &Router,
     peer: SocketAddr,
@@ -40,13 +41,13 @@
     entry: &PeerEntry,
 ) {
     if may_have_missed_facts(previous, entry, router.peer_timeout()) {
-        send_missed(router, peer);
+        send_missed_if_selected(router, peer);
     }
 }
 
 /// Sends the suspect contents to a peer that may have missed reports. In a large fleet only some routers, drawn at
 /// random, send them.
-pub(crate) fn send_missed(router: &Router, peer: SocketAddr) {
+pub(crate) fn send_missed_if_selected(router: &Router, peer: SocketAddr) {
     if router.crashes.tracker.borrow().registry.is_empty() {
         return;
     }
@@ -85,8 +86,8 @@
     }
 }
 
-/// Merges a peer's crash reports. If they add anything, a large fleet's router passes them on, and suspect contents are
-/// sent to peers repeatedly for a while.
+/// Merges a peer's crash reports. If they add anything, a large fleet's router passes them on, and suspect contents
+/// are sent to peers repeatedly for a while.
 pub(crate) fn on_reports(router: &Router, reports: CrashReports, now: Instant) {
     let mut tracker = router.crashes.tracker.borrow_mut();
     let changed = tracker.registry.merge(&reports.contents, now);
--- a/crates/router/cloverpier_router/src/gossip.rs
+++ b/crates/router/cloverpier_router/src/gossip.rs
@@ -144,7 +144,7 @@
     let reply = apply_members(router, &gossip, now);
     record_entry(router, &gossip, now);
     if reply.is_new_or_changed {
-        crash_reports::send_missed(router, sender);
+        crash_reports::send_missed_if_selected(router, sender);
         leaving_reports::greet_newcomer(router, sender);
         limit_reports::greet_newcomer(router, sender);
     }
--- a/crates/router/cloverpier_router/src/peer_reports.rs
+++ b/crates/router/cloverpier_router/src/peer_reports.rs
@@ -77,7 +77,7 @@
 fn on_limit_ask(router: &Router, ask: &LimitAsk) {
     let table = router.upstreams.borrow();
     let state = table.by_key(ask.request.upstream);
-    router.upstream_limits.on_ask(ask, state);
+    router.upstream_limits.on_limiter_request(ask, state);
 }
 
 fn on_change(router: &Router, change: Change, now: Instant) {
--- a/crates/router/cloverpier_router/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -153,7 +153,7 @@
         let (router, request) = (self.router, self.request);
         let search = PermitSearch::new(request.patience(router.now()));
         let limits = &router.upstream_limits;
-        let chosen = limits.offer(
+        let chosen = limits.choose_with_permit(
             search,
             |limits| self.choose(limits).map(Box::new),
             |upstream| router.is_usable(upstream),
--- a/crates/router/cloverpier_router/src/probe.rs
+++ b/crates/router/cloverpier_router/src/probe.rs
@@ -78,7 +78,7 @@
 async fn probe_until_clear(router: &Rc<Router>, upstream: &Upstream, health: &UpstreamHealth) {
     for _ in 0..MAX_PROBES {
         let permission = router.upstream_limits.acquire(upstream, QUESTION_PATIENCE);
-        if permission.await != Permission::Given {
+        if permission.await != Permission::Granted {
             router.metrics.probes.count("without-permit");
             return;
         }
@@ -219,7 +219,7 @@
     // A service that is not configured any more has no path to check.
     let Some(service) = service else { return };
     let permission = router.upstream_limits.acquire(&upstream, QUESTION_PATIENCE);
-    if permission.await != Permission::Given {
+    if permission.await != Permission::Granted {
         // It stays suspected; the next check is scheduled already.
         router.metrics.probes.count("without-permit");
         return;
--- a/crates/router/cloverpier_router/src/restart.rs
+++ b/crates/router/cloverpier_router/src/restart.rs
@@ -38,7 +38,7 @@
 
 fn give_up_former_start(router: &Router, upstream: &Upstream, now: Instant) {
     let name: &UpstreamName = &upstream.name;
-    router.upstream_limits.forget(upstream);
+    router.upstream_limits.remove(upstream);
     record::on_process_replaced(router, upstream);
     let health = router.health.of(upstream, now);
     // What runs since the host refused, or is kept, is at the new start already.
--- a/crates/router/cloverpier_router/src/rollout_store.rs
+++ b/crates/router/cloverpier_router/src/rollout_store.rs
@@ -108,8 +108,8 @@
     (stored.status != Some(status)).then_some((stored, status))
 }
 
-/// How long this router waits before it writes a status: [`WRITE_STAGGER`] for each other router that watches the store
-/// and has a lower address.
+/// How long this router waits before it writes a status: [`WRITE_STAGGER`] for each other router that watches the
+/// store and has a lower address.
 fn write_delay(router: &Router, now: Instant) -> Duration {
     let own = router.settings().listen.peers;
     let watchers = router.peers.watchers(now, router.peer_timeout());
@@ -135,8 +135,8 @@
     log_dependency(&router.log, "rollout.unwritten", service.as_str(), &reason);
 }
 
-/// Applies a change of an order in the store to the registry. `from` is the source of the change, as named in log lines.
-/// If the settings disable roll-outs, the change is dropped.
+/// Applies a change of an order in the store to the registry. `from` is the source of the change, as named in log
+/// lines. If the settings disable roll-outs, the change is dropped.
 pub(crate) fn apply_change(router: &Router, change: RolloutChange, from: &str) {
     let Some(bounds) = router.exposure_bounds() else {
         return;
--- a/crates/router/cloverpier_router/src/rollouts.rs
+++ b/crates/router/cloverpier_router/src/rollouts.rs
@@ -21,8 +21,8 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The rule on the versions that an attempt of a service may go to. It is drawn at random for each attempt, so that the
-/// target version gets its share of the attempts.
+/// The rule on the versions that an attempt of a service may go to. It is drawn at random for each attempt, so that
+/// the target version gets its share of the attempts.
 pub(crate) fn version_rule(router: &Router, service: &ServiceName, now: Instant) -> VersionRule {
     let table = router.upstreams.borrow();
     let upstreams_of = |version: &_| table.count_of_version(service, version);
@@ -176,8 +176,8 @@
         let registry = router.rollouts.registry.borrow();
         let order = registry.get(service)?.active()?;
         let table = router.upstreams.borrow();
-        // For an upstream that is not in the table any more, the process that responds is unknown, so its responses are
-        // not counted.
+        // For an upstream that is not in the table any more, the process that responds is unknown, so its responses
+        // are not counted.
         let incarnation = table.get(&upstream.name)?.incarnation();
         Some(Self {
             service: service.clone(),
@@ -274,8 +274,8 @@
     }
 }
 
-/// Whether a stream at an upstream must move to another one: the roll-out is in [`Stage::Moving`], and the upstream has
-/// a previous version, whose upstreams stop once the roll-out is completed.
+/// Whether a stream at an upstream must move to another one: the roll-out is in [`Stage::Moving`], and the upstream
+/// has a previous version, whose upstreams stop once the roll-out is completed.
 pub(crate) fn must_move(router: &Router, service: &ServiceName, upstream: &Upstream) -> bool {
     let registry = router.rollouts.registry.borrow();
     let Some(rollout) = registry.get(service) else {
--- a/crates/router/cloverpier_router/src/router.rs
+++ b/crates/router/cloverpier_router/src/router.rs
@@ -36,7 +36,7 @@
 use crate::rollout_state::RolloutState;
 use crate::singleton::state::Singleton;
 use crate::store_view::StoreView;
-use crate::upstream_limits::{LimitParts, UpstreamLimits};
+use crate::upstream_limits::{LimitDependencies, UpstreamLimits};
 use crate::wire_names::WireNames;
 use cloverpier_core::{ServiceName, UpstreamName, wall_ms};
 use cloverpier_observe::Log;
@@ -113,13 +113,13 @@
         let metrics = Metrics::default();
         let (sent, bytes) = (metrics.peer_datagrams.clone(), metrics.peer_bytes.clone());
         let datagrams = Rc::new(Datagrams::new(log.clone(), sent, bytes));
-        let limit_parts = LimitParts {
-            own: settings.listen.peers,
+        let limit_parts = LimitDependencies {
+            own_address: settings.listen.peers,
             timers: timers.clone(),
             datagrams: Rc::clone(&datagrams),
             log: log.clone(),
-            limits: metrics.upstream_limits.clone(),
-            permits: metrics.permits.clone(),
+            limit_counter: metrics.upstream_limits.clone(),
+            permit_counter: metrics.permits.clone(),
             rng: rng.fork(),
         };
         Self {
--- a/crates/router/cloverpier_router/src/singleton/keeper.rs
+++ b/crates/router/cloverpier_router/src/singleton/keeper.rs
@@ -161,8 +161,8 @@
         lease.on_written(write, result, sent, now);
     }
 
-    /// The content of the record for a write: with the state of this router's work if it holds the lease, otherwise with
-    /// the state that the previous holder left, under this router's tenure.
+    /// The content of the record for a write: with the state of this router's work if it holds the lease, otherwise
+    /// with the state that the previous holder left, under this router's tenure.
     fn next_record(&self, write: &LeaseWrite, now: Instant) -> LeaseRecord {
         let work = self.singleton.work.borrow();
         let Some(work) = work.as_ref() else {
--- a/crates/router/cloverpier_router/src/singleton/mod.rs
+++ b/crates/router/cloverpier_router/src/singleton/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! If the settings configure singleton work, every router counts the requests that start to run, and reports these
 //! counts, its load and its clock ([`reports`]). Routers that watch the store may take the lease ([`keeper`]), and the
-//! holder of the lease does the work ([`work`]). `cloverpier_router_policy::singleton` makes all decisions; the adapter
-//! of a platform implements the calls ([`platform`]).
+//! holder of the lease does the work ([`work`]). `cloverpier_router_policy::singleton` makes all decisions; the
+//! adapter of a platform implements the calls ([`platform`]).
 //!
 //! [`state::Singleton`] owns the state of the lease, the reports of all routers, and the state of the work at the
 //! holder. If the settings configure no singleton work, there is no such state, and none of the tasks runs.
--- a/crates/router/cloverpier_router/src/singleton/platform.rs
+++ b/crates/router/cloverpier_router/src/singleton/platform.rs
@@ -1,7 +1,7 @@
 //! The interface to the platform for singleton work: the calls on the lease's record, and the calls of its holder.
 //!
-//! The adapter of a platform implements [`SingletonPlatform`]. An implementation decides nothing: each method makes one
-//! call and returns the outcome. Owns no state.
+//! The adapter of a platform implements [`SingletonPlatform`]. An implementation decides nothing: each method makes
+//! one call and returns the outcome. Owns no state.
 
 use crate::source::SourceError;
 use cloverpier_core::ServiceName;
@@ -64,8 +64,8 @@
     Unknown(SourceError),
 }
 
-/// The identity under which the holder makes a call, sent to the platform for its own checks, and the time limit of the
-/// call.
+/// The identity under which the holder makes a call, sent to the platform for its own checks, and the time limit of
+/// the call.
 #[derive(Clone, Copy, Debug)]
 pub struct HolderCall<'a> {
     /// The name of the holder's VM.
--- a/crates/router/cloverpier_router/src/singleton/reports.rs
+++ b/crates/router/cloverpier_router/src/singleton/reports.rs
@@ -17,8 +17,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Interval at which new counts are reported. When a router crashes, the requests that it counted since its last report
-/// are lost.
+/// Interval at which new counts are reported. When a router crashes, the requests that it counted since its last
+/// report are lost.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Without new counts, a report is sent only in every second interval, for the clock and the load.
 const IDLE_REPORT_INTERVALS: u32 = 2;
--- a/crates/router/cloverpier_router/src/singleton/state.rs
+++ b/crates/router/cloverpier_router/src/singleton/state.rs
@@ -75,8 +75,8 @@
 }
 
 impl Singleton {
-    /// The state at the start of the process; `None` if the settings configure no singleton work. `incarnation` is this
-    /// process's random number, `wall_ms` the time of day by this VM's clock in milliseconds since 1970.
+    /// The state at the start of the process; `None` if the settings configure no singleton work. `incarnation` is
+    /// this process's random number, `wall_ms` the time of day by this VM's clock in milliseconds since 1970.
     pub fn new(
         settings: &RouterSettings,
         incarnation: u64,
--- a/crates/router/cloverpier_router/src/singleton/work.rs
+++ b/crates/router/cloverpier_router/src/singleton/work.rs
@@ -1,8 +1,9 @@
 //! The work of the lease's holder: usage reports to the platform, and orders of engines.
 //!
-//! The loop runs at every router, and makes no calls while the router does not hold the lease. A call to the platform's
-//! API starts only if the holder may act for long enough, and is aborted before the holder must stop acting. Owns since
-//! when calls fail, and the operator's bounds on engines; [`super::state::Singleton`] owns the state of the work.
+//! The loop runs at every router, and makes no calls while the router does not hold the lease. A call to the
+//! platform's API starts only if the holder may act for long enough, and is aborted before the holder must stop
+//! acting. Owns since when calls fail, and the operator's bounds on engines; [`super::state::Singleton`] owns the
+//! state of the work.
 
 use super::count;
 use super::platform::{HolderCall, ServiceScaling, SingletonPlatform};
@@ -32,8 +33,8 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Pause after a failed usage report.
 const FAILURE_PAUSE: Duration = Duration::from_millis(300);
-/// A holder whose calls have failed for longer than this multiple of the lease's duration lets its lease expire, as the
-/// calls of another router may succeed.
+/// A holder whose calls have failed for longer than this multiple of the lease's duration lets its lease expire, as
+/// the calls of another router may succeed.
 const INELIGIBLE_AFTER_LEASES: u32 = 1;
 /// For this multiple of the lease's duration, such a holder does not take the lease again.
 const INELIGIBLE_FOR_LEASES: u32 = 4;
@@ -249,8 +250,8 @@
     fn due_orders(&self, scaling: &ServiceScaling) -> (Vec<EngineOrder>, f64) {
         let now = self.router.now();
         let listed = listed_engines(&self.router.upstreams.borrow(), &scaling.service);
-        // Without the service's configuration or any upstream of the service, the capacity of an engine is unknown, and
-        // no engines are ordered.
+        // Without the service's configuration or any upstream of the service, the capacity of an engine is unknown,
+        // and no engines are ordered.
         let Some(capacity) = self.engine_capacity(&scaling.service) else {
             return (Vec::new(), 0.0);
         };
--- a/crates/router/cloverpier_router/src/statements.rs
+++ b/crates/router/cloverpier_router/src/statements.rs
@@ -10,7 +10,7 @@
 use crate::limit_reports;
 use crate::restart::on_named_start;
 use crate::router::Router;
-use crate::upstream_limits::LimitAnswer;
+use crate::upstream_limits::LimitResponse;
 use crate::via::Via;
 use crate::wire_names::AnswerParts;
 use cloverpier_router_policy::limit::WrittenBetween;
@@ -130,11 +130,11 @@
     said: &UpstreamStatement,
     has_run: bool,
 ) {
-    let told = router.upstream_limits.on_answer(&LimitAnswer {
+    let told = router.upstream_limits.on_response(&LimitResponse {
         upstream,
-        said: said.limit,
-        would_name: has_run,
-        written: WrittenBetween {
+        statement: said.limit,
+        would_advertise: has_run,
+        interval: WrittenBetween {
             sent: call.sent,
             heard: router.now(),
         },
--- a/crates/router/cloverpier_router/src/stream/pick.rs
+++ b/crates/router/cloverpier_router/src/stream/pick.rs
@@ -62,7 +62,7 @@
     async fn limited_in_place_of_a_query(&self, around: &Around) -> Option<Picked> {
         let router = &self.router;
         let search = PermitSearch::new(Duration::ZERO);
-        let limits = router.upstream_limits.seen_by(&search);
+        let limits = router.upstream_limits.limited_upstreams(&search);
         if !limits.limits_any() {
             return None;
         }
@@ -81,7 +81,7 @@
             .acquire(&upstream, Duration::ZERO)
             .await
         {
-            Permission::Given => Some(Picked {
+            Permission::Granted => Some(Picked {
                 upstream,
                 from_replica: false,
             }),
@@ -102,7 +102,7 @@
     fn engines_to_query(&self, around: &Around) -> Vec<Upstream> {
         let router = &self.router;
         let search = PermitSearch::new(Duration::ZERO);
-        let limits = router.upstream_limits.seen_by(&search);
+        let limits = router.upstream_limits.limited_upstreams(&search);
         let table = router.upstreams.borrow();
         if self.finds_its_replica(&table, around, &limits) {
             return Vec::new();
@@ -171,7 +171,7 @@
         };
         let limits = &router.upstream_limits;
         limits
-            .offer(search, choose, |upstream| router.is_usable(upstream))
+            .choose_with_permit(search, choose, |upstream| router.is_usable(upstream))
             .await
     }
 
@@ -215,7 +215,7 @@
     ) -> Option<Upstream> {
         let router = &self.router;
         let search = PermitSearch::new(Duration::ZERO);
-        let limits = router.upstream_limits.seen_by(&search);
+        let limits = router.upstream_limits.limited_upstreams(&search);
         let demand = self.demand(around, reported, &limits);
         let table = router.upstreams.borrow();
         choose_replica(&table, &demand, primary, &mut router.rng.borrow_mut())
--- a/crates/router/cloverpier_router/src/upstream_limits/acquire.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/acquire.rs
@@ -1,9 +1,10 @@
-//! Gets permits for this router's own requests.
+//! Permits for this router's own requests.
 //!
-//! A request that is to go to a limited upstream asks the upstream's limiter by a datagram and waits for
-//! the answer, some milliseconds. One that is not answered in time counts as refused.
+//! Before a request is sent to a rate-limited upstream, this router sends a permit request to the upstream's limiter
+//! by datagram, and waits some milliseconds for the reply. Without a reply in time, the permit counts as refused. Owns
+//! no state of its own: [`UpstreamLimits`] owns the pending permit requests.
 
-use super::{UpstreamLimits, place_of};
+use super::{UpstreamLimits, limited_upstream};
 use crate::peer_messages::{LimitAsk, LimitReply, PeerMessage};
 use cloverpier_router_policy::permit::{ANSWER_TIMEOUT, PermitRequest, Want, is_usable};
 use cloverpier_router_policy::prelude::{Upstream, UpstreamKey};
@@ -11,178 +12,196 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Whether a request may be sent to an upstream.
+/// Whether a request may be sent to an upstream now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Permission {
-    /// It may be sent now.
-    Given,
-    /// It may not.
+    /// The upstream is not limited, or the request has a permit whose time has come.
+    Granted,
+    /// There is no permit for the request.
     Refused {
-        /// After what time its caller should retry.
-        retry: Duration,
+        /// The time after which the request's caller should retry.
+        retry_after: Duration,
     },
 }
 
-/// An ask that waits for its answer.
+/// A permit request without a reply so far.
 #[derive(Debug)]
-pub(super) struct PendingAsk {
+pub(super) struct PendingRequest {
     limiter: SocketAddr,
-    asked: Instant,
-    answer: oneshot::Sender<LimitReply>,
+    sent_at: Instant,
+    reply_sender: oneshot::Sender<LimitReply>,
 }
 
-/// Takes an ask off the list when its request goes on, or is given up as its caller has left.
-struct Asked<'a> {
+/// Removes a permit request from the pending ones when dropped: after the reply or timeout, or when the caller's
+/// request is cancelled.
+struct PendingRequestGuard<'a> {
     limits: &'a UpstreamLimits,
     number: u64,
 }
 
-impl Drop for Asked<'_> {
+impl Drop for PendingRequestGuard<'_> {
     fn drop(&mut self) {
         self.limits.pending.borrow_mut().remove(&self.number);
     }
 }
 
 impl UpstreamLimits {
-    /// Gets a permit for a request, which may wait this long for it; whoever is not limited needs none.
+    /// Obtains a permit for a request to an upstream, and waits until the permit may be used, for at most `max_wait`.
+    /// The exchange with the limiter takes up to [`ANSWER_TIMEOUT`] in addition. An upstream without a limit needs no
+    /// permit.
     pub async fn acquire(&self, upstream: &Upstream, max_wait: Duration) -> Permission {
-        let now = self.parts.timers.now();
+        let now = self.deps.timers.now();
         if self.permits.borrow().limits().is_empty() {
-            return Permission::Given;
+            return Permission::Granted;
         }
-        let place = place_of(upstream);
-        let want = self.permits.borrow_mut().want(place, max_wait, now);
-        let want = match want {
-            Want::Ask(limiter) => self.ask(upstream, limiter, max_wait).await,
-            want => want,
+        let limited = limited_upstream(upstream);
+        let decision = self.permits.borrow_mut().want(limited, max_wait, now);
+        let decision = match decision {
+            Want::Ask(limiter) => self.request_permit(upstream, limiter, max_wait).await,
+            decision => decision,
         };
-        match want {
-            Want::Unlimited => Permission::Given,
-            Want::Granted(wait) => self.wait_for_turn(wait).await,
-            Want::Refused { retry } => {
-                self.parts.permits.count("refused");
-                Permission::Refused { retry }
+        match decision {
+            Want::Unlimited => Permission::Granted,
+            Want::Granted(delay) => self.wait_for_permit(delay).await,
+            Want::Refused { retry: retry_after } => {
+                self.deps.permit_counter.count("refused");
+                Permission::Refused { retry_after }
             }
-            // The answer to an ask is none.
+            // Unreachable: `request_permit` never returns a request to another limiter.
             Want::Ask(_) => Permission::Refused {
-                retry: ANSWER_TIMEOUT,
+                retry_after: ANSWER_TIMEOUT,
             },
         }
     }
 
-    async fn wait_for_turn(&self, wait: Duration) -> Permission {
-        let timers = &self.parts.timers;
-        let due = timers.now() + wait;
-        if !wait.is_zero() {
+    /// Waits for `delay`, until a permit may be used. Refused if the wait ends too late, as when this process was
+    /// paused: the limiter counted the permit for an earlier moment.
+    async fn wait_for_permit(&self, delay: Duration) -> Permission {
+        let timers = &self.deps.timers;
+        let due = timers.now() + delay;
+        if !delay.is_zero() {
             timers.sleep_until(due).await;
         }
         if is_usable(due, timers.now()) {
-            self.parts.permits.count("granted");
-            return Permission::Given;
+            self.deps.permit_counter.count("granted");
+            return Permission::Granted;
         }
-        self.parts.permits.count("late");
+        self.deps.permit_counter.count("late");
         Permission::Refused {
-            retry: Duration::ZERO,
+            retry_after: Duration::ZERO,
         }
     }
 
-    async fn ask(&self, upstream: &Upstream, limiter: SocketAddr, max_wait: Duration) -> Want {
-        let place = place_of(upstream);
-        let now = self.parts.timers.now();
+    /// Requests a permit from an upstream's limiter. Never returns [`Want::Ask`].
+    async fn request_permit(
+        &self,
+        upstream: &Upstream,
+        limiter: SocketAddr,
+        max_wait: Duration,
+    ) -> Want {
+        let limited = limited_upstream(upstream);
+        let now = self.deps.timers.now();
         let limit = self.report(upstream, now);
         let request = PermitRequest {
-            number: self.next_number(),
-            upstream: place.key,
+            number: self.next_request_number(),
+            upstream: limited.key,
             count: 1,
             max_wait,
             limit,
         };
-        match self.answer_to(request, limiter).await {
+        match self.send_and_await_reply(request, limiter).await {
             Some(reply) => {
-                let now = self.parts.timers.now();
+                let now = self.deps.timers.now();
                 let mut rng = self.rng.borrow_mut();
                 let mut permits = self.permits.borrow_mut();
-                permits.on_reply(limiter, &reply.reply, place.born_ms, &mut rng, now)
+                permits.on_reply(limiter, &reply.reply, limited.born_ms, &mut rng, now)
             }
-            None => self.on_unanswered(place.key, limiter),
+            None => self.on_timeout(limited.key, limiter),
         }
     }
 
-    fn on_unanswered(&self, upstream: UpstreamKey, limiter: SocketAddr) -> Want {
-        self.parts.permits.count("unanswered");
-        let now = self.parts.timers.now();
+    /// Records a permit request without a reply in time, which counts as refused.
+    fn on_timeout(&self, upstream: UpstreamKey, limiter: SocketAddr) -> Want {
+        self.deps.permit_counter.count("unanswered");
+        let now = self.deps.timers.now();
         let mut permits = self.permits.borrow_mut();
-        let is_silent = permits.on_unanswered(upstream, limiter, now);
+        let is_newly_unresponsive = permits.on_unanswered(upstream, limiter, now);
         drop(permits);
-        if is_silent {
-            self.note_passed_over(limiter);
+        if is_newly_unresponsive {
+            self.log_unresponsive_limiter(limiter);
         }
         Want::Refused {
             retry: ANSWER_TIMEOUT,
         }
     }
 
-    /// Sends an ask and waits for its answer; `None` where none came in time.
-    async fn answer_to(&self, request: PermitRequest, limiter: SocketAddr) -> Option<LimitReply> {
+    /// Sends a permit request and waits for its reply; `None` if none arrives in time.
+    async fn send_and_await_reply(
+        &self,
+        request: PermitRequest,
+        limiter: SocketAddr,
+    ) -> Option<LimitReply> {
         let number = request.number;
         let (tx, rx) = oneshot::channel();
-        let asked = self.parts.timers.now();
-        let pending = PendingAsk {
+        let sent_at = self.deps.timers.now();
+        let pending = PendingRequest {
             limiter,
-            asked,
-            answer: tx,
+            sent_at,
+            reply_sender: tx,
         };
         self.pending.borrow_mut().insert(number, pending);
-        let _asked = Asked {
+        let _guard = PendingRequestGuard {
             limits: self,
             number,
         };
-        let ask = LimitAsk {
-            sender: self.parts.own,
+        let limiter_request = LimitAsk {
+            sender: self.deps.own_address,
             request,
         };
-        let message = PeerMessage::LimitAsk(ask);
-        self.parts.datagrams.send(&message, &[limiter]);
-        let answer = self.parts.timers.timeout(ANSWER_TIMEOUT, rx).await;
-        // A sender that is gone without an answer is none either.
-        answer.ok()?.ok()
+        let message = PeerMessage::LimitAsk(limiter_request);
+        self.deps.datagrams.send(&message, &[limiter]);
+        let reply = self.deps.timers.timeout(ANSWER_TIMEOUT, rx).await;
+        // `None` for a timeout, and for a reply that `on_reply` rejected and so dropped the channel.
+        reply.ok()?.ok()
     }
 
-    /// Takes a limiter's answer to an ask. One that comes late, as when this process stood still, is none.
+    /// Passes a limiter's reply to the task that waits for it. Replies that arrive after the timeout, as when this
+    /// process was paused, and replies of another router than the requested one are rejected.
     pub fn on_reply(&self, reply: LimitReply) {
-        let now = self.parts.timers.now();
+        let now = self.deps.timers.now();
         let pending = self.pending.borrow_mut().remove(&reply.reply.number);
         let Some(pending) = pending else { return };
-        let is_late = now.saturating_duration_since(pending.asked) > ANSWER_TIMEOUT;
+        let is_late = now.saturating_duration_since(pending.sent_at) > ANSWER_TIMEOUT;
         if !is_late && pending.limiter == reply.sender {
-            // Whoever has given the request up needs no answer.
-            let _ = pending.answer.send(reply);
+            // Fails if the waiting task was cancelled, and nothing is left to do then.
+            let _ = pending.reply_sender.send(reply);
         }
     }
 
-    /// Asks a limiter that is passed over, or that another router should have asked, whether it answers.
-    pub(super) async fn ask_whether_it_answers(&self, limiter: SocketAddr) {
+    /// Checks with an empty permit request whether a limiter replies: one that this router has recorded as
+    /// unresponsive, or one that another router passed over.
+    pub(super) async fn probe_limiter(&self, limiter: SocketAddr) {
         let request = PermitRequest {
-            number: self.next_number(),
+            number: self.next_request_number(),
             upstream: UpstreamKey(0),
             count: 0,
             max_wait: Duration::ZERO,
             limit: None,
         };
-        let answer = self.answer_to(request, limiter).await;
-        let now = self.parts.timers.now();
+        let reply = self.send_and_await_reply(request, limiter).await;
+        let now = self.deps.timers.now();
         let mut permits = self.permits.borrow_mut();
-        if answer.is_some() {
+        if reply.is_some() {
             permits.on_speaking(limiter);
         } else if permits.on_silence(limiter, now) {
             drop(permits);
-            self.note_passed_over(limiter);
+            self.log_unresponsive_limiter(limiter);
         }
     }
 
-    fn next_number(&self) -> u64 {
-        let next = self.last_number.get().wrapping_add(1);
-        self.last_number.set(next);
+    fn next_request_number(&self) -> u64 {
+        let next = self.last_request_number.get().wrapping_add(1);
+        self.last_request_number.set(next);
         next
     }
 }
--- a/crates/router/cloverpier_router/src/upstream_limits/limiter.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/limiter.rs
@@ -1,9 +1,9 @@
-//! Hands out permits to other routers, for the upstreams whose limiter this router is.
+//! Permits for other routers, for the upstreams whose limiter this router is.
 //!
-//! How many, and whether it is the limiter, is decided in `cloverpier_router_policy::permit`. Relies on
-//! [`UpstreamLimits::on_period`] being called once a period. Owns no state of its own.
+//! `cloverpier_router_policy::permit` decides whether this router is an upstream's limiter, and how many permits it
+//! grants. Relies on [`UpstreamLimits::on_period`] being called once per heartbeat interval. Owns no state of its own.
 
-use super::{UpstreamLimits, place_of};
+use super::{UpstreamLimits, limited_upstream};
 use crate::peer_messages::{LimitAsk, LimitReply, PeerMessage};
 use cloverpier_router_policy::permit::{LimitedUpstream, LimiterMap, PermitReply};
 use cloverpier_router_policy::prelude::{UpstreamKey, UpstreamState, UpstreamTable};
@@ -12,54 +12,59 @@
 use std::time::Duration;
 
 impl UpstreamLimits {
-    /// Answers another router's ask. One that this router is not the limiter for leads to the question
-    /// whether the limiter answers: the other router may have found that it does not.
-    pub fn on_ask(self: &Rc<Self>, ask: &LimitAsk, state: Option<&UpstreamState>) {
-        if let Some(report) = &ask.request.limit {
-            self.on_report(report, state, ask.sender);
+    /// Replies to another router's permit request. `state` is `None` if the upstream is not in this router's table.
+    ///
+    /// If another router is the limiter, this router probes that one: the sender may have passed it over as
+    /// unresponsive, and this router becomes the limiter only after it has found so, too.
+    pub fn on_limiter_request(self: &Rc<Self>, request: &LimitAsk, state: Option<&UpstreamState>) {
+        if let Some(report) = &request.request.limit {
+            self.on_report(report, state, request.sender);
         }
-        let now = self.parts.timers.now();
-        let place = state.map(|state| LimitedUpstream {
+        let now = self.deps.timers.now();
+        let upstream = state.map(|state| LimitedUpstream {
             born_ms: state.start_time_ms(),
-            ..place_of(&state.upstream)
+            ..limited_upstream(&state.upstream)
         });
         let mut permits = self.permits.borrow_mut();
-        let reply = permits.on_request(ask.sender, &ask.request, place, now);
-        let limiter = place.and_then(|place| permits.limiter_of(place, now));
+        let reply = permits.on_request(request.sender, &request.request, upstream, now);
+        let limiter = upstream.and_then(|upstream| permits.limiter_of(upstream, now));
         drop(permits);
-        self.count_handed_out(&reply);
-        let is_for_another = reply.handed_out.is_none() && ask.request.count > 0;
+        self.count_allocation(&reply);
+        let is_misdirected = reply.handed_out.is_none() && request.request.count > 0;
         let reply = LimitReply {
-            sender: self.parts.own,
+            sender: self.deps.own_address,
             reply,
         };
         let message = PeerMessage::LimitReply(reply);
-        self.parts.datagrams.send(&message, &[ask.sender]);
-        if let Some(limiter) = limiter.filter(|l| is_for_another && *l != self.parts.own) {
-            self.ask_in_background(limiter);
+        self.deps.datagrams.send(&message, &[request.sender]);
+        if let Some(limiter) = limiter.filter(|l| is_misdirected && *l != self.deps.own_address) {
+            self.probe_in_background(limiter);
         }
     }
 
-    fn count_handed_out(&self, reply: &PermitReply) {
-        let Some(handed_out) = &reply.handed_out else {
+    fn count_allocation(&self, reply: &PermitReply) {
+        let Some(allocation) = &reply.handed_out else {
             return;
         };
-        let count = handed_out.waits.len() as u64;
-        self.parts.permits.add("handed-out", count);
-        if handed_out.refusal.is_some() {
-            self.parts.permits.count("turned-down");
+        let count = allocation.waits.len() as u64;
+        self.deps.permit_counter.add("handed-out", count);
+        if allocation.refusal.is_some() {
+            self.deps.permit_counter.count("turned-down");
         }
     }
 
-    /// Takes account of the routers that live, once a period; no map means that they are the same as
-    /// before.
+    /// Updates the limiters of all upstreams by the routers that are alive, and probes the unresponsive limiters.
+    /// Called once per heartbeat interval.
+    ///
+    /// `map` holds the live routers; `None` if they are the same as at the last call. `hold` is how long all routers
+    /// take at most to notice a change of the live routers; a new limiter grants nothing for that time.
     pub fn on_period(
         self: &Rc<Self>,
         map: Option<LimiterMap>,
         hold: Duration,
         table: &UpstreamTable,
     ) {
-        let now = self.parts.timers.now();
+        let now = self.deps.timers.now();
         let mut permits = self.permits.borrow_mut();
         permits.on_period(map, hold, now);
         if permits.limits().is_empty() {
@@ -67,18 +72,18 @@
         }
         let find = |key: UpstreamKey| {
             let state = table.by_key(key)?;
-            Some(place_of(&state.upstream))
+            Some(limited_upstream(&state.upstream))
         };
         permits.give_up_old(find, now);
-        let silent = permits.silent_limiters(now);
+        let unresponsive = permits.silent_limiters(now);
         drop(permits);
-        for limiter in silent {
-            self.ask_in_background(limiter);
+        for limiter in unresponsive {
+            self.probe_in_background(limiter);
         }
     }
 
-    fn ask_in_background(self: &Rc<Self>, limiter: SocketAddr) {
+    fn probe_in_background(self: &Rc<Self>, limiter: SocketAddr) {
         let limits = Rc::clone(self);
-        tokio::task::spawn_local(async move { limits.ask_whether_it_answers(limiter).await });
+        tokio::task::spawn_local(async move { limits.probe_limiter(limiter).await });
     }
 }
--- a/crates/router/cloverpier_router/src/upstream_limits/mod.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/mod.rs
@@ -1,120 +1,133 @@
-//! The limits that upstreams name in their answers, and permits to send requests to those that do.
+//! The request rates to which upstreams limit all routers together, and the permits to send requests to these
+//! upstreams.
 //!
-//! Everything is decided in `cloverpier_router_policy::{limit, permit}`. [`UpstreamLimits`] owns what is
-//! known of limits, and the asks that wait for their answers; it takes the log, counters, timers and
-//! datagrams, and knows nothing of the router. [`learn`] takes what is said of limits, [`offer`] finds an
-//! upstream for a request, [`acquire`] gets permits, [`limiter`] answers other routers;
-//! [`crate::limit_reports`] notifies peers.
+//! An upstream advertises its rate limit in its responses. One router per upstream, the upstream's limiter, grants the
+//! permits; the others request them by datagram. `cloverpier_router_policy::{limit, permit}` makes all decisions.
+//! [`UpstreamLimits`] owns the limits, the permits and the pending permit requests. It relies on the log, counters,
+//! timers and datagrams of [`LimitDependencies`], and not on the router.
+//!
+//! | concern | module |
+//! | --- | --- |
+//! | limits that responses and peers report | [`updates`] |
+//! | which changes of a limit are reported | [`reported_rates`] |
+//! | the choice of an upstream for a request, with a permit | [`search`] |
+//! | permits for this router's requests | [`acquire`] |
+//! | permits for other routers | [`limiter`] |
+//!
+//! [`crate::limit_reports`] sends the limits to peers.
 
 mod acquire;
-mod learn;
 mod limiter;
-mod offer;
-mod reported;
+mod reported_rates;
+mod search;
+mod updates;
 
 pub(crate) use acquire::Permission;
-pub(crate) use learn::LimitAnswer;
+pub(crate) use updates::LimitResponse;
 
 use crate::datagrams::Datagrams;
 use crate::decision_log::LimiterPassedOver;
 use crate::metrics::ByKind;
-use acquire::PendingAsk;
+use acquire::PendingRequest;
 use cloverpier_observe::Log;
 use cloverpier_router_policy::permit::{LimitedUpstream, LimitedUpstreams, PermitSearch, Permits};
 use cloverpier_router_policy::prelude::{Upstream, UpstreamKey, UpstreamState};
 use cloverpier_timers::Timers;
-use reported::ReportedRates;
+use reported_rates::ReportedRates;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Instant;
 
-/// How many upstreams of a service limit themselves.
+/// Numbers of rate-limited upstreams of a service.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LimitedCounts {
-    /// All that do.
+    /// Upstreams with a rate limit.
     pub limited: usize,
-    /// Those for which no permit could be had a moment ago.
+    /// Those of them that are excluded for now, as the limiter has refused a permit or has not replied.
     pub without_permit: usize,
 }
 
-/// What [`UpstreamLimits`] uses of the router.
+/// The router's resources that [`UpstreamLimits`] uses.
 #[derive(Debug)]
-pub(crate) struct LimitParts {
+pub(crate) struct LimitDependencies {
     /// This router's address for peers.
-    pub own: SocketAddr,
-    /// Waits for answers.
+    pub own_address: SocketAddr,
+    /// For the clock, the waits for permits and the timeouts of permit requests.
     pub timers: Timers,
-    /// Carries asks.
+    /// Sends permit requests and replies.
     pub datagrams: Rc<Datagrams>,
-    /// Takes the lines.
+    /// Receives a line for each reported change of a limit, and for each limiter that becomes unresponsive.
     pub log: Log,
     /// Counts limits that begin, change and end.
-    pub limits: ByKind,
-    /// Counts permits.
-    pub permits: ByKind,
-    /// Spreads asks.
+    pub limit_counter: ByKind,
+    /// Counts permits and refusals, by outcome.
+    pub permit_counter: ByKind,
+    /// Draws the first number of a permit request, and varies for how long a refusal excludes an upstream.
     pub rng: fastrand::Rng,
 }
 
-/// The limits that are known, and the permits.
+/// The limits of upstreams as this router has received them, the permits that it grants as a limiter, and its permit
+/// requests to other limiters.
 #[derive(Debug)]
 pub(crate) struct UpstreamLimits {
-    parts: LimitParts,
+    deps: LimitDependencies,
     permits: RefCell<Permits>,
     rng: RefCell<fastrand::Rng>,
-    pending: RefCell<HashMap<u64, PendingAsk>>,
-    last_number: Cell<u64>,
-    reported: RefCell<ReportedRates>,
-    /// When something was learned last that peers should know.
+    /// Permit requests without a reply so far, by their numbers.
+    pending: RefCell<HashMap<u64, PendingRequest>>,
+    last_request_number: Cell<u64>,
+    reported_rates: RefCell<ReportedRates>,
+    /// When a limit last changed by enough to be reported; `None` before. Limits are repeated to peers for a few
+    /// seconds after that.
     pub last_report: Cell<Option<Instant>>,
 }
 
 impl UpstreamLimits {
-    /// Knows of no limit yet.
-    pub fn new(mut parts: LimitParts) -> Self {
-        let now = parts.timers.now();
-        // Answers to asks of a former run find none here.
-        let first_number = parts.rng.u64(..u64::MAX / 2);
+    /// Creates the state without any limits.
+    pub fn new(mut deps: LimitDependencies) -> Self {
+        let now = deps.timers.now();
+        // A random start, so that a late reply to a request of a previous process matches none of this process.
+        let first_number = deps.rng.u64(..u64::MAX / 2);
         Self {
-            permits: RefCell::new(Permits::new(parts.own, now)),
-            rng: RefCell::new(parts.rng.fork()),
+            permits: RefCell::new(Permits::new(deps.own_address, now)),
+            rng: RefCell::new(deps.rng.fork()),
             pending: RefCell::default(),
-            last_number: Cell::new(first_number),
-            reported: RefCell::default(),
+            last_request_number: Cell::new(first_number),
+            reported_rates: RefCell::default(),
             last_report: Cell::default(),
-            parts,
+            deps,
         }
     }
 
-    /// The upstreams that limit themselves, as a search for one sees them.
-    pub fn seen_by(&self, search: &PermitSearch) -> LimitedUpstreams {
+    /// The rate-limited upstreams, and which of them the choice for a request excludes at this point of its search.
+    pub fn limited_upstreams(&self, search: &PermitSearch) -> LimitedUpstreams {
         let permits = self.permits.borrow();
         if permits.limits().is_empty() {
             return LimitedUpstreams::NONE;
         }
-        permits.seen_by(search, self.parts.timers.now())
+        permits.seen_by(search, self.deps.timers.now())
     }
 
-    /// Whether an upstream limits itself.
+    /// Whether requests to an upstream need a permit.
     pub fn is_limited(&self, upstream: &Upstream) -> bool {
         let key = UpstreamKey::of(&upstream.name);
         let permits = self.permits.borrow();
-        permits
-            .limits()
-            .rate(key, self.parts.timers.now())
-            .is_some()
+        permits.limits().rate(key, self.deps.timers.now()).is_some()
     }
 
-    /// How many of some upstreams limit themselves, for log lines.
-    pub fn limited_of<'a>(&self, states: impl Iterator<Item = &'a UpstreamState>) -> LimitedCounts {
+    /// Counts the rate-limited ones of some upstreams, for log lines.
+    pub fn count_limited<'a>(
+        &self,
+        states: impl Iterator<Item = &'a UpstreamState>,
+    ) -> LimitedCounts {
         let permits = self.permits.borrow();
         let mut counts = LimitedCounts::default();
         if permits.limits().is_empty() {
             return counts;
         }
-        let now = self.parts.timers.now();
+        let now = self.deps.timers.now();
         for state in states {
             let is_limited = permits.limits().rate(state.key, now).is_some();
             counts.limited += usize::from(is_limited);
@@ -123,18 +136,18 @@
         counts
     }
 
-    /// Logs that a limiter is passed over, as it does not answer.
-    fn note_passed_over(&self, limiter: SocketAddr) {
-        self.parts.permits.count("limiter-silent");
+    /// Logs and counts a limiter that has become unresponsive, so that another router takes its place.
+    fn log_unresponsive_limiter(&self, limiter: SocketAddr) {
+        self.deps.permit_counter.count("limiter-silent");
         let line = LimiterPassedOver {
             limiter: limiter.to_string(),
         };
-        self.parts.log.info("limiter.silent", &line);
+        self.deps.log.info("limiter.silent", &line);
     }
 }
 
-/// An upstream, as far as its limit is concerned.
-fn place_of(upstream: &Upstream) -> LimitedUpstream<'_> {
+/// The attributes of an upstream that the permit policy needs.
+fn limited_upstream(upstream: &Upstream) -> LimitedUpstream<'_> {
     LimitedUpstream {
         key: UpstreamKey::of(&upstream.name),
         data_centre: &upstream.data_centre,
