--- a/crates/router/cloverpier_router/src/crashes/abandoned.rs
+++ b/crates/router/cloverpier_router/src/crashes/abandoned.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Watches a sent attempt. If the guard is dropped before [`Self::disarm`], the attempt is recorded as lost with
+/// Watches an attempt from its sending. If the guard is dropped before [`Self::disarm`], the attempt is recorded as lost with
 /// [`LossCause::Abandoned`].
 pub(crate) struct AbandonGuard {
     /// `None` once the guard is disarmed.
--- a/crates/router/cloverpier_router/src/crashes/admission.rs
+++ b/crates/router/cloverpier_router/src/crashes/admission.rs
@@ -26,8 +26,8 @@
 }
 
 impl Admitted {
-    /// Admission without a registered attempt: of a request that is not checked yet, or is checked while no crash is
-    /// known.
+    /// Admits a request without registering an attempt: the value before the first check, and the result of a check while
+    /// no crash is known.
     pub const UNRESTRICTED: Self = Self {
         admission: Admission::Normal,
         attempt: None,
--- a/crates/router/cloverpier_router/src/crashes/mod.rs
+++ b/crates/router/cloverpier_router/src/crashes/mod.rs
@@ -1,4 +1,5 @@
-//! Crash attribution: finds out which request contents crash upstreams, and blocks them.
+//! Crash attribution: finds out which requests crash upstreams, by the content that the repeats of a request share, and
+//! blocks these contents.
 //!
 //! | concern | module |
 //! | --- | --- |
--- a/crates/router/cloverpier_router/src/crashes/record.rs
+++ b/crates/router/cloverpier_router/src/crashes/record.rs
@@ -27,7 +27,7 @@
     let now = router.now();
     let table = router.upstreams.borrow();
     let state = table.get(&upstream.name);
-    // Without an `Instant` that far back, shortly after the start of the machine, the present time is used.
+    // `Instant` may not reach that far back, as shortly after a boot of the machine; the present time is used then.
     let started_at = now.checked_sub(ran_for).unwrap_or(now);
     let was_leaving = state.is_some_and(|s| s.is_leaving() || s.was_delisted_at(started_at));
     drop(table);
@@ -59,7 +59,7 @@
 
 /// Records an upstream that is suspected to have failed: it is unreachable and has shown no activity since
 /// `silent_since`, or a peer suspects it, and `silent_since` equals `now`.
-pub(crate) fn on_suspected_failure(
+pub(crate) fn on_suspicion(
     router: &Router,
     upstream: &Upstream,
     silent_since: Instant,
--- a/crates/router/cloverpier_router/src/crashes/reports.rs
+++ b/crates/router/cloverpier_router/src/crashes/reports.rs
@@ -86,8 +86,8 @@
     }
 }
 
-/// Merges a peer's crash reports. If they add anything, a large fleet's router passes them on, and suspect contents
-/// are sent to peers repeatedly for a while.
+/// Merges a peer's crash reports. If they add anything, a router of a large fleet forwards them, and any router sends
+/// the suspect contents to peers repeatedly for a while.
 pub(crate) fn on_reports(router: &Router, reports: CrashReports, now: Instant) {
     let mut tracker = router.crashes.tracker.borrow_mut();
     let changed = tracker.registry.merge(&reports.contents, now);
--- a/crates/router/cloverpier_router/src/crashes/resolution.rs
+++ b/crates/router/cloverpier_router/src/crashes/resolution.rs
@@ -123,7 +123,7 @@
     }
 }
 
-/// The value of the metric's `kind` label for a discarded attempt.
+/// The `kind` label of the metric `crashes` for a discarded attempt.
 fn discard_metric(reason: DiscardReason) -> &'static str {
     match reason {
         DiscardReason::Survived => "dismissed-answered",
--- a/crates/router/cloverpier_router/src/peer_reports.rs
+++ b/crates/router/cloverpier_router/src/peer_reports.rs
@@ -103,7 +103,7 @@
         table.on_peer_suspicion(*key, now);
         drop(table);
         if let Some(upstream) = died {
-            record::on_suspected_failure(router, &upstream, now, now);
+            record::on_suspicion(router, &upstream, now, now);
         }
     }
 }
--- a/crates/router/cloverpier_router/src/probe.rs
+++ b/crates/router/cloverpier_router/src/probe.rs
@@ -171,9 +171,7 @@
     let last_activity = health.last_activity.get();
     match cause {
         DeathCause::NoProcess => record::on_process_gone(router, upstream, now),
-        DeathCause::Unreachable => {
-            record::on_suspected_failure(router, upstream, last_activity, now)
-        }
+        DeathCause::Unreachable => record::on_suspicion(router, upstream, last_activity, now),
     }
     let is_new = router.upstreams.borrow_mut().suspect(&upstream.name, now);
     router.suspected.notify_one();
--- a/crates/router/cloverpier_router/src/rollouts.rs
+++ b/crates/router/cloverpier_router/src/rollouts.rs
@@ -145,7 +145,7 @@
     router.log.info("rollout.progressed", &line);
 }
 
-/// The value of the metric's `kind` label for a stage.
+/// The `kind` label of the metric `rollouts` for a stage.
 fn stage_name(stage: Stage) -> &'static str {
     match stage {
         Stage::Canary => "canary",
--- a/crates/router/cloverpier_router/src/singleton/keeper.rs
+++ b/crates/router/cloverpier_router/src/singleton/keeper.rs
@@ -227,7 +227,7 @@
         let fleet_ms = singleton.fleet_ms(now);
         let uptime = now.saturating_duration_since(self.router.lifecycle.started());
         let record = self.record.as_ref();
-        // A record that no holder has renewed yet contains no journal.
+        // A journal without a time of writing is the empty one of the initial record.
         let journal = record.map(|r| &r.usage).filter(|usage| usage.written > 0);
         HolderWork {
             usage: HolderUsage::take_over(
--- a/crates/router/cloverpier_router/src/singleton/reports.rs
+++ b/crates/router/cloverpier_router/src/singleton/reports.rs
@@ -17,8 +17,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Interval at which new counts are reported. When a router crashes, the requests that it counted since its last
-/// report are lost.
+/// Interval at which new counts are reported. When a router crashes, its counts since its last report are lost.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Without new counts, a report is sent only in every second interval, for the clock and the load.
 const IDLE_REPORT_INTERVALS: u32 = 2;
@@ -109,7 +108,8 @@
     loads.insert(report.sender, reported);
 }
 
-/// Sends a lease update to the routers that watch the store and so may take the lease, after it was renewed.
+/// Sends a lease update to the routers that watch the store, which may take the lease. Called after this router has
+/// renewed the lease.
 pub(super) fn notify_watchers(router: &Router, singleton: &Singleton) {
     let watchers = router.peers.watchers(router.now(), router.peer_timeout());
     send_update(router, singleton, watchers);
--- a/crates/router/cloverpier_router/src/singleton/work.rs
+++ b/crates/router/cloverpier_router/src/singleton/work.rs
@@ -22,9 +22,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Interval of the loop.
+/// Interval at which the holder checks which usage windows to report and whether to order engines.
 const WORK_INTERVAL: Duration = Duration::from_millis(200);
-/// Minimum time between two plans of the engines.
+/// Minimum time between two decisions on the numbers of engines.
 const PLAN_INTERVAL: Duration = Duration::from_secs(1);
 /// A call under the lease is aborted at the latest this long before the holder must stop acting, and not started with
 /// less time left.
