--- a/crates/router/cloverpier_router/src/peer_reports.rs
+++ b/crates/router/cloverpier_router/src/peer_reports.rs
@@ -77,7 +77,7 @@
 fn on_limit_ask(router: &Router, ask: &LimitAsk) {
     let table = router.upstreams.borrow();
     let state = table.by_key(ask.request.upstream);
-    router.upstream_limits.on_ask(ask, state);
+    router.upstream_limits.on_limiter_request(ask, state);
 }
 
 fn on_change(router: &Router, change: Change, now: Instant) {
@@ -103,7 +103,7 @@
         table.on_peer_suspicion(*key, now);
         drop(table);
         if let Some(upstream) = died {
-            record::on_death(router, &upstream, now, now);
+            record::on_suspicion(router, &upstream, now, now);
         }
     }
 }
--- a/crates/router/cloverpier_router/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -8,7 +8,7 @@
 use crate::choice_log::{ChoiceInputs, log_choice};
 use crate::connection::Connection;
 use crate::crashes::abandoned::AbandonGuard;
-use crate::crashes::{hold, judgement, record};
+use crate::crashes::{admission, record, resolution};
 use crate::decision_log::RequestEnd;
 use crate::held_bytes::HeldBytes;
 use crate::load_guard::LoadGuard;
@@ -100,7 +100,7 @@
 
     async fn run(&mut self) -> Result<Reply, RequestFailure> {
         loop {
-            let mut admitted = hold::admit(self.router, self.request).await;
+            let mut admitted = admission::admit(self.router, self.request).await;
             if admitted.admission == Admission::Blocked {
                 return Err(RequestFailure::content_blocked());
             }
@@ -109,7 +109,7 @@
                 Ok(upstream) => upstream,
                 Err(reason) => return self.without_upstream(reason),
             };
-            if !admitted.still_holds(self.router, self.request) {
+            if !admitted.is_still_valid(self.router, self.request) {
                 continue;
             }
             self.attempts.on_send();
@@ -117,7 +117,7 @@
             admitted.on_sent();
             let guard = AbandonGuard::begin(self.router, self.request, &upstream);
             let outcome = self.attempt(&upstream).await;
-            guard.settle();
+            guard.disarm();
             let failure = match outcome {
                 Ok(reply) => {
                     self.count_begun(begun);
@@ -146,7 +146,7 @@
     /// Counts the request, whose run began at a moment; further runs of it count no more.
     fn count_begun(&mut self, at: Instant) {
         if !std::mem::replace(&mut self.is_counted, true) {
-            singleton::on_begun(self.router, self.request, at);
+            singleton::on_request_started(self.router, self.request, at);
         }
     }
 
@@ -155,7 +155,7 @@
         let (router, request) = (self.router, self.request);
         let search = PermitSearch::new(request.patience(router.now()));
         let limits = &router.upstream_limits;
-        let chosen = limits.offer(
+        let chosen = limits.choose_with_permit(
             search,
             |limits| self.choose(limits).map(Box::new),
             |upstream| router.is_usable(upstream),
@@ -197,7 +197,8 @@
 
     async fn attempt(&mut self, upstream: &Upstream) -> Result<Reply, AttemptFailure> {
         rollouts::on_sent(self.router, self.request, upstream);
-        let measuring = rollouts::measure(self.router, self.request, upstream, Measure::Response);
+        let measuring =
+            rollouts::start_measurement(self.router, self.request, upstream, Measure::Response);
         let load = LoadGuard::begin(self.router, &upstream.name, self.request.load());
         let sent_at = self.router.now();
         let mut liveness = Liveness::new(self.bounds(), sent_at);
@@ -215,7 +216,7 @@
         table.on_result(&upstream.name, false);
         drop(table);
         if let Some(measuring) = measuring {
-            measuring.answered();
+            measuring.complete();
         }
         let since_arrival = now.saturating_duration_since(self.request.arrived);
         self.router.metrics.first_answer.observe(since_arrival);
@@ -274,7 +275,7 @@
             }
         }
         keep(self.router, upstream, connection);
-        judgement::on_completed(self.router, self.request);
+        resolution::on_completed(self.router, self.request);
         self.check_status(UpstreamAnswer::new(head, held.freeze()))
             .map(UpstreamAnswer::into_reply)
     }
--- a/crates/router/cloverpier_router/src/probe.rs
+++ b/crates/router/cloverpier_router/src/probe.rs
@@ -84,7 +84,7 @@
         let permission = router
             .upstream_limits
             .acquire(upstream, PROBE_PERMIT_TIMEOUT);
-        if permission.await != Permission::Given {
+        if permission.await != Permission::Granted {
             router.metrics.probes.count("without-permit");
             return;
         }
@@ -164,7 +164,7 @@
         CheckResult::Alive => {
             router.metrics.probes.count("alive");
             health.on_activity(now);
-            record::on_alive(router, upstream, sent);
+            record::on_probe_response(router, upstream, sent);
         }
         CheckResult::Replaced => {
             router.metrics.probes.count("replaced");
@@ -188,8 +188,8 @@
     let health = router.health.of(upstream, now);
     let last_activity = health.last_activity.get();
     match evidence {
-        FailureEvidence::NoProcess => record::on_end(router, upstream, now),
-        FailureEvidence::Unreachable => record::on_death(router, upstream, last_activity, now),
+        FailureEvidence::NoProcess => record::on_process_gone(router, upstream, now),
+        FailureEvidence::Unreachable => record::on_suspicion(router, upstream, last_activity, now),
     }
     let is_new = router.upstreams.borrow_mut().suspect(&upstream.name, now);
     router.suspected.notify_one();
@@ -240,7 +240,7 @@
     let permission = router
         .upstream_limits
         .acquire(&upstream, PROBE_PERMIT_TIMEOUT);
-    if permission.await != Permission::Given {
+    if permission.await != Permission::Granted {
         // The upstream stays suspected; its next check is scheduled already.
         router.metrics.probes.count("without-permit");
         return;
@@ -253,7 +253,7 @@
         Err(error) => {
             router.metrics.probes.count("suspect-silent");
             if error.is_refused() {
-                record::on_end(&router, &upstream, router.now());
+                record::on_process_gone(&router, &upstream, router.now());
             }
             return;
         }
@@ -276,7 +276,7 @@
 /// Clears the suspicion of an upstream that responded to a check.
 fn clear_suspicion(router: &Router, upstream: &Upstream, check_sent_at: Instant) {
     router.metrics.probes.count("suspect-alive");
-    record::on_alive(router, upstream, check_sent_at);
+    record::on_probe_response(router, upstream, check_sent_at);
     let now = router.now();
     let suspected_for = router.upstreams.borrow_mut().on_alive(&upstream.name, now);
     if let Some(suspected_for) = suspected_for {
--- a/crates/router/cloverpier_router/src/restart.rs
+++ b/crates/router/cloverpier_router/src/restart.rs
@@ -40,8 +40,8 @@
 
 fn discard_previous_incarnation(router: &Router, upstream: &Upstream, now: Instant) {
     let name: &UpstreamName = &upstream.name;
-    router.upstream_limits.forget(upstream);
-    record::on_former_start(router, upstream);
+    router.upstream_limits.remove(upstream);
+    record::on_process_replaced(router, upstream);
     let health = router.health.of(upstream, now);
     // After a refused connection, the attempts and connections since then belong to the new incarnation already.
     if !health.is_for_next_incarnation.replace(false) {
--- a/crates/router/cloverpier_router/src/router.rs
+++ b/crates/router/cloverpier_router/src/router.rs
@@ -14,8 +14,8 @@
 //! | [`Peers`] | peers' last heartbeats, and what they are sent next |
 //! | [`Prompts`] | which engine has read which prompt, and searches for that |
 //! | [`RetryBudgets`] | this router's use of each service's retry budget |
-//! | [`Crashes`] | contents of requests that ended upstreams |
-//! | [`Rollouts`] | orders of roll-outs, and what this router saw of them |
+//! | [`CrashState`] | contents of requests that ended upstreams |
+//! | [`RolloutState`] | orders of roll-outs, and what this router saw of them |
 //! | [`Singleton`] | the lease on work that one router at a time does, and that work |
 //! | [`CopyPacing`] | copies of the configuration that the link still carries |
 //! | [`Lifecycle`] | the planned stop and the requests in flight |
@@ -24,7 +24,7 @@
 //! across an `await`.
 
 use crate::budgets::RetryBudgets;
-use crate::crashes::state::Crashes;
+use crate::crashes::state::CrashState;
 use crate::datagrams::Datagrams;
 use crate::health::HealthTable;
 use crate::lifecycle::Lifecycle;
@@ -33,10 +33,10 @@
 use crate::peers::Peers;
 use crate::pool::ConnectionPool;
 use crate::prompts::Prompts;
-use crate::rollout_state::Rollouts;
+use crate::rollout_state::RolloutState;
 use crate::singleton::state::Singleton;
 use crate::store_view::StoreView;
-use crate::upstream_limits::{LimitParts, UpstreamLimits};
+use crate::upstream_limits::{LimitDependencies, UpstreamLimits};
 use crate::wire_names::WireNames;
 use cloverpier_core::{ServiceName, UpstreamName, wall_ms};
 use cloverpier_observe::Log;
@@ -73,8 +73,8 @@
     pub(crate) peers: Peers,
     pub(crate) prompts: Prompts,
     budgets: RetryBudgets,
-    pub(crate) crashes: Crashes,
-    pub(crate) rollouts: Rollouts,
+    pub(crate) crashes: CrashState,
+    pub(crate) rollouts: RolloutState,
     /// `None` where the settings name no work that one router at a time does.
     pub(crate) singleton: Option<Singleton>,
     /// Wakes the checks of suspects.
@@ -113,13 +113,13 @@
         let metrics = Metrics::default();
         let (sent, bytes) = (metrics.peer_datagrams.clone(), metrics.peer_bytes.clone());
         let datagrams = Rc::new(Datagrams::new(log.clone(), sent, bytes));
-        let limit_parts = LimitParts {
-            own: settings.listen.peers,
+        let limit_parts = LimitDependencies {
+            own_address: settings.listen.peers,
             timers: timers.clone(),
             datagrams: Rc::clone(&datagrams),
             log: log.clone(),
-            limits: metrics.upstream_limits.clone(),
-            permits: metrics.permits.clone(),
+            limit_counter: metrics.upstream_limits.clone(),
+            permit_counter: metrics.permits.clone(),
             rng: rng.fork(),
         };
         Self {
@@ -136,8 +136,8 @@
             peers: Peers::new(member(&settings)),
             prompts: Prompts::default(),
             budgets: RetryBudgets::default(),
-            crashes: Crashes::new(&settings.crashes),
-            rollouts: Rollouts::default(),
+            crashes: CrashState::new(&settings.crashes),
+            rollouts: RolloutState::default(),
             suspected: Notify::new(),
             last_leaving: Cell::default(),
             copy_pacing: RefCell::new(CopyPacing::default()),
--- a/crates/router/cloverpier_router/src/start.rs
+++ b/crates/router/cloverpier_router/src/start.rs
@@ -3,7 +3,7 @@
 //! Each part is a task on one thread; removing a part is removing a line. Listeners come first,
 //! so that a port that is taken ends the start.
 
-use crate::crashes::judgement;
+use crate::crashes::resolution;
 use crate::decision_log::log_dependency;
 use crate::heartbeats;
 use crate::peer_fetch;
@@ -74,7 +74,7 @@
     }
     spawn_local(suspension::watch_resumes(Rc::clone(&router)));
     spawn_local(probe::check_suspects(Rc::clone(&router)));
-    spawn_local(judgement::judge_lost(Rc::clone(&router)));
+    spawn_local(resolution::resolve_lost_attempts(Rc::clone(&router)));
     spawn_local(sweep(Rc::clone(&router), log_progress));
     if let Some(path) = settings_path {
         spawn_local(stop::reload_settings(Rc::clone(&router), path));
@@ -94,7 +94,7 @@
     let (cx, from) = both();
     spawn_local(store_sync::watch_rollouts(cx, from));
     let (cx, from) = both();
-    spawn_local(rollout_steps::take_steps(cx, from));
+    spawn_local(rollout_steps::drive_rollouts(cx, from));
     let (cx, from) = both();
     spawn_local(store_sync::ping_store(cx, from));
 }
--- a/crates/router/cloverpier_router/src/stream/choice.rs
+++ b/crates/router/cloverpier_router/src/stream/choice.rs
@@ -68,7 +68,7 @@
     ) -> Option<ChosenUpstream> {
         let router = &self.router;
         let search = PermitSearch::new(Duration::ZERO);
-        let limits = router.upstream_limits.seen_by(&search);
+        let limits = router.upstream_limits.limited_upstreams(&search);
         if !limits.any_limited() {
             return None;
         }
@@ -87,7 +87,7 @@
             .acquire(&upstream, Duration::ZERO)
             .await
         {
-            Permission::Given => Some(ChosenUpstream {
+            Permission::Granted => Some(ChosenUpstream {
                 upstream,
                 from_replica: false,
             }),
@@ -108,7 +108,7 @@
     fn engines_to_query(&self, context: &ChoiceContext) -> Vec<Upstream> {
         let router = &self.router;
         let search = PermitSearch::new(Duration::ZERO);
-        let limits = router.upstream_limits.seen_by(&search);
+        let limits = router.upstream_limits.limited_upstreams(&search);
         let table = router.upstreams.borrow();
         if self.has_usable_replica(&table, context, &limits) {
             return Vec::new();
@@ -183,7 +183,7 @@
         };
         let limits = &router.upstream_limits;
         limits
-            .offer(search, choose, |upstream| router.is_usable(upstream))
+            .choose_with_permit(search, choose, |upstream| router.is_usable(upstream))
             .await
     }
 
@@ -227,7 +227,7 @@
     ) -> Option<Upstream> {
         let router = &self.router;
         let search = PermitSearch::new(Duration::ZERO);
-        let limits = router.upstream_limits.seen_by(&search);
+        let limits = router.upstream_limits.limited_upstreams(&search);
         let demand = self.demand(context, reported, &limits);
         let table = router.upstreams.borrow();
         choose_replica(&table, &demand, primary, &mut router.rng.borrow_mut())
--- a/crates/router/cloverpier_router/src/stream/measurement.rs
+++ b/crates/router/cloverpier_router/src/stream/measurement.rs
@@ -1,10 +1,10 @@
 //! Times the events of streams during a roll-out of their service, so that versions can be compared.
 //!
 //! Each attempt records the time to its first event and then the time of the next [`PACE_EVENTS`] events.
-//! [`crate::rollouts`] owns the recorded times; the [`Measurement`] of an attempt is its state.
+//! [`crate::rollouts`] owns the recorded times; the [`StreamMeasurement`] of an attempt is its state.
 
 use super::StreamRelay;
-use crate::rollouts::{self, Measuring};
+use crate::rollouts::{self, Measurement};
 use cloverpier_router_policy::prelude::Upstream;
 use cloverpier_router_policy::rollout::evidence::Measure;
 
@@ -13,11 +13,11 @@
 const PACE_EVENTS: u64 = 16;
 
 /// The timing that is in progress for an attempt.
-pub(super) enum Measurement {
+pub(super) enum StreamMeasurement {
     /// The time from the sending of the attempt to its first event.
-    FirstEvent(Measuring),
+    FirstEvent(Measurement),
     /// The time of the following events; the number is the count of events that are still to arrive.
-    Pace(Measuring, u64),
+    Pace(Measurement, u64),
     /// Nothing: the measurement is complete, or no roll-out is in progress.
     Inactive,
 }
@@ -25,14 +25,14 @@
 impl StreamRelay {
     /// Starts to time the first event of an attempt. Attempts that resume a stream are not timed, because the
     /// prompt may have been read already, which makes the time short.
-    pub(super) fn start_first_event_measurement(&self, upstream: &Upstream) -> Measurement {
+    pub(super) fn start_first_event_measurement(&self, upstream: &Upstream) -> StreamMeasurement {
         if self.request.last_event.is_some() || self.is_resuming() {
-            return Measurement::Inactive;
+            return StreamMeasurement::Inactive;
         }
         let (router, request) = (&self.router, &self.request);
-        match rollouts::measure(router, request, upstream, Measure::Response) {
-            Some(measuring) => Measurement::FirstEvent(measuring),
-            None => Measurement::Inactive,
+        match rollouts::start_measurement(router, request, upstream, Measure::Response) {
+            Some(measuring) => StreamMeasurement::FirstEvent(measuring),
+            None => StreamMeasurement::Inactive,
         }
     }
 
@@ -41,22 +41,25 @@
         let Some(current) = &mut self.current else {
             return;
         };
-        let measurement = std::mem::replace(&mut current.measurement, Measurement::Inactive);
+        let measurement = std::mem::replace(&mut current.measurement, StreamMeasurement::Inactive);
         current.measurement = match measurement {
-            Measurement::FirstEvent(measuring) => {
-                measuring.answered();
+            StreamMeasurement::FirstEvent(measuring) => {
+                measuring.complete();
                 let (router, request) = (&self.router, &self.request);
-                let pace = rollouts::measure(router, request, &current.upstream, Measure::Pace);
-                pace.map_or(Measurement::Inactive, |p| Measurement::Pace(p, PACE_EVENTS))
+                let pace =
+                    rollouts::start_measurement(router, request, &current.upstream, Measure::Pace);
+                pace.map_or(StreamMeasurement::Inactive, |p| {
+                    StreamMeasurement::Pace(p, PACE_EVENTS)
+                })
             }
-            Measurement::Pace(measuring, left) if left > count => {
-                Measurement::Pace(measuring, left - count)
+            StreamMeasurement::Pace(measuring, left) if left > count => {
+                StreamMeasurement::Pace(measuring, left - count)
             }
-            Measurement::Pace(measuring, _) => {
-                measuring.answered();
-                Measurement::Inactive
+            StreamMeasurement::Pace(measuring, _) => {
+                measuring.complete();
+                StreamMeasurement::Inactive
             }
-            Measurement::Inactive => Measurement::Inactive,
+            StreamMeasurement::Inactive => StreamMeasurement::Inactive,
         };
     }
 }
--- a/crates/router/cloverpier_router/src/stream/mod.rs
+++ b/crates/router/cloverpier_router/src/stream/mod.rs
@@ -14,7 +14,7 @@
 use crate::body::{AnswerBroken, ReplyBody};
 use crate::connection::Connection;
 use crate::crashes::abandoned::AbandonGuard;
-use crate::crashes::hold::Admitted;
+use crate::crashes::admission::Admitted;
 use crate::crashes::record;
 use crate::decision_log::RequestEnd;
 use crate::health::UpstreamHealth;
@@ -38,7 +38,7 @@
 use hyper::StatusCode;
 use hyper::body::Incoming;
 use hyper::http::response::Parts;
-use measurement::Measurement;
+use measurement::StreamMeasurement;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -103,7 +103,7 @@
     /// Whether an event from this upstream has been passed on.
     has_events: bool,
     /// The timing of this attempt's events, which is recorded only during a roll-out of the service.
-    measurement: Measurement,
+    measurement: StreamMeasurement,
     /// When the stream is to be moved to an upstream of another version; `None` until the version of its
     /// upstream is about to be stopped.
     version_move_at: Option<Instant>,
@@ -159,7 +159,7 @@
             attempts: Attempts::new(route.retry_rule(), route.max_attempts),
             tried: Vec::new(),
             attempt_started_at: request.arrived,
-            admitted: Admitted::NEW,
+            admitted: Admitted::UNRESTRICTED,
             current: None,
             abandon_guard: None,
             replica: None,
@@ -289,7 +289,7 @@
         };
         let router = &self.router;
         let service = &self.request.service.name;
-        if !rollouts::is_to_move(router, service, &current.upstream) {
+        if !rollouts::must_move(router, service, &current.upstream) {
             return false;
         }
         let now = router.now();
@@ -308,7 +308,7 @@
     /// failure is handled elsewhere.
     fn settle_attempt(&mut self) {
         if let Some(guard) = self.abandon_guard.take() {
-            guard.settle();
+            guard.disarm();
         }
     }
 
--- a/crates/router/cloverpier_router/src/stream/open.rs
+++ b/crates/router/cloverpier_router/src/stream/open.rs
@@ -5,8 +5,8 @@
 
 use super::{StreamRelay, UpstreamStream};
 use crate::crashes::abandoned::AbandonGuard;
-use crate::crashes::hold::Admitted;
-use crate::crashes::{hold, judgement};
+use crate::crashes::admission::Admitted;
+use crate::crashes::{admission, resolution};
 use crate::load_guard::LoadGuard;
 use crate::outcome::RequestFailure;
 use crate::prompt_search::find_prompt;
@@ -32,8 +32,8 @@
         loop {
             // Dropping the old admission ends the turn of the failed attempt, for which other requests with
             // the same content may wait.
-            self.admitted = Admitted::NEW;
-            self.admitted = hold::admit(&self.router, &self.request).await;
+            self.admitted = Admitted::UNRESTRICTED;
+            self.admitted = admission::admit(&self.router, &self.request).await;
             if self.admitted.admission == Admission::Blocked {
                 return Err(RequestFailure::content_blocked());
             }
@@ -42,7 +42,7 @@
             let (upstream, extras) = found
                 .ok_or_else(RequestFailure::content_blocked)?
                 .map_err(|reason| RequestFailure::without_upstream(&self.attempts, reason))?;
-            if !self.admitted.still_holds(&self.router, &self.request) {
+            if !self.admitted.is_still_valid(&self.router, &self.request) {
                 continue;
             }
             self.attempts.on_send();
@@ -57,7 +57,7 @@
                 }
                 Err(failure) => failure,
             };
-            guard.settle();
+            guard.disarm();
             rollouts::on_failure(&self.router, &self.request, &upstream, &failure);
             self.record_loss(&upstream, &failure);
             let may_have_run = failure.outcome().may_have_run();
@@ -181,7 +181,7 @@
             Err(_) => return Err(AttemptFailure::DeadlinePassedSent),
         };
         keep(&self.router, upstream, opened.connection);
-        judgement::on_completed(&self.router, &self.request);
+        resolution::on_completed(&self.router, &self.request);
         let status = opened.head.status.as_u16();
         self.error_response = Some(UpstreamAnswer::new(opened.head, body));
         Err(AttemptFailure::UpstreamError { status })
--- a/crates/router/cloverpier_router/src/stream/receive.rs
+++ b/crates/router/cloverpier_router/src/stream/receive.rs
@@ -5,7 +5,7 @@
 
 use super::{StreamRelay, UpstreamStream};
 use crate::connection::describe;
-use crate::crashes::judgement;
+use crate::crashes::resolution;
 use crate::probe;
 use crate::send::keep;
 use crate::singleton;
@@ -47,7 +47,7 @@
         let now = self.router.now();
         if self.progress.events == 0 {
             // Later attempts continue the same request, which is metered once.
-            singleton::on_begun(&self.router, &self.request, now);
+            singleton::on_request_started(&self.router, &self.request, now);
         }
         self.progress.on_events(count, now);
         self.on_progress(now);
@@ -122,7 +122,7 @@
         let mut table = self.router.upstreams.borrow_mut();
         table.on_result(&current.upstream.name, false);
         drop(table);
-        judgement::on_completed(&self.router, &self.request);
+        resolution::on_completed(&self.router, &self.request);
         keep(&self.router, &current.upstream, current.connection);
     }
 
