--- a/crates/router/cloverpier_router/src/configuration_copies.rs
+++ b/crates/router/cloverpier_router/src/configuration_copies.rs
@@ -13,7 +13,7 @@
 use tokio::sync::OnceCell;
 
 /// Bytes that a route takes in a plain copy, about: more where its names are longer.
-const ROUTE_BYTES: usize = 100;
+const ESTIMATED_ROUTE_BYTES: usize = 100;
 
 /// How the bytes are encoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -26,15 +26,15 @@
 
 /// A configuration, indexed, with the bytes of its copies.
 #[derive(Debug)]
-pub(crate) struct HeldConfiguration {
+pub(crate) struct ConfigurationWithCopies {
     index: Arc<ConfigurationIndex>,
     plain: OnceCell<Bytes>,
     compressed: OnceCell<Bytes>,
 }
 
-impl HeldConfiguration {
+impl ConfigurationWithCopies {
     /// Indexes a configuration that was read elsewhere.
-    pub async fn index(configuration: Configuration) -> Self {
+    pub async fn from_configuration(configuration: Configuration) -> Self {
         let size = estimated_bytes(&configuration);
         let index = move || Arc::new(ConfigurationIndex::new(configuration));
         Self {
@@ -66,7 +66,7 @@
     }
 
     /// The configuration, for requests.
-    pub fn configuration(&self) -> &Arc<ConfigurationIndex> {
+    pub fn index(&self) -> &Arc<ConfigurationIndex> {
         &self.index
     }
 
@@ -91,7 +91,7 @@
 
 /// Bytes of a plain copy, about; what is not a route is small.
 fn estimated_bytes(configuration: &Configuration) -> usize {
-    configuration.routes.len() * ROUTE_BYTES
+    configuration.routes.len() * ESTIMATED_ROUTE_BYTES
 }
 
 fn read_index(bytes: &[u8], encoding: CopyEncoding) -> Result<Arc<ConfigurationIndex>, CodecError> {
@@ -102,8 +102,8 @@
     Ok(Arc::new(ConfigurationIndex::new(configuration)))
 }
 
-fn write_copy(parts: &Configuration, encoding: CopyEncoding) -> Result<Bytes, CodecError> {
-    let plain = encode(parts)?;
+fn write_copy(configuration: &Configuration, encoding: CopyEncoding) -> Result<Bytes, CodecError> {
+    let plain = encode(configuration)?;
     match encoding {
         CopyEncoding::Plain => Ok(plain.into()),
         CopyEncoding::Compressed => compress(&plain),
--- a/crates/router/cloverpier_router/src/crashes/reports.rs
+++ b/crates/router/cloverpier_router/src/crashes/reports.rs
@@ -49,7 +49,7 @@
         return;
     }
     if sends_missed_facts(router.peers.count(), &mut router.rng.borrow_mut()) {
-        send_suspects(router, &Recipients::These(vec![peer]), router.now());
+        send_suspects(router, &Recipients::Only(vec![peer]), router.now());
     }
 }
 
@@ -60,7 +60,7 @@
     }
     let peers = router.peers.addresses();
     let peer = router.rng.borrow_mut().choose_multiple(peers, 1);
-    send_suspects(router, &Recipients::These(peer), now);
+    send_suspects(router, &Recipients::Only(peer), now);
 }
 
 fn send_suspects(router: &Router, to: &Recipients, now: Instant) {
@@ -79,7 +79,7 @@
         router
             .peers
             .outbox
-            .send(PeerMessage::Crashes(reports), to.clone());
+            .send(PeerMessage::CrashReports(reports), to.clone());
     }
 }
 
@@ -95,5 +95,5 @@
     router.crashes.last_report.set(Some(now));
     let from = format!("peer {}", reports.sender);
     apply_verdicts(router, &from, now);
-    router.peers.pass_on(PeerMessage::Crashes(reports));
+    router.peers.forward(PeerMessage::CrashReports(reports));
 }
--- a/crates/router/cloverpier_router/src/engine_call.rs
+++ b/crates/router/cloverpier_router/src/engine_call.rs
@@ -61,7 +61,9 @@
             via,
             sent,
         };
-        let start = router.hear(call, answer.parts()).start;
+        let start = router
+            .apply_query_statement(call, answer.parts())
+            .start_order;
         return Ok(EngineAnswer {
             answer,
             is_outdated: start == StartOrder::Older,
--- a/crates/router/cloverpier_router/src/gossip.rs
+++ b/crates/router/cloverpier_router/src/gossip.rs
@@ -48,7 +48,7 @@
             "no answer to probes",
         );
     }
-    note_own_beat(router, now);
+    record_own_report(router, now);
     let targets = {
         let mut rng = router.rng.borrow_mut();
         peers.members.borrow_mut().targets(&mut rng)
@@ -60,7 +60,7 @@
 }
 
 /// Sends at once that routers end.
-pub(crate) fn send_ended(router: &Router) {
+pub(crate) fn send_departures(router: &Router) {
     let (members, targets) = {
         let mut known = router.peers.members.borrow_mut();
         let ended = known.take_departures();
@@ -78,7 +78,7 @@
 
 /// Sends something urgent at once: a version, or that the store is not reached any more.
 pub(crate) fn send_urgent(router: &Router, now: Instant) {
-    note_own_beat(router, now);
+    record_own_report(router, now);
     let targets = {
         let members = router.peers.members.borrow();
         members.urgent_targets(&mut router.rng.borrow_mut())
@@ -87,29 +87,33 @@
 }
 
 /// Sends a router that has just begun, or was not known, a first message.
-pub(crate) fn send_greeting(router: &Router, to: &[SocketAddr], now: Instant) {
+pub(crate) fn send_first_gossip(router: &Router, to: &[SocketAddr], now: Instant) {
     send_gossip(router, to, true, now);
 }
 
 /// Records what this router says of itself as a watcher, if it is one.
-fn note_own_beat(router: &Router, now: Instant) {
+fn record_own_report(router: &Router, now: Instant) {
     let Some(store_age_ms) = store_age_ms(router, now) else {
         return;
     };
-    let beat = WatcherReport {
+    let report = WatcherReport {
         router: router.settings().listen.peers,
-        number: router.peers.next_beat(),
+        number: router.peers.next_report_number(),
         store_age_ms,
     };
-    router.peers.beats.borrow_mut().on_report(beat, now);
+    router
+        .peers
+        .watcher_reports
+        .borrow_mut()
+        .on_report(report, now);
 }
 
 fn send_gossip(router: &Router, to: &[SocketAddr], wants_reply: bool, now: Instant) {
-    let message = gossip(router, wants_reply, now);
+    let message = gossip_message(router, wants_reply, now);
     router.datagrams.send(&PeerMessage::Gossip(message), to);
 }
 
-fn gossip(router: &Router, wants_reply: bool, now: Instant) -> Gossip {
+fn gossip_message(router: &Router, wants_reply: bool, now: Instant) -> Gossip {
     let table = router.upstreams.borrow();
     let mut suspects = table.suspects();
     suspects.truncate(MAX_SUSPECTS);
@@ -122,7 +126,7 @@
         digest: members.digest(),
         configuration_version: router.store.configuration_version(),
         upstreams_revision: table.revision(),
-        watchers: router.peers.beats.borrow().for_message(now),
+        watchers: router.peers.watcher_reports.borrow().for_message(now),
         suspects,
         budget_use: router.budget_use(now),
         updates,
@@ -135,8 +139,8 @@
     if sender == router.settings().listen.peers {
         return;
     }
-    router.peers.on_gossip(sender);
-    router.peers.on_heard_size(gossip.members as usize, now);
+    router.peers.remove_heartbeat_peer(sender);
+    router.peers.on_reported_size(gossip.members as usize, now);
     on_suspects(router, &gossip.suspects, now);
     let has_newer_upstreams = gossip.upstreams_revision > router.upstreams.borrow().revision();
     let has_newer_configuration =
@@ -145,16 +149,16 @@
     record_entry(router, &gossip, now);
     if reply.is_new_or_changed {
         crash_reports::greet_newcomer(router, sender);
-        leaving_reports::greet_newcomer(router, sender);
-        limit_reports::greet_newcomer(router, sender);
+        leaving_reports::send_missed_if_selected(router, sender);
+        limit_reports::send_missed_if_selected(router, sender);
     }
     send_reply(router, sender, reply, now);
-    apply_beats(router, &gossip.watchers, now);
+    apply_watcher_reports(router, &gossip.watchers, now);
     if has_newer_configuration {
-        router.peers.on_newer_version(Watched::Configuration);
+        router.peers.notify_newer_version(Watched::Configuration);
     }
     if has_newer_upstreams {
-        router.peers.on_newer_version(Watched::Upstreams);
+        router.peers.notify_newer_version(Watched::Upstreams);
     }
 }
 
@@ -196,7 +200,7 @@
 fn send_reply(router: &Router, to: SocketAddr, reply: GossipReply, now: Instant) {
     let own = router.settings().listen.peers;
     let outbox = &router.peers.outbox;
-    let send = |message| outbox.send(message, Recipients::These(vec![to]));
+    let send = |message| outbox.send(message, Recipients::Only(vec![to]));
     if let Some(update) = reply.dead_update {
         send(PeerMessage::Members(Members {
             sender: own,
@@ -204,17 +208,17 @@
         }));
     }
     if reply.send_gossip {
-        let mut message = gossip(router, false, now);
+        let mut message = gossip_message(router, false, now);
         message.updates.extend(reply.sample);
         send(PeerMessage::Gossip(message));
     }
     if reply.request_members {
-        send(PeerMessage::AskMembers(own));
+        send(PeerMessage::MembersRequest(own));
     }
 }
 
 /// Sends a router that knows fewer all members.
-pub(crate) fn on_ask_members(router: &Router, asking: SocketAddr, now: Instant) {
+pub(crate) fn on_members_request(router: &Router, asking: SocketAddr, now: Instant) {
     let sender = router.settings().listen.peers;
     let parts = router.peers.members.borrow_mut().on_members_request(now);
     for members in parts {
@@ -222,7 +226,7 @@
         router
             .peers
             .outbox
-            .send(message, Recipients::These(vec![asking]));
+            .send(message, Recipients::Only(vec![asking]));
     }
 }
 
@@ -236,27 +240,27 @@
 }
 
 /// Takes what watchers of the store said; the roles are decided anew where it says something else.
-fn apply_beats(router: &Router, beats: &[WatcherReport], now: Instant) {
+fn apply_watcher_reports(router: &Router, watcher_reports: &[WatcherReport], now: Instant) {
     let mut is_urgent = false;
     let peers = router.peers.count();
-    for beat in beats {
-        let mut known = router.peers.beats.borrow_mut();
-        let former = known.store_age(beat.router, now);
-        if known.on_report(*beat, now) {
-            let present = known.store_age(beat.router, now);
-            is_urgent |= affects_watcher_roles(former, present, peers);
+    for report in watcher_reports {
+        let mut known = router.peers.watcher_reports.borrow_mut();
+        let previous = known.store_age(report.router, now);
+        if known.on_report(*report, now) {
+            let present = known.store_age(report.router, now);
+            is_urgent |= affects_watcher_roles(previous, present, peers);
         }
     }
     if is_urgent {
         decide_watcher_role(router, now);
         // Others learn it from this router without waiting for its next period.
-        router.peers.outbox.report_version();
+        router.peers.outbox.schedule_heartbeat();
     }
 }
 
 /// Has changes that this router read from the store sent to all; false where they are too many, or
 /// orders of roll-outs have to come with them.
-pub(crate) fn spread_upstreams(
+pub(crate) fn broadcast_upstream_changes(
     router: &Router,
     after: u64,
     revision: u64,
@@ -289,12 +293,12 @@
 /// Applies changes that a router passed on, and passes them on.
 pub(crate) fn on_upstream_update(router: &Router, update: UpstreamUpdate) {
     let known = router.upstreams.borrow().revision();
-    if update.revision <= known || !router.store.knows_upstreams() {
+    if update.revision <= known || !router.store.has_upstreams() {
         return;
     }
     if update.after > known {
         // Something before it was missed.
-        router.peers.on_newer_version(Watched::Upstreams);
+        router.peers.notify_newer_version(Watched::Upstreams);
         return;
     }
     let changes = UpstreamChanges {
@@ -310,7 +314,7 @@
     apply_upstream_changes(router, changes, &from);
     let sender = router.settings().listen.peers;
     let message = UpstreamUpdate { sender, ..update };
-    router.peers.pass_on(PeerMessage::UpstreamUpdate(message));
+    router.peers.forward(PeerMessage::UpstreamUpdate(message));
 }
 
 /// What a heartbeat of a release that knows no gossip says of its sender.
--- a/crates/router/cloverpier_router/src/heartbeats.rs
+++ b/crates/router/cloverpier_router/src/heartbeats.rs
@@ -28,16 +28,16 @@
 
 /// A period that begins so late means that this process was paused, so that others' silence says
 /// nothing.
-const PAUSED: Duration = Duration::from_millis(300);
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(300);
 /// After this time a router knows most members of a large fleet.
-const SETTLED_AFTER: Duration = Duration::from_secs(4);
+const MEMBER_DISCOVERY_TIME: Duration = Duration::from_secs(4);
 /// How often roles are decided in a large fleet from then on.
-const LARGE_ROLE_PERIOD: Duration = Duration::from_secs(1);
+const LARGE_FLEET_ROLE_PERIOD: Duration = Duration::from_secs(1);
 
 /// Sends heartbeats and changes until the process ends.
 pub(crate) async fn send_messages(router: Rc<Router>) {
     router.datagrams.ready().await;
-    let mut sender = Sender::new(router);
+    let mut sender = MessageSender::new(router);
     loop {
         sender.send_due();
         sender.send_pending();
@@ -46,22 +46,22 @@
 }
 
 /// Sends what is due and what waits.
-struct Sender {
+struct MessageSender {
     router: Rc<Router>,
-    turn: HeartbeatRotation,
-    roles: RoleTurn,
+    rotation: HeartbeatRotation,
+    roles: RoleDecisionTimer,
     next_period: Instant,
     next_seeds: Instant,
 }
 
-impl Sender {
+impl MessageSender {
     /// A sender for which everything is due.
     fn new(router: Rc<Router>) -> Self {
         let now = router.now();
         Self {
             router,
-            turn: HeartbeatRotation::default(),
-            roles: RoleTurn::default(),
+            rotation: HeartbeatRotation::default(),
+            roles: RoleDecisionTimer::default(),
             next_period: now,
             next_seeds: now,
         }
@@ -71,7 +71,7 @@
     fn send_due(&mut self) {
         let now = self.router.now();
         if now >= self.next_seeds {
-            mention_seeds(&self.router, now);
+            add_seeds(&self.router, now);
             self.next_seeds = now + SEED_PERIOD;
         }
         if now >= self.next_period {
@@ -84,30 +84,30 @@
 
     fn begin_period(&mut self, now: Instant) {
         let router = &self.router;
-        forget_old(router, now);
+        remove_expired(router, now);
         if self.roles.is_due(router, now) {
             decide_watcher_role(router, now);
         }
-        let was_paused = now.saturating_duration_since(self.next_period) > PAUSED;
-        send_period(router, &mut self.turn, was_paused, now);
+        let was_paused = now.saturating_duration_since(self.next_period) > PAUSE_THRESHOLD;
+        send_period(router, &mut self.rotation, was_paused, now);
         crash_reports::repeat(router, now);
         leaving_reports::repeat(router, now);
         limit_reports::repeat(router, now);
-        note_live_routers(router, now);
+        update_limiters(router, now);
     }
 
     /// Sends what waits for the next round.
     fn send_pending(&self) {
         let router = &self.router;
         let now = router.now();
-        if router.peers.is_large() && router.peers.may_send_ended(now) {
-            gossip::send_ended(router);
+        if router.peers.is_large() && router.peers.start_departure_report(now) {
+            gossip::send_departures(router);
         }
-        let new_peers = router.peers.outbox.take_new(MAX_NEW_PEERS_PER_ROUND);
+        let new_peers = router.peers.outbox.take_new_peers(MAX_NEW_PEERS_PER_ROUND);
         if !new_peers.is_empty() {
             send_heartbeat(router, &new_peers, MENTIONED_TO_NEW_PEER, now);
             // One that belongs to a large fleet answers this.
-            gossip::send_greeting(router, &new_peers, now);
+            gossip::send_first_gossip(router, &new_peers, now);
         }
         for (message, to) in router.peers.outbox.drain_outgoing() {
             router.datagrams.send(&message, &recipients(router, to));
@@ -120,7 +120,7 @@
 }
 
 /// Tells the part that hands out permits which routers live.
-fn note_live_routers(router: &Router, now: Instant) {
+fn update_limiters(router: &Router, now: Instant) {
     let settings = router.settings();
     let own = RouterPlace {
         router: settings.listen.peers,
@@ -144,18 +144,20 @@
 
 /// When the roles of watchers are decided anew.
 #[derive(Default)]
-struct RoleTurn {
+struct RoleDecisionTimer {
     last: Option<Instant>,
 }
 
-impl RoleTurn {
+impl RoleDecisionTimer {
     /// With each heartbeat; in a large fleet, where that takes a look at each member, less often once
     /// most members are known: what watchers say of themselves has them decided at once, too.
     fn is_due(&mut self, router: &Router, now: Instant) -> bool {
         let passed = |at: Instant| now.saturating_duration_since(at);
-        let is_recent = self.last.is_some_and(|at| passed(at) < LARGE_ROLE_PERIOD);
-        let is_settled = passed(router.lifecycle.started()) > SETTLED_AFTER;
-        if router.peers.is_large() && is_recent && is_settled {
+        let is_recent = self
+            .last
+            .is_some_and(|at| passed(at) < LARGE_FLEET_ROLE_PERIOD);
+        let has_discovered_members = passed(router.lifecycle.started()) > MEMBER_DISCOVERY_TIME;
+        if router.peers.is_large() && is_recent && has_discovered_members {
             return false;
         }
         self.last = Some(now);
@@ -164,17 +166,17 @@
 }
 
 /// Sends what is due in each period: heartbeats, or gossip in a large fleet.
-fn send_period(router: &Router, turn: &mut HeartbeatRotation, was_paused: bool, now: Instant) {
+fn send_period(router: &Router, rotation: &mut HeartbeatRotation, was_paused: bool, now: Instant) {
     let serves_peers = serves_peers(router, now);
     let is_large = router.peers.is_large();
     let peers = if is_large {
         gossip::send_period(router, was_paused, now);
-        router.peers.plain_peers()
+        router.peers.heartbeat_peers()
     } else {
         router.peers.addresses()
     };
     if !peers.is_empty() {
-        let peers = turn.next_peers(peers, serves_peers);
+        let peers = rotation.next_peers(peers, serves_peers);
         send_heartbeat(router, &peers, MENTIONED_PEERS, now);
     }
 }
@@ -184,7 +186,7 @@
     let serves_peers = serves_peers(router, now);
     let peers = if router.peers.is_large() {
         gossip::send_urgent(router, now);
-        router.peers.plain_peers()
+        router.peers.heartbeat_peers()
     } else {
         router.peers.addresses()
     };
@@ -197,9 +199,9 @@
 /// Waits for the next period, or for a change that peers are to be sent at once.
 async fn wait_for_change(router: &Router, next_period: Instant) {
     let sent = router.now();
-    if !router.peers.outbox.has_new() {
+    if !router.peers.outbox.has_new_peers() {
         tokio::select! {
-            () = router.peers.outbox.state_changed() => {}
+            () = router.peers.outbox.sender_woken() => {}
             () = router.timers.sleep_until(next_period) => return,
         }
     }
@@ -214,14 +216,14 @@
         // Whoever gets it passes it on.
         Recipients::All if peers.is_large() => peers.members.borrow().flood_roots(&mut rng),
         Recipients::All => peers.addresses(),
-        Recipients::Many => change_recipients(peers.addresses(), &mut rng),
-        Recipients::Few => version_recipients(peers.addresses(), false, &mut rng),
-        Recipients::Next => peers.members.borrow().flood_targets(&mut rng),
-        Recipients::These(peers) => peers,
+        Recipients::LargeSample => change_recipients(peers.addresses(), &mut rng),
+        Recipients::SmallSample => version_recipients(peers.addresses(), false, &mut rng),
+        Recipients::ForwardTargets => peers.members.borrow().flood_targets(&mut rng),
+        Recipients::Only(peers) => peers,
     }
 }
 
-fn mention_seeds(router: &Router, now: Instant) {
+fn add_seeds(router: &Router, now: Instant) {
     let settings = router.settings();
     let own = settings.listen.peers;
     let seeds = settings.seeds.iter().copied();
@@ -229,12 +231,12 @@
     router.peers.on_seeds(others, now);
 }
 
-fn forget_old(router: &Router, now: Instant) {
+fn remove_expired(router: &Router, now: Instant) {
     let ttl = load_ttl(router.peer_timeout());
     let mut table = router.upstreams.borrow_mut();
     table.peer_load.remove_expired(now, ttl);
-    router.peers.forget_old(now);
-    router.list_copies.borrow_mut().forget_old(now);
+    router.peers.remove_expired(now);
+    router.list_copies.borrow_mut().remove_expired(now);
 }
 
 fn serves_peers(router: &Router, now: Instant) -> bool {
@@ -242,8 +244,8 @@
     store.role().serves_peers(store.last_success(), now)
 }
 
-fn send_heartbeat(router: &Router, peers: &[SocketAddr], mentions: usize, now: Instant) {
-    let message = PeerMessage::Heartbeat(heartbeat(router, mentions, now));
+fn send_heartbeat(router: &Router, peers: &[SocketAddr], mention_count: usize, now: Instant) {
+    let message = PeerMessage::Heartbeat(heartbeat(router, mention_count, now));
     router.datagrams.send(&message, peers);
 }
 
@@ -260,7 +262,7 @@
     entries.into_iter().take(MAX_ENTRIES).map(entry).collect()
 }
 
-fn heartbeat(router: &Router, mentions: usize, now: Instant) -> Heartbeat {
+fn heartbeat(router: &Router, mention_count: usize, now: Instant) -> Heartbeat {
     let settings = router.settings();
     let table = router.upstreams.borrow();
     let peers = router.peers.addresses();
@@ -286,7 +288,7 @@
         load: first_entries(streams.load, LoadReport::new),
         suspects,
         prompt_locations: first_entries(streams.prompt_locations, |location| location),
-        known_peers: rng.choose_multiple(peers, mentions),
+        known_peers: rng.choose_multiple(peers, mention_count),
         budget_use: router.budget_use(now),
     }
 }
@@ -296,7 +298,7 @@
     let store = &router.store;
     let peers = router.peers.count();
     let (role, last) = (store.role(), store.last_success());
-    let age = reported_store_age(role, last, store.fails(), peers, now);
+    let age = reported_store_age(role, last, store.is_failing(), peers, now);
     // An age beyond 49 days is as good as 49 days.
     age.map(|age| u32::try_from(age.as_millis()).unwrap_or(u32::MAX))
 }
--- a/crates/router/cloverpier_router/src/intake.rs
+++ b/crates/router/cloverpier_router/src/intake.rs
@@ -139,12 +139,12 @@
     let store = &router.store;
     let started = router.lifecycle.started();
     while !store.is_serving() {
-        let until = hold_deadline(started, store.fails(), arrived, limit);
+        let until = hold_deadline(started, store.is_failing(), arrived, limit);
         let Some(until) = until.filter(|until| router.now() < *until) else {
             return;
         };
         tokio::select! {
-            () = store.start_changed() => {}
+            () = store.held_requests_woken() => {}
             () = router.timers.sleep_until(until) => {}
         }
     }
--- a/crates/router/cloverpier_router/src/leaving_reports.rs
+++ b/crates/router/cloverpier_router/src/leaving_reports.rs
@@ -4,10 +4,10 @@
 //! there. Owns no state: the table of upstreams holds the leavings, the router when the last one was
 //! learned.
 
-use crate::beliefs::{LeavingSource, log_leaving};
 use crate::outbox::Recipients;
 use crate::peer_messages::{LeavingReports, PeerMessage};
 use crate::router::Router;
+use crate::upstream_log::{LeavingSource, log_leaving};
 use crate::via::Via;
 use cloverpier_router_policy::dissemination::{
     is_within_repeat_window, may_have_missed_facts, sends_missed_facts,
@@ -21,17 +21,17 @@
 pub(crate) fn on_leaving(
     router: &Router,
     upstream: &Upstream,
-    born_ms: Option<u64>,
+    start_time_ms: Option<u64>,
     via: Via<'_>,
     now: Instant,
 ) {
     let mut table = router.upstreams.borrow_mut();
-    if !table.on_leaving(&upstream.name, born_ms, now) {
+    if !table.on_leaving(&upstream.name, start_time_ms, now) {
         return;
     }
     let reports = table.leaving_reports_of(&upstream.name, now);
     drop(table);
-    note(router, upstream, "said", &LeavingSource::Answer(via), now);
+    record(router, upstream, "said", &LeavingSource::Answer(via), now);
     send(router, &reports, &Recipients::All);
 }
 
@@ -41,7 +41,7 @@
     let new = table.on_peer_leaving_reports(&reports.upstreams, now);
     drop(table);
     for upstream in &new {
-        note(
+        record(
             router,
             upstream,
             "heard",
@@ -50,11 +50,11 @@
         );
     }
     if !new.is_empty() {
-        router.peers.pass_on(PeerMessage::Leavings(reports));
+        router.peers.forward(PeerMessage::LeavingReports(reports));
     }
 }
 
-fn note(
+fn record(
     router: &Router,
     upstream: &Upstream,
     how: &'static str,
@@ -75,20 +75,20 @@
 pub(crate) fn send_if_missed(
     router: &Router,
     peer: SocketAddr,
-    former: Option<&PeerEntry>,
+    previous: Option<&PeerEntry>,
     entry: &PeerEntry,
 ) {
-    if may_have_missed_facts(former, entry, router.peer_timeout()) {
-        greet_newcomer(router, peer);
+    if may_have_missed_facts(previous, entry, router.peer_timeout()) {
+        send_missed_if_selected(router, peer);
     }
 }
 
 /// Sends a peer that may have missed some what is known, where this router is one of those that do.
-pub(crate) fn greet_newcomer(router: &Router, peer: SocketAddr) {
+pub(crate) fn send_missed_if_selected(router: &Router, peer: SocketAddr) {
     let reports = router.upstreams.borrow().leaving_reports(router.now());
     if !reports.is_empty() && sends_missed_facts(router.peers.count(), &mut router.rng.borrow_mut())
     {
-        send(router, &reports, &Recipients::These(vec![peer]));
+        send(router, &reports, &Recipients::Only(vec![peer]));
     }
 }
 
@@ -100,7 +100,7 @@
     let reports = router.upstreams.borrow().recent_leaving_reports(now);
     let peers = router.peers.addresses();
     let peer = router.rng.borrow_mut().choose_multiple(peers, 1);
-    send(router, &reports, &Recipients::These(peer));
+    send(router, &reports, &Recipients::Only(peer));
 }
 
 fn send(router: &Router, reports: &[LeavingReport], to: &Recipients) {
@@ -110,6 +110,6 @@
         router
             .peers
             .outbox
-            .send(PeerMessage::Leavings(reports), to.clone());
+            .send(PeerMessage::LeavingReports(reports), to.clone());
     }
 }
--- a/crates/router/cloverpier_router/src/lib.rs
+++ b/crates/router/cloverpier_router/src/lib.rs
@@ -19,7 +19,7 @@
 //! | work that one router at a time does | `singleton` |
 //! | other routers | `peers`, `outbox`, `datagrams`, `heartbeats`, `gossip`, `peer_reports`, `peer_fetch`, `peer_serve`, `list_copies`, `configuration_copies`, [`peer_messages`] |
 //! | connections | `connection`, `pool`, `http_client`, `body` |
-//! | logs and metrics | `decision_log`, `choice_log`, `beliefs`, `via`, `metrics` |
+//! | logs and metrics | `decision_log`, `choice_log`, `upstream_log`, `via`, `metrics` |
 //! | work beside the thread that serves | `background` |
 //!
 //! HTTP is spoken by `hyper` at the level of connections: what may be repeated
@@ -42,7 +42,6 @@
 #![warn(clippy::disallowed_methods)]
 
 mod background;
-mod beliefs;
 mod body;
 mod budgets;
 mod caller_stream;
@@ -101,6 +100,7 @@
 mod stream;
 mod successors;
 mod upstream_limits;
+mod upstream_log;
 mod upstream_updates;
 mod via;
 mod wait;
--- a/crates/router/cloverpier_router/src/limit_reports.rs
+++ b/crates/router/cloverpier_router/src/limit_reports.rs
@@ -31,7 +31,7 @@
     }
     drop(table);
     if is_new {
-        router.peers.pass_on(PeerMessage::Limits(reports));
+        router.peers.forward(PeerMessage::LimitReports(reports));
     }
 }
 
@@ -39,20 +39,20 @@
 pub(crate) fn send_if_missed(
     router: &Router,
     peer: SocketAddr,
-    former: Option<&PeerEntry>,
+    previous: Option<&PeerEntry>,
     entry: &PeerEntry,
 ) {
-    if may_have_missed_facts(former, entry, router.peer_timeout()) {
-        greet_newcomer(router, peer);
+    if may_have_missed_facts(previous, entry, router.peer_timeout()) {
+        send_missed_if_selected(router, peer);
     }
 }
 
 /// Sends a peer that may have missed some what is known, where this router is one of those that do.
-pub(crate) fn greet_newcomer(router: &Router, peer: SocketAddr) {
+pub(crate) fn send_missed_if_selected(router: &Router, peer: SocketAddr) {
     let reports = reports(router);
     if !reports.is_empty() && sends_missed_facts(router.peers.count(), &mut router.rng.borrow_mut())
     {
-        send(router, &reports, &Recipients::These(vec![peer]));
+        send(router, &reports, &Recipients::Only(vec![peer]));
     }
 }
 
@@ -63,19 +63,19 @@
     }
     let peers = router.peers.addresses();
     let peer = router.rng.borrow_mut().choose_multiple(peers, 1);
-    send(router, &reports(router), &Recipients::These(peer));
+    send(router, &reports(router), &Recipients::Only(peer));
 }
 
 fn reports(router: &Router) -> Vec<LimitReport> {
     let table = router.upstreams.borrow();
-    let born_ms = |key| table.by_key(key).and_then(UpstreamState::start_time_ms);
-    router.upstream_limits.reports(born_ms)
+    let start_time_ms = |key| table.by_key(key).and_then(UpstreamState::start_time_ms);
+    router.upstream_limits.reports(start_time_ms)
 }
 
 fn send(router: &Router, reports: &[LimitReport], to: &Recipients) {
     let sender = router.settings().listen.peers;
     for limits in in_messages(reports) {
-        let reports = PeerMessage::Limits(LimitReports { sender, limits });
+        let reports = PeerMessage::LimitReports(LimitReports { sender, limits });
         router.peers.outbox.send(reports, to.clone());
     }
 }
--- a/crates/router/cloverpier_router/src/list_copies.rs
+++ b/crates/router/cloverpier_router/src/list_copies.rs
@@ -1,7 +1,7 @@
 //! Copies of the list of upstreams that were written for peers a moment ago.
 //!
 //! [`ListCopies`] owns them: peers that start together ask for the same bytes within a second, so they are
-//! written once. Relies on its caller for the time, and on [`ListCopies::forget_old`] being called.
+//! written once. Relies on its caller for the time, and on [`ListCopies::remove_expired`] being called.
 
 use crate::configuration_copies::CopyEncoding;
 use bytes::Bytes;
@@ -11,7 +11,7 @@
 /// A copy of the list is handed out for this long, though changes may have come: whoever gets it asks for
 /// those next. While thousands of upstreams change, writing each revision anew for each peer would take
 /// most of a small VM's processor.
-const LIST_COPY_FOR: Duration = Duration::from_secs(1);
+const LIST_COPY_TTL: Duration = Duration::from_secs(1);
 
 /// The form and the encoding of a copy.
 type CopyKey = (bool, CopyEncoding);
@@ -26,7 +26,7 @@
     /// A copy that was written a moment ago.
     pub fn get(&self, key: CopyKey, now: Instant) -> Option<Bytes> {
         let (bytes, at) = self.copies.get(&key)?;
-        let is_recent = now.saturating_duration_since(*at) < LIST_COPY_FOR;
+        let is_recent = now.saturating_duration_since(*at) < LIST_COPY_TTL;
         is_recent.then(|| bytes.clone())
     }
 
@@ -36,8 +36,8 @@
     }
 
     /// Drops what is not handed out any more.
-    pub fn forget_old(&mut self, now: Instant) {
-        let is_recent = |at: Instant| now.saturating_duration_since(at) < LIST_COPY_FOR;
+    pub fn remove_expired(&mut self, now: Instant) {
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < LIST_COPY_TTL;
         self.copies.retain(|_, (_, at)| is_recent(*at));
     }
 }
--- a/crates/router/cloverpier_router/src/outbox.rs
+++ b/crates/router/cloverpier_router/src/outbox.rs
@@ -16,13 +16,13 @@
     /// All peers.
     All,
     /// All, or where they are many some of them, who hand it on.
-    Many,
+    LargeSample,
     /// A few of them, picked at random.
-    Few,
+    SmallSample,
     /// Those that whoever gets something for the first time passes it on to, in a large fleet.
-    Next,
+    ForwardTargets,
     /// These.
-    These(Vec<SocketAddr>),
+    Only(Vec<SocketAddr>),
 }
 
 /// What waits to be sent.
@@ -37,40 +37,40 @@
     /// Peers that were not known before, to be sent a first heartbeat.
     new_peers: RefCell<Vec<SocketAddr>>,
     /// Wakes the sender of datagrams.
-    state_changed: Notify,
+    sender_woken: Notify,
     /// Whether a heartbeat is due at once, as the last one says something older.
     heartbeat_due: Cell<bool>,
 }
 
 impl Outbox {
     /// Has a first heartbeat sent to a peer.
-    pub fn greet(&self, peer: SocketAddr) {
+    pub fn queue_first_heartbeat(&self, peer: SocketAddr) {
         self.new_peers.borrow_mut().push(peer);
-        self.state_changed.notify_one();
+        self.sender_woken.notify_one();
     }
 
     /// Takes some of the peers that are to be sent a first heartbeat.
-    pub fn take_new(&self, most: usize) -> Vec<SocketAddr> {
+    pub fn take_new_peers(&self, most: usize) -> Vec<SocketAddr> {
         let mut new = self.new_peers.borrow_mut();
         let count = new.len().min(most);
         new.drain(..count).collect()
     }
 
     /// Whether some are left.
-    pub fn has_new(&self) -> bool {
+    pub fn has_new_peers(&self) -> bool {
         !self.new_peers.borrow().is_empty()
     }
 
     /// Has an upstream's load, or a suspicion of it, reported at once.
     pub fn report_upstream(&self, upstream: &UpstreamName) {
         self.changed_upstreams.borrow_mut().push(upstream.clone());
-        self.state_changed.notify_one();
+        self.sender_woken.notify_one();
     }
 
     /// Has a message sent.
     pub fn send(&self, message: PeerMessage, to: Recipients) {
         self.outgoing.borrow_mut().push((message, to));
-        self.state_changed.notify_one();
+        self.sender_woken.notify_one();
     }
 
     /// Empties the list of messages to send.
@@ -79,15 +79,15 @@
     }
 
     /// Has the location of a prompt reported with the next change.
-    pub fn report_prompt(&self, prompt: PromptKey, engine: UpstreamKey) {
+    pub fn report_prompt_location(&self, prompt: PromptKey, engine: UpstreamKey) {
         let mut locations = self.new_prompt_locations.borrow_mut();
         locations.push((prompt, engine));
     }
 
     /// Has a heartbeat sent at once: a version here has changed.
-    pub fn report_version(&self) {
+    pub fn schedule_heartbeat(&self) {
         self.heartbeat_due.set(true);
-        self.state_changed.notify_one();
+        self.sender_woken.notify_one();
     }
 
     /// Whether a heartbeat is due at once; it counts as sent then.
@@ -107,11 +107,11 @@
 
     /// Has the sender of datagrams look for messages.
     pub fn wake(&self) {
-        self.state_changed.notify_one();
+        self.sender_woken.notify_one();
     }
 
     /// Waits until there is something to report.
-    pub async fn state_changed(&self) {
-        self.state_changed.notified().await;
+    pub async fn sender_woken(&self) {
+        self.sender_woken.notified().await;
     }
 }
--- a/crates/router/cloverpier_router/src/peer_fetch.rs
+++ b/crates/router/cloverpier_router/src/peer_fetch.rs
@@ -4,12 +4,12 @@
 //! went. Whom to ask, and when, is decided in `cloverpier_router_policy::version_fetch`; the
 //! shapes are [`crate::peer_messages`]'s, and [`crate::peer_serve`] is the other side.
 
-use crate::configuration_copies::{CopyEncoding, HeldConfiguration};
+use crate::configuration_copies::{ConfigurationWithCopies, CopyEncoding};
 use crate::decision_log::{FetchFailed, VersionFetched, ms};
 use crate::http_client::{CallError, HttpAnswer, HttpClient, LargeBounds};
 use crate::peer_messages::{CodecError, UpstreamsReply, decode, decompress};
 use crate::peer_serve::{
-    CONFIGURATION_PATH, GZIP, UPSTREAMS_PATH, UPSTREAMS_WITH_STARTS, encoding_of, wait_of,
+    CONFIGURATION_PATH, GZIP, UPSTREAMS_PATH, UPSTREAMS_WITH_STARTS, encoding_of, retry_delay,
 };
 use crate::rollouts;
 use crate::router::Router;
@@ -66,13 +66,13 @@
     loop {
         let router = &fetcher.router;
         tokio::select! {
-            () = router.peers.newer_version_seen(watched) => {}
+            () = router.peers.wait_for_newer_version(watched) => {}
             () = router.timers.sleep(compare_period(router)) => {}
         }
         if router.store.role().watches() && router.store.is_serving() {
             router.timers.sleep(STORE_HEAD_START).await;
         }
-        fetcher.catch_up().await;
+        fetcher.fetch_until_current().await;
     }
 }
 
@@ -98,21 +98,21 @@
 
 impl Fetcher {
     /// Fetches until no live peer has a newer version.
-    async fn catch_up(&mut self) {
+    async fn fetch_until_current(&mut self) {
         loop {
             match self.next_step() {
                 FetchStep::UpToDate => return,
                 FetchStep::Wait(wait) => self.pause(wait).await,
                 FetchStep::Fetch(peer) => {
                     self.fetch_from(peer).await;
-                    self.gather().await;
+                    self.pause_after_fetch().await;
                 }
             }
         }
     }
 
     /// Has the next changes of upstreams come together, in a large fleet.
-    async fn gather(&self) {
+    async fn pause_after_fetch(&self) {
         if self.watched == Watched::Upstreams && self.router.peers.is_large() {
             self.router.timers.sleep(UPSTREAM_FETCH_PAUSE).await;
         }
@@ -125,13 +125,16 @@
             Watched::Configuration => peer.configuration_version,
             Watched::Upstreams => peer.upstreams_revision,
         };
-        let home = &router.settings().data_centre;
-        let peers = router.peers.versions(version, home, now, timeout);
+        let own_data_centre = &router.settings().data_centre;
+        let peers = router
+            .peers
+            .versions(version, own_data_centre, now, timeout);
         let mut rng = router.rng.borrow_mut();
-        self.sources.step(self.known(), peers, now, &mut rng)
+        self.sources
+            .step(self.current_version(), peers, now, &mut rng)
     }
 
-    fn known(&self) -> u64 {
+    fn current_version(&self) -> u64 {
         match self.watched {
             Watched::Configuration => self.router.store.configuration_version(),
             Watched::Upstreams => self.router.upstreams.borrow().revision(),
@@ -147,13 +150,13 @@
 
     async fn fetch_from(&mut self, peer: SocketAddr) {
         let began = self.router.now();
-        let known = self.known();
+        let current_version = self.current_version();
         let fetched = match self.watched {
             Watched::Configuration => self.fetch_configuration(peer).await,
             Watched::Upstreams => self.fetch_upstreams(peer).await,
         };
         let fetched = fetched.and_then(|bytes| {
-            let is_newer = self.known() > known;
+            let is_newer = self.current_version() > current_version;
             is_newer.then_some(bytes).ok_or(FetchError::NotNewer)
         });
         let now = self.router.now();
@@ -206,19 +209,19 @@
     async fn fetch_configuration(&mut self, peer: SocketAddr) -> Result<usize, FetchError> {
         let mut headers = HeaderMap::new();
         headers.insert(ACCEPT_ENCODING, HeaderValue::from_static(GZIP));
-        let answer = self.get(peer, CONFIGURATION_PATH, headers).await?;
-        let bytes = answer.body.len();
-        let encoding = encoding_of(&answer.headers);
-        let held = HeldConfiguration::read(answer.body, encoding).await;
-        let held = held.context(CodecSnafu)?;
-        apply_configuration(&self.router, held, &format!("peer {peer}"));
+        let response = self.get(peer, CONFIGURATION_PATH, headers).await?;
+        let bytes = response.body.len();
+        let encoding = encoding_of(&response.headers);
+        let configuration = ConfigurationWithCopies::read(response.body, encoding).await;
+        let configuration = configuration.context(CodecSnafu)?;
+        apply_configuration(&self.router, configuration, &format!("peer {peer}"));
         Ok(bytes)
     }
 
     /// Fetches upstreams; returns the bytes that it took.
     async fn fetch_upstreams(&mut self, peer: SocketAddr) -> Result<usize, FetchError> {
-        let path = if self.router.store.knows_upstreams() {
-            format!("{UPSTREAMS_PATH}?after={}", self.known())
+        let path = if self.router.store.has_upstreams() {
+            format!("{UPSTREAMS_PATH}?after={}", self.current_version())
         } else {
             UPSTREAMS_PATH.to_owned()
         };
@@ -226,14 +229,14 @@
         let form = HeaderValue::from_static(UPSTREAMS_WITH_STARTS);
         headers.insert(ACCEPT, form);
         headers.insert(ACCEPT_ENCODING, HeaderValue::from_static(GZIP));
-        let answer = self.get(peer, &path, headers).await?;
-        let reply = match encoding_of(&answer.headers) {
-            CopyEncoding::Plain => decode(&answer.body),
-            CopyEncoding::Compressed => decompress(&answer.body).and_then(|b| decode(&b)),
+        let response = self.get(peer, &path, headers).await?;
+        let reply = match encoding_of(&response.headers) {
+            CopyEncoding::Plain => decode(&response.body),
+            CopyEncoding::Compressed => decompress(&response.body).and_then(|b| decode(&b)),
         };
         let reply = reply.context(CodecSnafu)?;
         apply_upstreams_reply(&self.router, reply, &format!("peer {peer}"));
-        Ok(answer.body.len())
+        Ok(response.body.len())
     }
 
     async fn get(
@@ -251,12 +254,12 @@
             stall: STALL_TIMEOUT,
         };
         let never = std::future::pending();
-        let answer = client.get_large(path, headers, bounds, never).await;
-        let answer = answer.context(CallSnafu)?;
-        match answer.status {
-            StatusCode::OK => Ok(answer),
+        let response = client.get_large(path, headers, bounds, never).await;
+        let response = response.context(CallSnafu)?;
+        match response.status {
+            StatusCode::OK => Ok(response),
             StatusCode::SERVICE_UNAVAILABLE => BusySnafu {
-                wait: wait_of(&answer.headers),
+                wait: retry_delay(&response.headers),
             }
             .fail(),
             status => StatusSnafu { status }.fail(),
--- a/crates/router/cloverpier_router/src/peer_messages.rs
+++ b/crates/router/cloverpier_router/src/peer_messages.rs
@@ -110,18 +110,20 @@
     /// The sender's address for peers.
     pub sender: SocketAddr,
     /// The upstream that was at its address before.
-    pub former: UpstreamName,
+    #[serde(rename = "former")]
+    pub predecessor: UpstreamName,
     /// The upstream.
     pub upstream: Upstream,
 }
 
 /// An upstream at whose address another process answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Replaced {
+pub struct ReplacedUpstream {
     /// The sender's address for peers.
     pub sender: SocketAddr,
     /// The upstream, which is gone: a name belongs to one start of one process.
-    pub former: UpstreamName,
+    #[serde(rename = "former")]
+    pub predecessor: UpstreamName,
 }
 
 /// What a router knows of roll-outs.
@@ -171,16 +173,16 @@
 
 /// An ask for permits to send requests to an upstream that limits itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitAsk {
+pub struct LimiterRequest {
     /// The sender's address for peers.
     pub sender: SocketAddr,
     /// What it asks for.
     pub request: PermitRequest,
 }
 
-/// The answer to a [`LimitAsk`].
+/// The answer to a [`LimiterRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitReply {
+pub struct LimiterReply {
     /// The sender's address for peers.
     pub sender: SocketAddr,
     /// What it answers.
@@ -230,18 +232,22 @@
     /// Sent once when it is found; a router of a release without it ignores the datagram.
     Successor(Successor),
     /// The same, where it is not known whose process answers now.
-    Replaced(Replaced),
+    #[serde(rename = "Replaced")]
+    ReplacedUpstream(ReplacedUpstream),
     /// Sent when an order is new or further on, and each second while it is under way; a router
     /// of a release without it ignores the datagram.
-    Rollouts(RolloutReports),
+    #[serde(rename = "Rollouts")]
+    RolloutReports(RolloutReports),
     /// Sent to the routers that decide, while an order is under way; likewise.
     RolloutEvidence(RolloutEvidence),
     /// Sent to all when an upstream has ended under a request that may be why, and again for a
     /// while; likewise.
-    Crashes(CrashReports),
+    #[serde(rename = "Crashes")]
+    CrashReports(CrashReports),
     /// Sent to all when an upstream has said in an answer that it leaves, and again for a while;
     /// likewise.
-    Leavings(LeavingReports),
+    #[serde(rename = "Leavings")]
+    LeavingReports(LeavingReports),
     /// Sent to the routers that may hold the lease, where the settings name work for its holder;
     /// likewise.
     FleetReport(FleetReport),
@@ -251,17 +257,21 @@
     /// is sent heartbeats.
     Gossip(Gossip),
     /// Sent to ask for all members; likewise.
-    AskMembers(SocketAddr),
+    #[serde(rename = "AskMembers")]
+    MembersRequest(SocketAddr),
     /// Sent in answer to that, likewise.
     Members(Members),
     /// Sent by watchers of the store in a large fleet, and passed on; likewise.
     UpstreamUpdate(UpstreamUpdate),
     /// Sent to all when an upstream names a limit or none any more, and again for a while; likewise.
-    Limits(LimitReports),
+    #[serde(rename = "Limits")]
+    LimitReports(LimitReports),
     /// Sent to the router that hands out permits for an upstream; likewise: another one is asked then.
-    LimitAsk(LimitAsk),
+    #[serde(rename = "LimitAsk")]
+    LimiterRequest(LimiterRequest),
     /// Sent in answer to that.
-    LimitReply(LimitReply),
+    #[serde(rename = "LimitReply")]
+    LimiterReply(LimiterReply),
 }
 
 impl PeerMessage {
@@ -270,18 +280,18 @@
         match self {
             Self::Heartbeat(_) => "heartbeat",
             Self::Change(_) => "change",
-            Self::Successor(_) | Self::Replaced(_) => "successor",
-            Self::Rollouts(_) => "rollouts",
+            Self::Successor(_) | Self::ReplacedUpstream(_) => "successor",
+            Self::RolloutReports(_) => "rollouts",
             Self::RolloutEvidence(_) => "rollout-evidence",
-            Self::Crashes(_) => "crashes",
-            Self::Leavings(_) => "leavings",
+            Self::CrashReports(_) => "crashes",
+            Self::LeavingReports(_) => "leavings",
             Self::FleetReport(_) => "fleet-report",
             Self::LeaseUpdate(_) => "lease",
             Self::Gossip(_) => "gossip",
-            Self::AskMembers(_) | Self::Members(_) => "members",
+            Self::MembersRequest(_) | Self::Members(_) => "members",
             Self::UpstreamUpdate(_) => "upstreams",
-            Self::Limits(_) => "limits",
-            Self::LimitAsk(_) | Self::LimitReply(_) => "permits",
+            Self::LimitReports(_) => "limits",
+            Self::LimiterRequest(_) | Self::LimiterReply(_) => "permits",
         }
     }
 }
--- a/crates/router/cloverpier_router/src/peer_reports.rs
+++ b/crates/router/cloverpier_router/src/peer_reports.rs
@@ -10,7 +10,7 @@
 use crate::gossip::{self, member_of};
 use crate::leaving_reports;
 use crate::limit_reports;
-use crate::peer_messages::{Change, Heartbeat, LimitAsk, LoadReport, PeerMessage, decode};
+use crate::peer_messages::{Change, Heartbeat, LimiterRequest, LoadReport, PeerMessage, decode};
 use crate::rollouts;
 use crate::router::Router;
 use crate::singleton;
@@ -52,21 +52,21 @@
         PeerMessage::Heartbeat(heartbeat) => on_heartbeat(router, heartbeat, now),
         PeerMessage::Change(change) => on_change(router, change, now),
         PeerMessage::Successor(successor) => on_peer_successor(router, successor),
-        PeerMessage::Replaced(replaced) => on_peer_replaced(router, replaced),
-        PeerMessage::Rollouts(reports) => {
+        PeerMessage::ReplacedUpstream(replaced) => on_peer_replaced(router, replaced),
+        PeerMessage::RolloutReports(reports) => {
             let from = format!("peer {}", reports.sender);
             rollouts::apply_views(router, reports.views, &from, now);
         }
         PeerMessage::RolloutEvidence(evidence) => {
             rollouts::on_evidence(router, evidence.sender, evidence.report);
         }
-        PeerMessage::Crashes(reports) => crash_reports::on_reports(router, reports, now),
-        PeerMessage::Leavings(reports) => leaving_reports::on_reports(router, reports, now),
-        PeerMessage::Limits(reports) => limit_reports::on_reports(router, reports),
-        PeerMessage::LimitAsk(ask) => on_limit_ask(router, &ask),
-        PeerMessage::LimitReply(reply) => router.upstream_limits.on_reply(reply),
+        PeerMessage::CrashReports(reports) => crash_reports::on_reports(router, reports, now),
+        PeerMessage::LeavingReports(reports) => leaving_reports::on_reports(router, reports, now),
+        PeerMessage::LimitReports(reports) => limit_reports::on_reports(router, reports),
+        PeerMessage::LimiterRequest(ask) => on_permit_request(router, &ask),
+        PeerMessage::LimiterReply(reply) => router.upstream_limits.on_reply(reply),
         PeerMessage::Gossip(message) => gossip::on_gossip(router, message, now),
-        PeerMessage::AskMembers(peer) => gossip::on_ask_members(router, peer, now),
+        PeerMessage::MembersRequest(peer) => gossip::on_members_request(router, peer, now),
         PeerMessage::Members(members) => gossip::on_members(router, members, now),
         PeerMessage::UpstreamUpdate(update) => gossip::on_upstream_update(router, update),
         PeerMessage::FleetReport(report) => singleton::on_report(router, report, now),
@@ -74,7 +74,7 @@
     }
 }
 
-fn on_limit_ask(router: &Router, ask: &LimitAsk) {
+fn on_permit_request(router: &Router, ask: &LimiterRequest) {
     let table = router.upstreams.borrow();
     let state = table.by_key(ask.request.upstream);
     router.upstream_limits.on_ask(ask, state);
@@ -99,10 +99,10 @@
         let mut table = router.upstreams.borrow_mut();
         let state = table.by_key(*key);
         let is_new = state.filter(|s| !s.is_suspected() && !s.is_suspected_by_peer(now));
-        let died = is_new.map(|s| s.upstream.clone());
+        let newly_suspected = is_new.map(|s| s.upstream.clone());
         table.on_peer_suspicion(*key, now);
         drop(table);
-        if let Some(upstream) = died {
+        if let Some(upstream) = newly_suspected {
             record::on_death(router, &upstream, now, now);
         }
     }
@@ -139,10 +139,10 @@
     };
     record_entry(router, heartbeat.sender, entry, now);
     if has_newer_configuration {
-        router.peers.on_newer_version(Watched::Configuration);
+        router.peers.notify_newer_version(Watched::Configuration);
     }
     if has_newer_upstreams {
-        router.peers.on_newer_version(Watched::Upstreams);
+        router.peers.notify_newer_version(Watched::Upstreams);
     }
 }
 
@@ -156,14 +156,14 @@
     members.on_unstamped_message(member, now);
     drop(members);
     if is_large {
-        router.peers.on_plain_heartbeat(peer, now);
+        router.peers.add_heartbeat_peer(peer, now);
     }
-    let former = router.peers.on_heartbeat(peer, entry.clone());
-    crash_reports::send_if_missed(router, peer, former.as_ref(), &entry);
-    leaving_reports::send_if_missed(router, peer, former.as_ref(), &entry);
-    limit_reports::send_if_missed(router, peer, former.as_ref(), &entry);
-    let former_age = former.and_then(|entry| entry.store_age);
-    if affects_watcher_roles(former_age, store_age, router.peers.count()) {
+    let previous = router.peers.on_heartbeat(peer, entry.clone());
+    crash_reports::send_if_missed(router, peer, previous.as_ref(), &entry);
+    leaving_reports::send_if_missed(router, peer, previous.as_ref(), &entry);
+    limit_reports::send_if_missed(router, peer, previous.as_ref(), &entry);
+    let previous_age = previous.and_then(|entry| entry.store_age);
+    if affects_watcher_roles(previous_age, store_age, router.peers.count()) {
         decide_watcher_role(router, now);
     }
 }
--- a/crates/router/cloverpier_router/src/peer_serve.rs
+++ b/crates/router/cloverpier_router/src/peer_serve.rs
@@ -35,14 +35,14 @@
 /// A peer that asks without it, of a release that cannot read it, gets the form without.
 pub(crate) const UPSTREAMS_WITH_STARTS: &str = "application/msgpack;starts=1";
 /// When a refused peer asks again if the answer does not say.
-const DEFAULT_WAIT: Duration = Duration::from_millis(100);
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Hands versions to peers.
-pub(crate) async fn on_peer(router: Rc<Router>, request: Request<Incoming>) -> Reply {
+pub(crate) async fn serve_version(router: Rc<Router>, request: Request<Incoming>) -> Reply {
     let served = match request.uri().path() {
         CONFIGURATION_PATH => configuration_reply(&router, request.headers()).await,
-        UPSTREAMS_PATH if router.store.knows_upstreams() => {
-            upstreams_answer(&router, &request).await.map(Some)
+        UPSTREAMS_PATH if router.store.has_upstreams() => {
+            upstreams_reply(&router, &request).await.map(Some)
         }
         _ => Ok(None),
     };
@@ -59,17 +59,17 @@
     router: &Router,
     headers: &HeaderMap,
 ) -> Result<Option<Reply>, CodecError> {
-    let Some(held) = router.store.held_configuration() else {
+    let Some(configuration) = router.store.configuration_with_copies() else {
         return Ok(None);
     };
     let encoding = accepted_encoding(headers);
-    let bytes = held.copy(encoding).await?;
-    if let Some(refusal) = paced(router, bytes.len()) {
+    let bytes = configuration.copy(encoding).await?;
+    if let Some(refusal) = pacing_refusal(router, bytes.len()) {
         return Ok(Some(refusal));
     }
     let line = VersionServed {
         what: Watched::Configuration.name(),
-        version: held.configuration().version(),
+        version: configuration.index().version(),
         bytes: bytes.len(),
     };
     router.log.info("version.served", &line);
@@ -79,16 +79,16 @@
 }
 
 /// Changes of upstreams, or a copy of the whole list, or when to ask again for one.
-async fn upstreams_answer(
+async fn upstreams_reply(
     router: &Router,
     request: &Request<Incoming>,
 ) -> Result<Reply, CodecError> {
     let form = accepted_form(request.headers());
-    let after = asked_after(request);
+    let after = requested_after(request);
     let encoding = accepted_encoding(request.headers());
     let changes = after.and_then(|after| router.upstreams.borrow().changes_after(after));
     let bytes = match changes {
-        Some(changes) if changes.len() <= FEW_CHANGES => {
+        Some(changes) if changes.len() <= MAX_UNPACED_CHANGES => {
             let bytes = encode(&changes_reply(router, changes, form))?;
             return Ok(bytes_reply(router, bytes.into()));
         }
@@ -98,7 +98,7 @@
         }
         None => list_copy(router, form, encoding).await?,
     };
-    if let Some(refusal) = paced(router, bytes.len()) {
+    if let Some(refusal) = pacing_refusal(router, bytes.len()) {
         return Ok(refusal);
     }
     let mut reply = bytes_reply(router, bytes);
@@ -119,7 +119,7 @@
             CopyEncoding::Compressed => compress(&plain),
         }
     };
-    run_in_background(entries * UPSTREAM_BYTES, write).await
+    run_in_background(entries * ESTIMATED_UPSTREAM_BYTES, write).await
 }
 
 /// The whole list in the bytes in which peers get it: written once for all that ask about the same time.
@@ -139,7 +139,7 @@
 }
 
 /// The refusal of a copy that would come before the link has carried the others.
-fn paced(router: &Router, bytes: usize) -> Option<Reply> {
+fn pacing_refusal(router: &Router, bytes: usize) -> Option<Reply> {
     let link = LinkRate::from_mbps(router.settings().link_mbps);
     let mut pacing = router.copy_pacing.borrow_mut();
     let CopyStep::Refuse(wait) = pacing.step(bytes, link, router.now()) else {
@@ -179,9 +179,9 @@
 }
 
 /// When a refused peer is to ask again.
-pub(crate) fn wait_of(headers: &HeaderMap) -> Duration {
+pub(crate) fn retry_delay(headers: &HeaderMap) -> Duration {
     // A peer that does not say when, or says something unreadable, is asked again after a while.
-    read_seconds(headers.get(RETRY_AFTER)).unwrap_or(DEFAULT_WAIT)
+    read_seconds(headers.get(RETRY_AFTER)).unwrap_or(DEFAULT_RETRY_DELAY)
 }
 
 /// A header in seconds; `None` where it is missing or no time.
@@ -192,15 +192,15 @@
 }
 
 /// The revision after which changes are asked for; without a readable one, the whole list is.
-fn asked_after(request: &Request<Incoming>) -> Option<u64> {
+fn requested_after(request: &Request<Incoming>) -> Option<u64> {
     let query = request.uri().query()?;
     query.strip_prefix("after=")?.parse().ok()
 }
 
 /// Bytes that an upstream takes in a copy of the list, about.
-const UPSTREAM_BYTES: usize = 100;
+const ESTIMATED_UPSTREAM_BYTES: usize = 100;
 /// So many changes are as quickly sent as they are compressed.
-const FEW_CHANGES: usize = 20;
+const MAX_UNPACED_CHANGES: usize = 20;
 
 /// How upstreams are written for a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/router/cloverpier_router/src/peers.rs
+++ b/crates/router/cloverpier_router/src/peers.rs
@@ -27,14 +27,14 @@
 
 /// What single routers of a large fleet said of themselves counts for this long: their use of the retry
 /// budget, whose window it mostly is, their versions, how many members they know.
-const HEARD_FOR: Duration = Duration::from_secs(10);
+const LARGE_FLEET_REPORT_TTL: Duration = Duration::from_secs(10);
 
 /// What decides who may hand out permits in a large fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct LimitersSeen {
+struct LimiterInputs {
     digest: u64,
     lost: usize,
-    is_alone: bool,
+    is_isolated: bool,
     serves: bool,
 }
 
@@ -43,23 +43,23 @@
 pub(crate) struct Peers {
     table: RefCell<PeerTable>,
     pub(crate) members: RefCell<Membership>,
-    pub(crate) beats: RefCell<WatcherReports>,
+    pub(crate) watcher_reports: RefCell<WatcherReports>,
     /// The size of the fleet as other routers said it, and when.
-    heard_size: Cell<Option<(usize, Instant)>>,
+    reported_size: Cell<Option<(usize, Instant)>>,
     /// Peers that send heartbeats though they know of a large fleet: those of former releases.
-    plain_peers: RefCell<HashMap<SocketAddr, Instant>>,
+    heartbeat_peers: RefCell<HashMap<SocketAddr, Instant>>,
     /// The number of this router's last beat as a watcher.
-    last_beat: Cell<u64>,
+    last_report_number: Cell<u64>,
     /// What the last map of a large fleet's limiters was made of.
-    limiters_seen: Cell<Option<LimitersSeen>>,
+    last_limiter_inputs: Cell<Option<LimiterInputs>>,
     /// When others were last notified at once of routers that end.
-    sent_ended: Cell<Option<Instant>>,
+    departures_sent_at: Cell<Option<Instant>>,
     /// What they are sent next.
     pub(crate) outbox: Outbox,
     /// Wakes the fetcher of configurations.
-    newer_configuration_seen: Notify,
+    newer_configuration: Notify,
     /// Wakes the fetcher of upstreams.
-    newer_upstreams_seen: Notify,
+    newer_upstreams: Notify,
 }
 
 impl Peers {
@@ -67,17 +67,17 @@
     pub fn new(own: MemberUpdate) -> Self {
         Self {
             // Greater than those of former runs, as stamps are.
-            last_beat: Cell::new(own.stamp),
-            sent_ended: Cell::default(),
-            limiters_seen: Cell::default(),
+            last_report_number: Cell::new(own.stamp),
+            departures_sent_at: Cell::default(),
+            last_limiter_inputs: Cell::default(),
             table: RefCell::default(),
             members: RefCell::new(Membership::new(own)),
-            beats: RefCell::default(),
-            heard_size: Cell::default(),
-            plain_peers: RefCell::default(),
+            watcher_reports: RefCell::default(),
+            reported_size: Cell::default(),
+            heartbeat_peers: RefCell::default(),
             outbox: Outbox::default(),
-            newer_configuration_seen: Notify::new(),
-            newer_upstreams_seen: Notify::new(),
+            newer_configuration: Notify::new(),
+            newer_upstreams: Notify::new(),
         }
     }
 
@@ -87,62 +87,67 @@
     }
 
     /// Whether any peer has sent something since the start.
-    pub fn has_heard_any(&self) -> bool {
+    pub fn has_live_members(&self) -> bool {
         self.members.borrow().count() > 0
     }
 
     /// How many peers there are.
     pub fn count(&self) -> usize {
-        let heard = self.heard_size.get().map_or(0, |(size, _)| size);
+        let heard = self.reported_size.get().map_or(0, |(size, _)| size);
         let known = self.members.borrow().count();
         known.max(self.table.borrow().count()).max(heard)
     }
 
     /// Records how many members another router knows.
-    pub fn on_heard_size(&self, size: usize, now: Instant) {
-        let is_higher = self.heard_size.get().is_none_or(|(known, _)| size >= known);
+    pub fn on_reported_size(&self, size: usize, now: Instant) {
+        let is_higher = self
+            .reported_size
+            .get()
+            .is_none_or(|(known, _)| size >= known);
         if is_higher {
-            self.heard_size.set(Some((size, now)));
+            self.reported_size.set(Some((size, now)));
         }
     }
 
     /// The number of this router's next beat as a watcher.
-    pub fn next_beat(&self) -> u64 {
-        let next = self.last_beat.get() + 1;
-        self.last_beat.set(next);
+    pub fn next_report_number(&self) -> u64 {
+        let next = self.last_report_number.get() + 1;
+        self.last_report_number.set(next);
         next
     }
 
     /// Whether others are notified now of routers that end; it counts as done then.
-    pub fn may_send_ended(&self, now: Instant) -> bool {
+    pub fn start_departure_report(&self, now: Instant) -> bool {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < DEPARTURE_REPORT_INTERVAL;
-        if !self.members.borrow().has_departures() || self.sent_ended.get().is_some_and(is_recent) {
+        if !self.members.borrow().has_departures()
+            || self.departures_sent_at.get().is_some_and(is_recent)
+        {
             return false;
         }
-        self.sent_ended.set(Some(now));
+        self.departures_sent_at.set(Some(now));
         true
     }
 
     /// Records a peer that sends heartbeats to a router of a large fleet.
-    pub fn on_plain_heartbeat(&self, peer: SocketAddr, now: Instant) {
-        self.plain_peers.borrow_mut().insert(peer, now);
+    pub fn add_heartbeat_peer(&self, peer: SocketAddr, now: Instant) {
+        self.heartbeat_peers.borrow_mut().insert(peer, now);
     }
 
     /// Records a peer that takes part in gossip.
-    pub fn on_gossip(&self, peer: SocketAddr) {
-        self.plain_peers.borrow_mut().remove(&peer);
+    pub fn remove_heartbeat_peer(&self, peer: SocketAddr) {
+        self.heartbeat_peers.borrow_mut().remove(&peer);
     }
 
     /// The peers that are to be sent heartbeats in a large fleet.
-    pub fn plain_peers(&self) -> Vec<SocketAddr> {
-        self.plain_peers.borrow().keys().copied().collect()
+    pub fn heartbeat_peers(&self) -> Vec<SocketAddr> {
+        self.heartbeat_peers.borrow().keys().copied().collect()
     }
 
     /// Records a heartbeat; returns the one before.
     pub fn on_heartbeat(&self, peer: SocketAddr, entry: PeerEntry) -> Option<PeerEntry> {
         let is_new = !self.table.borrow().contains(peer);
         if is_new && !self.is_large() {
-            self.outbox.greet(peer);
+            self.outbox.queue_first_heartbeat(peer);
         }
         self.table.borrow_mut().on_heartbeat(peer, entry)
     }
@@ -150,8 +155,8 @@
     /// Records the seeds of the settings; those that are not known are greeted.
     pub fn on_seeds(&self, seeds: impl IntoIterator<Item = SocketAddr>, now: Instant) {
         for seed in seeds {
-            if self.note_mentioned(seed, now) {
-                self.outbox.greet(seed);
+            if self.record_mentioned(seed, now) {
+                self.outbox.queue_first_heartbeat(seed);
             }
         }
     }
@@ -159,27 +164,29 @@
     /// Records peers that a peer mentioned.
     pub fn on_mentioned(&self, peers: impl IntoIterator<Item = SocketAddr>, now: Instant) {
         for peer in peers {
-            if contacts_mentioned_peers(self.count()) && self.note_mentioned(peer, now) {
-                self.outbox.greet(peer);
+            if contacts_mentioned_peers(self.count()) && self.record_mentioned(peer, now) {
+                self.outbox.queue_first_heartbeat(peer);
             }
         }
     }
 
     /// Records a peer that was mentioned; returns whether it was not known.
-    fn note_mentioned(&self, peer: SocketAddr, now: Instant) -> bool {
+    fn record_mentioned(&self, peer: SocketAddr, now: Instant) -> bool {
         let is_new = self.table.borrow_mut().on_mentioned(peer, now);
         is_new && !self.members.borrow().contains(peer)
     }
 
     /// Forgets peers that were silent for long.
-    pub fn forget_old(&self, now: Instant) {
+    pub fn remove_expired(&self, now: Instant) {
         self.table.borrow_mut().remove_expired(now);
         self.members.borrow_mut().remove_expired(now);
-        self.beats.borrow_mut().remove_expired(now);
-        let is_recent = |at: Instant| now.saturating_duration_since(at) < HEARD_FOR;
-        self.plain_peers.borrow_mut().retain(|_, at| is_recent(*at));
-        let heard = self.heard_size.get().filter(|(_, at)| is_recent(*at));
-        self.heard_size.set(heard);
+        self.watcher_reports.borrow_mut().remove_expired(now);
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < LARGE_FLEET_REPORT_TTL;
+        self.heartbeat_peers
+            .borrow_mut()
+            .retain(|_, at| is_recent(*at));
+        let heard = self.reported_size.get().filter(|(_, at)| is_recent(*at));
+        self.reported_size.set(heard);
     }
 
     /// The addresses of all peers, alive or not.
@@ -212,12 +219,12 @@
 
     fn ready_members(&self, now: Instant) -> Vec<ReadyPeer> {
         let members = self.members.borrow();
-        let beats = self.beats.borrow();
+        let watcher_reports = self.watcher_reports.borrow();
         let ready = members.live(now).filter(|m| m.state == PeerState::Ready);
         let ready = ready.map(|member| ReadyPeer {
             peer: member.router,
             data_centre: member.data_centre.clone(),
-            store_age: beats.store_age(member.router, now),
+            store_age: watcher_reports.store_age(member.router, now),
         });
         ready.collect()
     }
@@ -249,8 +256,8 @@
             data_centre: place.data_centre.clone(),
         };
         if self.is_large() {
-            let seen = self.seen_by_limiters(serves, now);
-            if self.limiters_seen.replace(Some(seen)) == Some(seen) {
+            let seen = self.limiter_inputs(serves, now);
+            if self.last_limiter_inputs.replace(Some(seen)) == Some(seen) {
                 return None;
             }
         }
@@ -265,12 +272,12 @@
     }
 
     /// Changes with each change of what [`Peers::limiter_map`] says in a large fleet.
-    fn seen_by_limiters(&self, serves: bool, now: Instant) -> LimitersSeen {
+    fn limiter_inputs(&self, serves: bool, now: Instant) -> LimiterInputs {
         let members = self.members.borrow();
-        LimitersSeen {
+        LimiterInputs {
             digest: members.digest(),
             lost: members.lost_count(),
-            is_alone: members.is_isolated(now),
+            is_isolated: members.is_isolated(now),
             serves,
         }
     }
@@ -310,16 +317,16 @@
         }
         let live = self.members.borrow().count();
         PeerBudgetUse {
-            total: table.budget_estimate(key, live, now, HEARD_FOR),
+            total: table.budget_estimate(key, live, now, LARGE_FLEET_REPORT_TTL),
             routers: live + 1,
-            staleness: HEARD_FOR,
+            staleness: LARGE_FLEET_REPORT_TTL,
         }
     }
 
     /// The live peers that watch the store or try to.
     pub fn watchers(&self, now: Instant, timeout: Duration) -> Vec<SocketAddr> {
         if self.is_large() {
-            return self.beats.borrow().watchers(now);
+            return self.watcher_reports.borrow().watchers(now);
         }
         let table = self.table.borrow();
         let live = table.live(now, timeout);
@@ -331,13 +338,17 @@
     pub fn versions(
         &self,
         version: impl Fn(&PeerEntry) -> u64,
-        home: &DataCentre,
+        own_data_centre: &DataCentre,
         now: Instant,
         timeout: Duration,
     ) -> Vec<PeerVersion> {
         let table = self.table.borrow();
         let is_large = self.is_large();
-        let timeout = if is_large { HEARD_FOR } else { timeout };
+        let timeout = if is_large {
+            LARGE_FLEET_REPORT_TTL
+        } else {
+            timeout
+        };
         let members = self.members.borrow();
         let live = table.live(now, timeout);
         let live = live.filter(|(peer, _)| !members.is_recorded_dead(**peer));
@@ -345,33 +356,33 @@
             peer: *peer,
             version: version(entry),
             // In a small fleet all are as good.
-            is_local: !is_large || entry.data_centre == *home,
+            is_local: !is_large || entry.data_centre == *own_data_centre,
         });
         versions.collect()
     }
 
     /// Has a message passed on that was new here, in a large fleet: in a small one its sender has sent
     /// it to all.
-    pub fn pass_on(&self, message: PeerMessage) {
+    pub fn forward(&self, message: PeerMessage) {
         if self.is_large() {
-            self.outbox.send(message, Recipients::Next);
+            self.outbox.send(message, Recipients::ForwardTargets);
         }
     }
 
     /// Wakes the fetcher of this kind: a peer has a newer version.
-    pub fn on_newer_version(&self, watched: Watched) {
-        self.newer_seen(watched).notify_one();
+    pub fn notify_newer_version(&self, watched: Watched) {
+        self.newer_version_notify(watched).notify_one();
     }
 
     /// Waits until a peer has a newer version of this kind.
-    pub async fn newer_version_seen(&self, watched: Watched) {
-        self.newer_seen(watched).notified().await;
+    pub async fn wait_for_newer_version(&self, watched: Watched) {
+        self.newer_version_notify(watched).notified().await;
     }
 
-    fn newer_seen(&self, watched: Watched) -> &Notify {
+    fn newer_version_notify(&self, watched: Watched) -> &Notify {
         match watched {
-            Watched::Configuration => &self.newer_configuration_seen,
-            Watched::Upstreams => &self.newer_upstreams_seen,
+            Watched::Configuration => &self.newer_configuration,
+            Watched::Upstreams => &self.newer_upstreams,
         }
     }
 }
--- a/crates/router/cloverpier_router/src/probe.rs
+++ b/crates/router/cloverpier_router/src/probe.rs
@@ -5,7 +5,6 @@
 //! table of upstreams and in [`crate::health`]; when they are sent and what an answer means
 //! is decided in `cloverpier_router_policy::{liveness, suspicion}`.
 
-use crate::beliefs::log_belief;
 use crate::crashes::record;
 use crate::decision_log::{ms, ms_since};
 use crate::health::UpstreamHealth;
@@ -14,6 +13,7 @@
 use crate::statements::Call;
 use crate::successors;
 use crate::upstream_limits::Permission;
+use crate::upstream_log::log_upstream_change;
 use crate::via::Via;
 use cloverpier_core::UpstreamName;
 use cloverpier_router_policy::permit::QUESTION_PATIENCE;
@@ -117,7 +117,7 @@
                 sent,
             };
             // Runs of a former start are lost though the address answers.
-            let said = router.hear(call, answer.parts()).said;
+            let said = router.apply_query_statement(call, answer.parts()).statement;
             on_probe_answer(router, upstream, health, said.name.as_ref(), sent);
         }
         Err(error) if error.is_refused() => {
@@ -154,7 +154,7 @@
             router.metrics.probes.count("replaced");
             let reason = "another process answers there";
             declare_dead(router, upstream, DeathCause::NoProcess, reason, now);
-            successors::on_other_name(router, upstream, answering);
+            successors::on_name_mismatch(router, upstream, answering);
         }
     }
 }
@@ -181,7 +181,7 @@
     }
     let silent = now.saturating_duration_since(last_activity);
     router.metrics.detection.observe(silent);
-    log_belief(
+    log_upstream_change(
         &router.log,
         "server.suspected",
         upstream,
@@ -192,7 +192,7 @@
     router.report_to_peers(&upstream.name);
     let renewed = router.health.renew(upstream, now);
     renewed.is_of_next_start.set(cause == DeathCause::NoProcess);
-    successors::await_successor(router, upstream);
+    successors::check_for_successor(router, upstream);
 }
 
 /// Checks suspects for signs of life, until the process ends.
@@ -240,11 +240,11 @@
         via: Via::Check,
         sent: begun,
     };
-    let said = router.hear(call, answer.parts()).said;
+    let said = router.apply_query_statement(call, answer.parts()).statement;
     match check_result(&upstream.name, said.name.as_ref()) {
         CheckResult::Replaced => {
             router.metrics.probes.count("suspect-replaced");
-            successors::on_other_name(&router, &upstream, said.name.as_ref());
+            successors::on_name_mismatch(&router, &upstream, said.name.as_ref());
         }
         CheckResult::Alive => on_alive(&router, &upstream, begun),
     }
@@ -258,7 +258,7 @@
     if let Some(suspected_for) = suspected_for {
         let took = ms_since(check_begun, now);
         let reason = format!("answered a check in {took} ms");
-        log_belief(
+        log_upstream_change(
             &router.log,
             "server.trusted",
             upstream,
--- a/crates/router/cloverpier_router/src/prompts.rs
+++ b/crates/router/cloverpier_router/src/prompts.rs
@@ -66,7 +66,7 @@
         let engine = UpstreamKey::of(engine);
         prompts.locations.borrow_mut().on_read(prompt, engine, now);
         prompts.running.borrow_mut().insert(prompt, engine);
-        outbox.report_prompt(prompt, engine);
+        outbox.report_prompt_location(prompt, engine);
         Self {
             running: Rc::clone(&prompts.running),
             prompt,
--- a/crates/router/cloverpier_router/src/restart.rs
+++ b/crates/router/cloverpier_router/src/restart.rs
@@ -4,9 +4,9 @@
 //! runs, its limit, and which prompts it has read. The table of upstreams drops what it observed by itself
 //! (`cloverpier_router_policy::upstream`). Owns no state.
 
-use crate::beliefs::log_belief;
 use crate::crashes::record;
 use crate::router::Router;
+use crate::upstream_log::log_upstream_change;
 use cloverpier_core::UpstreamName;
 use cloverpier_router_policy::prelude::*;
 use std::time::Instant;
@@ -50,7 +50,7 @@
     let mut locations = router.prompts.locations.borrow_mut();
     locations.remove_upstream(UpstreamKey::of(name));
     drop(locations);
-    log_belief(
+    log_upstream_change(
         &router.log,
         "server.restarted",
         upstream,
--- a/crates/router/cloverpier_router/src/resume.rs
+++ b/crates/router/cloverpier_router/src/resume.rs
@@ -19,7 +19,7 @@
             .log
             .warn("machine.resumed", &MachineResumed { suspended_ms });
         router.metrics.suspensions.inc();
-        router.store.end_watches();
+        router.store.restart_watches();
         router.store.wake_loops();
     };
     router.timers.watch_resumes(on_resume).await;
--- a/crates/router/cloverpier_router/src/rollout_steps.rs
+++ b/crates/router/cloverpier_router/src/rollout_steps.rs
@@ -41,7 +41,7 @@
             report(&router, now);
         }
         if clock.is_tell_due(now) {
-            notify_peers(&router, Recipients::Few, now);
+            notify_peers(&router, Recipients::SmallSample, now);
         }
         if router.store.role().watches() {
             decide_all(&router, now);
@@ -84,7 +84,7 @@
             sender,
             report: report.clone(),
         };
-        let to = Recipients::These(watchers.clone());
+        let to = Recipients::Only(watchers.clone());
         router
             .peers
             .outbox
--- a/crates/router/cloverpier_router/src/rollouts.rs
+++ b/crates/router/cloverpier_router/src/rollouts.rs
@@ -55,7 +55,7 @@
         }
     }
     if has_update {
-        notify_peers(router, Recipients::Many, now);
+        notify_peers(router, Recipients::LargeSample, now);
         router.rollouts.changed.notify_one();
     }
 }
@@ -73,7 +73,7 @@
     drop(book);
     if is_new {
         log_progress(router, service, "this router", objection);
-        notify_peers(router, Recipients::Many, now);
+        notify_peers(router, Recipients::LargeSample, now);
         router.rollouts.changed.notify_one();
     }
 }
@@ -86,7 +86,10 @@
     }
     let sender = router.settings().listen.peers;
     let reports = RolloutReports { sender, views };
-    router.peers.outbox.send(PeerMessage::Rollouts(reports), to);
+    router
+        .peers
+        .outbox
+        .send(PeerMessage::RolloutReports(reports), to);
 }
 
 /// Records what a router saw.
--- a/crates/router/cloverpier_router/src/send.rs
+++ b/crates/router/cloverpier_router/src/send.rs
@@ -227,7 +227,7 @@
     let is_first_on_connection = connection.requests == 1;
     let seen = answer_head(router, request, &head, is_first_on_connection);
     let verdict = check_response(&seen);
-    let said = router.hear_reply(call, &head, &verdict);
+    let said = router.apply_response_statement(call, &head, &verdict);
     if verdict == Err(AttemptFailure::Misdirected) {
         on_misdirected(router, call.upstream, &said);
     }
@@ -274,7 +274,7 @@
 fn on_misdirected(router: &Router, upstream: &Upstream, said: &UpstreamStatement) {
     let answering = said.name.as_ref();
     if answering.is_some_and(|name| *name != upstream.name) {
-        successors::on_other_name(router, upstream, answering);
+        successors::on_name_mismatch(router, upstream, answering);
         router.pool.borrow_mut().close_all(&upstream.name);
     }
 }
--- a/crates/router/cloverpier_router/src/singleton/reports.rs
+++ b/crates/router/cloverpier_router/src/singleton/reports.rs
@@ -58,7 +58,7 @@
         router
             .peers
             .outbox
-            .send(message, Recipients::These(to.clone()));
+            .send(message, Recipients::Only(to.clone()));
         take_report(singleton, report, now);
     }
 }
@@ -132,7 +132,7 @@
         fleet_ms: singleton.fleet_ms(router.now()),
     };
     let message = PeerMessage::LeaseUpdate(update);
-    router.peers.outbox.send(message, Recipients::These(to));
+    router.peers.outbox.send(message, Recipients::Only(to));
 }
 
 /// Records what the holder says.
--- a/crates/router/cloverpier_router/src/start.rs
+++ b/crates/router/cloverpier_router/src/start.rs
@@ -108,7 +108,11 @@
     router.datagrams.attach(Rc::clone(&socket));
     spawn_local(peer_reports::receive_messages(cx(), socket));
     spawn_local(heartbeats::send_messages(cx()));
-    spawn_local(serve(cx(), at(router, address).await?, peer_serve::on_peer));
+    spawn_local(serve(
+        cx(),
+        at(router, address).await?,
+        peer_serve::serve_version,
+    ));
     spawn_local(serve(cx(), at(router, listen.ready).await?, on_ready));
     spawn_local(serve(
         cx(),
--- a/crates/router/cloverpier_router/src/statements.rs
+++ b/crates/router/cloverpier_router/src/statements.rs
@@ -1,16 +1,16 @@
 //! Applies what upstreams state about themselves in answers, of whatever kind of call.
 //!
-//! Modules that receive answers pass them to [`Router::hear`] and do not depend on the effects. The
+//! Modules that receive answers pass them to [`Router::apply_query_statement`] and do not depend on the effects. The
 //! platform's adapter decodes a statement; `cloverpier_router_policy::statement` decides which
 //! upstream it is about. Owns no state.
 
-use crate::beliefs::log_wait;
 use crate::decision_log::log_dependency;
 use crate::leaving_reports;
 use crate::limit_reports;
 use crate::restart::on_named_start;
 use crate::router::Router;
 use crate::upstream_limits::LimitAnswer;
+use crate::upstream_log::log_wait_period;
 use crate::via::Via;
 use crate::wire_names::AnswerParts;
 use cloverpier_router_policy::limit::WrittenBetween;
@@ -34,65 +34,72 @@
 
 /// What an answer to a question said.
 #[derive(Debug)]
-pub(crate) struct Heard {
+pub(crate) struct AppliedStatement {
     /// The statement.
-    pub said: UpstreamStatement,
+    pub statement: UpstreamStatement,
     /// How the start that it names compares with the newest that is known.
-    pub start: StartOrder,
+    pub start_order: StartOrder,
 }
 
 impl Router {
     /// Applies what the answer to a question states about its sender.
-    pub(crate) fn hear(&self, call: Call<'_>, answer: AnswerParts<'_>) -> Heard {
-        let said = (self.wire_names.statement)(&answer);
-        let sender = sender_of_query_response(&call.upstream.name, &said);
-        let start = take(self, call, &said, sender, false);
-        Heard { said, start }
+    pub(crate) fn apply_query_statement(
+        &self,
+        call: Call<'_>,
+        response: AnswerParts<'_>,
+    ) -> AppliedStatement {
+        let statement = (self.wire_names.statement)(&response);
+        let sender = sender_of_query_response(&call.upstream.name, &statement);
+        let start_order = apply_statement(self, call, &statement, sender, false);
+        AppliedStatement {
+            statement,
+            start_order,
+        }
     }
 
     /// Applies what the head of the answer to a request states about its sender, given whether the
     /// answer counts.
-    pub(crate) fn hear_reply(
+    pub(crate) fn apply_response_statement(
         &self,
         call: Call<'_>,
         head: &Parts,
         verdict: &Result<(), AttemptFailure>,
     ) -> UpstreamStatement {
-        let said = (self.wire_names.statement)(&AnswerParts {
+        let statement = (self.wire_names.statement)(&AnswerParts {
             status: head.status,
             headers: &head.headers,
             body: None,
         });
-        let sender = sender_of_request_response(&call.upstream.name, &said, verdict);
-        take(self, call, &said, sender, verdict.is_ok());
-        said
+        let sender = sender_of_request_response(&call.upstream.name, &statement, verdict);
+        apply_statement(self, call, &statement, sender, verdict.is_ok());
+        statement
     }
 }
 
 /// Applies a statement to the upstream that made it, given whether it ran a request.
-fn take(
+fn apply_statement(
     router: &Router,
     call: Call<'_>,
-    said: &UpstreamStatement,
+    statement: &UpstreamStatement,
     sender: Sender,
-    has_run: bool,
+    was_executed: bool,
 ) -> StartOrder {
-    let Some(upstream) = known_sender(router, call, sender) else {
+    let Some(upstream) = sender_upstream(router, call, sender) else {
         return StartOrder::Same;
     };
     let now = router.now();
-    let order = on_named_start(router, &upstream, said.start_time_ms, now);
+    let order = on_named_start(router, &upstream, statement.start_time_ms, now);
     if order == StartOrder::Older {
         return order;
     }
-    if said.is_leaving {
-        leaving_reports::on_leaving(router, &upstream, said.start_time_ms, call.via, now);
+    if statement.is_leaving {
+        leaving_reports::on_leaving(router, &upstream, statement.start_time_ms, call.via, now);
     }
-    if let Some(time) = said.wait {
-        take_wait(router, call.via, &upstream, time);
+    if let Some(time) = statement.wait {
+        apply_wait_period(router, call.via, &upstream, time);
     }
-    take_limit(router, call, &upstream, said, has_run);
-    if let Some(reason) = &said.unreadable {
+    apply_limit(router, call, &upstream, statement, was_executed);
+    if let Some(reason) = &statement.unreadable {
         let name = upstream.name.as_str();
         log_dependency(&router.log, "server.unreadable", name, reason);
     }
@@ -101,7 +108,7 @@
 
 /// The upstream that made a statement; `None` where nothing can be concluded from it, as its sender is
 /// not known.
-fn known_sender(router: &Router, call: Call<'_>, sender: Sender) -> Option<Upstream> {
+fn sender_upstream(router: &Router, call: Call<'_>, sender: Sender) -> Option<Upstream> {
     match sender {
         Sender::Addressee => Some(call.upstream.clone()),
         Sender::Other(name) => {
@@ -112,35 +119,35 @@
     }
 }
 
-fn take_wait(router: &Router, via: Via<'_>, upstream: &Upstream, time: Duration) {
+fn apply_wait_period(router: &Router, via: Via<'_>, upstream: &Upstream, time: Duration) {
     let is_new = router
         .upstreams
         .borrow_mut()
         .on_wait(&upstream.name, time, router.now());
     if is_new {
         router.metrics.waits.inc();
-        log_wait(&router.log, upstream, time, via);
+        log_wait_period(&router.log, upstream, time, via);
     }
 }
 
-fn take_limit(
+fn apply_limit(
     router: &Router,
     call: Call<'_>,
     upstream: &Upstream,
-    said: &UpstreamStatement,
-    has_run: bool,
+    statement: &UpstreamStatement,
+    was_executed: bool,
 ) {
-    let told = router.upstream_limits.on_answer(&LimitAnswer {
+    let report = router.upstream_limits.on_answer(&LimitAnswer {
         upstream,
-        said: said.limit,
-        would_name: has_run,
+        said: statement.limit,
+        would_name: was_executed,
         written: WrittenBetween {
             sent: call.sent,
             heard: router.now(),
         },
         via: call.via,
     });
-    if let Some(report) = told {
+    if let Some(report) = report {
         limit_reports::send_to_all(router, report);
     }
 }
--- a/crates/router/cloverpier_router/src/store_events.rs
+++ b/crates/router/cloverpier_router/src/store_events.rs
@@ -4,7 +4,7 @@
 //! Owns no state: [`crate::store_view`] does. Who watches is decided in
 //! `cloverpier_router_policy::store_watch`.
 
-use crate::configuration_copies::HeldConfiguration;
+use crate::configuration_copies::ConfigurationWithCopies;
 use crate::decision_log::{VersionTaken, WatcherRoleChanged, log_dependency};
 use crate::router::Router;
 use crate::store_view::{StoreLoop, Watched};
@@ -13,14 +13,18 @@
 
 /// Puts a configuration in force if it is newer; peers are notified at once, as any router that
 /// has it can hand it on.
-pub(crate) fn apply_configuration(router: &Router, held: HeldConfiguration, from: &str) {
-    let version = held.configuration().version();
-    let services = held.configuration().unindexed().services.iter();
+pub(crate) fn apply_configuration(
+    router: &Router,
+    configuration: ConfigurationWithCopies,
+    from: &str,
+) {
+    let version = configuration.index().version();
+    let services = configuration.index().unindexed().services.iter();
     let services = services.map(|s| s.name.clone()).collect();
-    if router.store.set_configuration(held) {
+    if router.store.set_configuration(configuration) {
         router.upstreams.borrow_mut().set_services(services);
-        router.store.on_learned(router.now());
-        router.peers.outbox.report_version();
+        router.store.on_data_received(router.now());
+        router.peers.outbox.schedule_heartbeat();
         log_version(router, Watched::Configuration, version, from);
     }
 }
@@ -35,18 +39,18 @@
 }
 
 /// Records that calls fail; the first failure in a row is logged and reported to peers.
-pub(crate) fn on_store_lost(router: &Router, store_loop: StoreLoop, reason: &str) {
-    let failed = router.store.fails();
-    if !router.store.set_fails(store_loop, true) {
+pub(crate) fn on_store_call_failed(router: &Router, store_loop: StoreLoop, reason: &str) {
+    let was_failing = router.store.is_failing();
+    if !router.store.set_failing(store_loop, true) {
         log_dependency(&router.log, "dependency.lost", store_loop.name(), reason);
     }
-    report_change_of_calls(router, failed);
+    report_call_status_change(router, was_failing);
 }
 
 /// Records that calls succeed; the first success after failures is logged and reported to peers.
-pub(crate) fn on_store_regained(router: &Router, store_loop: StoreLoop) {
-    let failed = router.store.fails();
-    if router.store.set_fails(store_loop, false) {
+pub(crate) fn on_store_call_succeeded(router: &Router, store_loop: StoreLoop) {
+    let was_failing = router.store.is_failing();
+    if router.store.set_failing(store_loop, false) {
         log_dependency(
             &router.log,
             "dependency.regained",
@@ -54,20 +58,20 @@
             "it answers",
         );
     }
-    report_change_of_calls(router, failed);
+    report_call_status_change(router, was_failing);
 }
 
 /// Records whether pings are answered; peers are notified of a change.
 pub(crate) fn on_ping_result(router: &Router, is_answered: bool) {
-    let failed = router.store.fails();
-    router.store.set_pings_fail(!is_answered);
-    report_change_of_calls(router, failed);
+    let was_failing = router.store.is_failing();
+    router.store.set_pings_failing(!is_answered);
+    report_call_status_change(router, was_failing);
 }
 
 /// Has peers notified at once that calls fail now, or succeed again.
-fn report_change_of_calls(router: &Router, failed: bool) {
-    if router.store.fails() != failed && router.store.role().watches() {
-        router.peers.outbox.report_version();
+fn report_call_status_change(router: &Router, was_failing: bool) {
+    if router.store.is_failing() != was_failing && router.store.role().watches() {
+        router.peers.outbox.schedule_heartbeat();
     }
 }
 
@@ -82,12 +86,12 @@
         is_fresh: router.store.is_fresh(now),
     };
     let role = watcher_role(&own, &peers);
-    let former = router.store.set_role(role);
-    if former == role {
+    let previous = router.store.set_role(role);
+    if previous == role {
         return;
     }
     router.store.wake_loops();
-    if former.watches() != role.watches() {
+    if previous.watches() != role.watches() {
         let line = WatcherRoleChanged {
             watches: role.watches(),
             live_peers: peers.len(),
--- a/crates/router/cloverpier_router/src/store_sync.rs
+++ b/crates/router/cloverpier_router/src/store_sync.rs
@@ -8,15 +8,15 @@
 //! drops its history cuts all watches a moment before, and one that was made anew in between
 //! from the former revision received nothing for 5 s, past a change and a leaving.
 
-use crate::configuration_copies::HeldConfiguration;
+use crate::configuration_copies::ConfigurationWithCopies;
 use crate::decision_log::log_dependency;
-use crate::gossip::spread_upstreams;
+use crate::gossip::broadcast_upstream_changes;
 use crate::rollout_store::{apply_change, read_orders};
 use crate::router::Router;
 use crate::source::{ConfigurationSource, Freshness, SourceError, UpstreamChanges};
 use crate::store_events::{
-    apply_configuration, live_routers, max_store_backoff, on_ping_result, on_store_lost,
-    on_store_regained,
+    apply_configuration, live_routers, max_store_backoff, on_ping_result, on_store_call_failed,
+    on_store_call_succeeded,
 };
 use crate::store_list::read_list;
 use crate::store_view::{StoreLoop, StoreView, Watched};
@@ -54,13 +54,13 @@
         router.metrics.store_calls.count("answered");
         router.store.on_success(router.now());
         self.pause = INITIAL_BACKOFF;
-        on_store_regained(router, self.store_loop);
+        on_store_call_succeeded(router, self.store_loop);
     }
 
     /// Records a failed call and waits before the next one.
     pub(crate) async fn after_failure(&mut self, router: &Router, error: &SourceError) {
         router.metrics.store_calls.count("failed");
-        on_store_lost(router, self.store_loop, &error.to_string());
+        on_store_call_failed(router, self.store_loop, &error.to_string());
         let pause = jitter(&mut router.rng.borrow_mut(), self.pause);
         self.pause = (self.pause * 2).min(max_store_backoff(router));
         tokio::select! {
@@ -72,7 +72,7 @@
 }
 
 /// Waits until this router serves, knows its peers and is to call the store.
-async fn wait_for_turn(router: &Router) {
+async fn wait_until_may_watch(router: &Router) {
     loop {
         let woken = router.store.loops_woken();
         let now = router.now();
@@ -89,8 +89,8 @@
 const FIRST_READ_PERIOD: Duration = Duration::from_millis(5);
 
 /// Waits until a peer has handed on what is awaited, or this router is to read it.
-async fn wait_for_first_read(router: &Router, random: f64, is_known: impl Fn(&StoreView) -> bool) {
-    while !is_known(&router.store) && !is_first_read_due(router, random) {
+async fn wait_for_first_read(router: &Router, random: f64, has_data: impl Fn(&StoreView) -> bool) {
+    while !has_data(&router.store) && !is_first_read_due(router, random) {
         router.timers.sleep(FIRST_READ_PERIOD).await;
     }
 }
@@ -101,7 +101,7 @@
     let starting = StartupState {
         is_seed: is_seed(router),
         age: router.now().saturating_duration_since(started),
-        has_peers: router.peers.has_heard_any(),
+        has_peers: router.peers.has_live_members(),
         peers: router.peers.count(),
         random,
     };
@@ -122,13 +122,15 @@
     loop {
         wait_for_first_read(&router, random, |store| store.configuration().is_some()).await;
         if router.store.configuration().is_some() {
-            wait_for_turn(&router).await;
+            wait_until_may_watch(&router).await;
         }
         let change = match revision {
             None => source.read_configuration().await,
             Some(at) => {
-                let given_up = router.store.watch_ended();
-                source.poll_configuration(at, WATCH_WAIT, given_up).await
+                let watch_cancelled = router.store.watches_restarted();
+                source
+                    .poll_configuration(at, WATCH_WAIT, watch_cancelled)
+                    .await
             }
         };
         match change {
@@ -151,8 +153,8 @@
 
 async fn apply_from_store(router: &Router, configuration: Configuration) {
     if configuration.version > router.store.configuration_version() {
-        let held = HeldConfiguration::index(configuration).await;
-        apply_configuration(router, held, FROM_STORE);
+        let configuration = ConfigurationWithCopies::from_configuration(configuration).await;
+        apply_configuration(router, configuration, FROM_STORE);
     }
 }
 
@@ -162,23 +164,23 @@
     let mut revision: Option<u64> = None;
     let random = router.rng.borrow_mut().f64();
     loop {
-        wait_for_first_read(&router, random, StoreView::knows_upstreams).await;
-        if router.store.knows_upstreams() {
-            wait_for_turn(&router).await;
+        wait_for_first_read(&router, random, StoreView::has_upstreams).await;
+        if router.store.has_upstreams() {
+            wait_until_may_watch(&router).await;
             // Peers may have sent newer changes than the last watch returned.
             let known = router.upstreams.borrow().revision();
             revision = revision.map(|at| at.max(known));
         }
-        let reached = match revision {
+        let result = match revision {
             None => read_upstreams(&router, &*source, &mut backoff, random).await,
             Some(at) => tokio::select! {
                 changes = source.poll_upstreams(at, WATCH_WAIT) => {
                     changes.map(|changes| Some(apply_changes(&router, changes)))
                 }
-                () = router.store.watch_ended() => continue,
+                () = router.store.watches_restarted() => continue,
             },
         };
-        match reached {
+        match result {
             // A peer has handed it on meanwhile, or is about to.
             Ok(None) => {}
             Ok(Some(at)) => {
@@ -202,8 +204,8 @@
         return;
     }
     loop {
-        wait_for_turn(&router).await;
-        let reached = match revision {
+        wait_until_may_watch(&router).await;
+        let result = match revision {
             None => read_orders(&router, &*source, Freshness::Newest).await,
             Some(at) => tokio::select! {
                 changes = source.poll_rollouts(at, WATCH_WAIT) => {
@@ -214,10 +216,10 @@
                         changes.revision
                     })
                 }
-                () = router.store.watch_ended() => continue,
+                () = router.store.watches_restarted() => continue,
             },
         };
-        match reached {
+        match result {
             Ok(at) => {
                 backoff.on_success(&router);
                 revision = Some(at);
@@ -244,24 +246,24 @@
     backoff: &mut Backoff,
     random: f64,
 ) -> Result<Option<u64>, SourceError> {
-    let freshness = if router.store.knows_upstreams() {
+    let freshness = if router.store.has_upstreams() {
         Freshness::Newest
     } else {
         Freshness::MayBeOld
     };
-    let is_start = freshness == Freshness::MayBeOld && router.exposure_bounds().is_some();
-    if is_start {
+    let is_startup = freshness == Freshness::MayBeOld && router.exposure_bounds().is_some();
+    if is_startup {
         read_orders(router, source, freshness).await?;
     }
     let is_wanted = || match freshness {
-        Freshness::MayBeOld => !router.store.knows_upstreams() && is_first_read_due(router, random),
+        Freshness::MayBeOld => !router.store.has_upstreams() && is_first_read_due(router, random),
         Freshness::Newest => may_call(router.store.role(), router.store.is_fresh(router.now())),
     };
     let list = read_list(router, source, freshness, backoff, is_wanted).await?;
     let Some(list) = list else {
         return Ok(None);
     };
-    if is_start && has_several_versions(&list.upstreams) {
+    if is_startup && has_several_versions(&list.upstreams) {
         // The order may be younger than what was read of it.
         read_orders(router, source, Freshness::Newest).await?;
     }
@@ -289,8 +291,8 @@
         let readable = readable_changes(&changes);
         apply_upstream_changes(router, changes, &from);
         // The others learn it from this router.
-        if !spread_upstreams(router, known, revision, readable) {
-            router.peers.outbox.report_version();
+        if !broadcast_upstream_changes(router, known, revision, readable) {
+            router.peers.outbox.schedule_heartbeat();
         }
     }
     revision
@@ -299,7 +301,7 @@
 /// Pings the store while watches wait, or before they begin, until the process ends.
 pub(crate) async fn ping_store(router: Rc<Router>, source: Rc<impl ConfigurationSource>) {
     let mut pacing = PingPacing::default();
-    let mut is_silent = false;
+    let mut is_unresponsive = false;
     loop {
         // Before it serves, a router's first reads show whether the store answers.
         while !router.store.is_serving() && !is_seed(&router) {
@@ -321,8 +323,8 @@
         let result = ping(&router, &*source).await;
         pacing.on_result(result.is_ok(), role, live_routers(&router));
         match result {
-            Ok(()) => on_ping_answered(&router, &mut is_silent),
-            Err(error) => on_ping_failed(&router, &error, &mut is_silent),
+            Ok(()) => on_ping_answered(&router, &mut is_unresponsive),
+            Err(error) => on_ping_failed(&router, &error, &mut is_unresponsive),
         }
     }
 }
@@ -341,26 +343,26 @@
     ping.await
 }
 
-fn on_ping_failed(router: &Router, error: &SourceError, is_silent: &mut bool) {
+fn on_ping_failed(router: &Router, error: &SourceError, is_unresponsive: &mut bool) {
     router.metrics.store_calls.count("ping-failed");
     on_ping_result(router, false);
-    if !std::mem::replace(is_silent, true) {
+    if !std::mem::replace(is_unresponsive, true) {
         log_dependency(&router.log, "store.silent", "ping", &error.to_string());
     }
 }
 
-fn on_ping_answered(router: &Router, is_silent: &mut bool) {
+fn on_ping_answered(router: &Router, is_unresponsive: &mut bool) {
     router.metrics.store_calls.count("ping-answered");
-    if std::mem::take(is_silent) {
+    if std::mem::take(is_unresponsive) {
         // A store that was silent may have swallowed the watches, too.
-        router.store.end_watches();
+        router.store.restart_watches();
     }
     let was_fresh = router.store.is_fresh(router.now());
     router.store.on_success(router.now());
     on_ping_result(router, true);
-    on_store_regained(router, StoreLoop::Of(Watched::Configuration));
-    on_store_regained(router, StoreLoop::Of(Watched::Upstreams));
-    on_store_regained(router, StoreLoop::Rollouts);
+    on_store_call_succeeded(router, StoreLoop::Of(Watched::Configuration));
+    on_store_call_succeeded(router, StoreLoop::Of(Watched::Upstreams));
+    on_store_call_succeeded(router, StoreLoop::Rollouts);
     if !was_fresh {
         router.store.wake_loops();
     }
--- a/crates/router/cloverpier_router/src/store_view.rs
+++ b/crates/router/cloverpier_router/src/store_view.rs
@@ -5,7 +5,7 @@
 //! A configuration is replaced by a newer version only. What follows from a change is in
 //! [`crate::store_events`], the loops that call the store in [`crate::store_sync`].
 
-use crate::configuration_copies::HeldConfiguration;
+use crate::configuration_copies::ConfigurationWithCopies;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::store_watch::{is_fresh, watches_from};
 use std::cell::{Cell, RefCell};
@@ -55,9 +55,9 @@
 /// What is known from the store.
 #[derive(Debug)]
 pub(crate) struct StoreView {
-    configuration: RefCell<Option<Rc<HeldConfiguration>>>,
+    configuration: RefCell<Option<Rc<ConfigurationWithCopies>>>,
     /// Whether the list of upstreams was learned since the start.
-    upstreams_known: Cell<bool>,
+    has_upstreams: Cell<bool>,
     /// Since when requests can be served.
     serving_since: Cell<Option<Instant>>,
     role: Cell<WatcherRole>,
@@ -67,18 +67,18 @@
     rollouts_fail: Cell<bool>,
     pings_fail: Cell<bool>,
     /// Ends watches that a silent store may have swallowed.
-    watch_again: Notify,
+    watch_restart: Notify,
     /// Wakes the loops that call the store: the role has changed, or a call succeeded again.
-    role_changed: Notify,
+    loop_wake: Notify,
     /// Wakes requests that are held: this router serves, or calls to the store fail.
-    start_changed: Notify,
+    held_requests_woken: Notify,
 }
 
 impl Default for StoreView {
     fn default() -> Self {
         Self {
             configuration: RefCell::new(None),
-            upstreams_known: Cell::new(false),
+            has_upstreams: Cell::new(false),
             serving_since: Cell::new(None),
             // A router that knows no peer watches itself.
             role: Cell::new(WatcherRole::Chosen),
@@ -87,9 +87,9 @@
             upstreams_fail: Cell::new(false),
             rollouts_fail: Cell::new(false),
             pings_fail: Cell::new(false),
-            watch_again: Notify::new(),
-            role_changed: Notify::new(),
-            start_changed: Notify::new(),
+            watch_restart: Notify::new(),
+            loop_wake: Notify::new(),
+            held_requests_woken: Notify::new(),
         }
     }
 }
@@ -97,12 +97,14 @@
 impl StoreView {
     /// The configuration in force, once one was learned.
     pub fn configuration(&self) -> Option<Arc<ConfigurationIndex>> {
-        let held = self.configuration.borrow();
-        held.as_ref().map(|held| Arc::clone(held.configuration()))
+        let configuration = self.configuration.borrow();
+        configuration
+            .as_ref()
+            .map(|entry| Arc::clone(entry.index()))
     }
 
     /// The configuration in force with its copies for peers, once one was learned.
-    pub fn held_configuration(&self) -> Option<Rc<HeldConfiguration>> {
+    pub fn configuration_with_copies(&self) -> Option<Rc<ConfigurationWithCopies>> {
         self.configuration.borrow().clone()
     }
 
@@ -111,17 +113,17 @@
         let configuration = self.configuration.borrow();
         configuration
             .as_ref()
-            .map_or(0, |held| held.configuration().version())
+            .map_or(0, |entry| entry.index().version())
     }
 
     /// Whether a list of upstreams was learned since the start.
-    pub fn knows_upstreams(&self) -> bool {
-        self.upstreams_known.get()
+    pub fn has_upstreams(&self) -> bool {
+        self.has_upstreams.get()
     }
 
     /// Whether requests can be served.
     pub fn is_serving(&self) -> bool {
-        self.knows_upstreams() && self.configuration.borrow().is_some()
+        self.has_upstreams() && self.configuration.borrow().is_some()
     }
 
     /// When this router may begin to watch; `None` before it serves.
@@ -130,23 +132,23 @@
     }
 
     /// Records that a list of upstreams was learned.
-    pub fn on_upstreams_learned(&self, now: Instant) {
-        self.upstreams_known.set(true);
-        self.on_learned(now);
+    pub fn on_upstreams_received(&self, now: Instant) {
+        self.has_upstreams.set(true);
+        self.on_data_received(now);
     }
 
     /// Records that configuration or upstreams were learned.
-    pub fn on_learned(&self, now: Instant) {
+    pub fn on_data_received(&self, now: Instant) {
         if self.is_serving() && self.serving_since.get().is_none() {
             self.serving_since.set(Some(now));
             self.wake_loops();
-            self.start_changed.notify_waiters();
+            self.held_requests_woken.notify_waiters();
         }
     }
 
     /// Waits until this router serves or calls to the store fail.
-    pub async fn start_changed(&self) {
-        self.start_changed.notified().await;
+    pub async fn held_requests_woken(&self) {
+        self.held_requests_woken.notified().await;
     }
 
     /// This router's role as a watcher of the store.
@@ -160,7 +162,7 @@
     }
 
     /// Whether calls or pings fail at present.
-    pub fn fails(&self) -> bool {
+    pub fn is_failing(&self) -> bool {
         let watches = [
             &self.configuration_fails,
             &self.upstreams_fail,
@@ -171,7 +173,7 @@
 
     /// Whether the store was reached just now, and no call fails.
     pub fn is_fresh(&self, now: Instant) -> bool {
-        !self.fails() && self.last_success.get().is_some_and(|at| is_fresh(now, at))
+        !self.is_failing() && self.last_success.get().is_some_and(|at| is_fresh(now, at))
     }
 
     /// Records a successful call.
@@ -180,48 +182,48 @@
     }
 
     /// Has all watches made anew.
-    pub fn end_watches(&self) {
-        self.watch_again.notify_waiters();
+    pub fn restart_watches(&self) {
+        self.watch_restart.notify_waiters();
     }
 
     /// Waits until watches are to be made anew.
-    pub async fn watch_ended(&self) {
-        self.watch_again.notified().await;
+    pub async fn watches_restarted(&self) {
+        self.watch_restart.notified().await;
     }
 
     /// Has the loops that call the store decide anew.
     pub fn wake_loops(&self) {
-        self.role_changed.notify_waiters();
+        self.loop_wake.notify_waiters();
     }
 
     /// Waits until the loops that call the store are to decide anew.
     pub async fn loops_woken(&self) {
-        self.role_changed.notified().await;
+        self.loop_wake.notified().await;
     }
 
     /// Replaces the configuration; false where the known one is as new.
-    pub fn set_configuration(&self, held: HeldConfiguration) -> bool {
+    pub fn set_configuration(&self, configuration: ConfigurationWithCopies) -> bool {
         if self.configuration.borrow().is_some()
-            && self.configuration_version() >= held.configuration().version()
+            && self.configuration_version() >= configuration.index().version()
         {
             return false;
         }
-        self.configuration.replace(Some(Rc::new(held)));
+        self.configuration.replace(Some(Rc::new(configuration)));
         true
     }
 
     /// Records whether the calls of a loop fail; returns whether they did before. Held requests are
     /// woken when they begin to.
-    pub fn set_fails(&self, store_loop: StoreLoop, fails: bool) -> bool {
-        let failed = self.fails_cell(store_loop).replace(fails);
-        if fails && !failed {
-            self.start_changed.notify_waiters();
+    pub fn set_failing(&self, store_loop: StoreLoop, fails: bool) -> bool {
+        let was_failing = self.failing_cell(store_loop).replace(fails);
+        if fails && !was_failing {
+            self.held_requests_woken.notify_waiters();
         }
-        failed
+        was_failing
     }
 
     /// Records whether pings fail.
-    pub fn set_pings_fail(&self, fails: bool) {
+    pub fn set_pings_failing(&self, fails: bool) {
         self.pings_fail.set(fails);
     }
 
@@ -230,7 +232,7 @@
         self.role.replace(role)
     }
 
-    fn fails_cell(&self, store_loop: StoreLoop) -> &Cell<bool> {
+    fn failing_cell(&self, store_loop: StoreLoop) -> &Cell<bool> {
         match store_loop {
             StoreLoop::Of(Watched::Configuration) => &self.configuration_fails,
             StoreLoop::Of(Watched::Upstreams) => &self.upstreams_fail,
--- a/crates/router/cloverpier_router/src/upstream_limits/acquire.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/acquire.rs
@@ -4,7 +4,7 @@
 //! the answer, some milliseconds. One that is not answered in time counts as refused.
 
 use super::{UpstreamLimits, place_of};
-use crate::peer_messages::{LimitAsk, LimitReply, PeerMessage};
+use crate::peer_messages::{LimiterReply, LimiterRequest, PeerMessage};
 use cloverpier_router_policy::permit::{ANSWER_TIMEOUT, PermitRequest, Want, is_usable};
 use cloverpier_router_policy::prelude::{Upstream, UpstreamKey};
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 pub(super) struct PendingAsk {
     limiter: SocketAddr,
     asked: Instant,
-    answer: oneshot::Sender<LimitReply>,
+    answer: oneshot::Sender<LimiterReply>,
 }
 
 /// Takes an ask off the list when its request goes on, or is given up as its caller has left.
@@ -123,7 +123,7 @@
     }
 
     /// Sends an ask and waits for its answer; `None` where none came in time.
-    async fn answer_to(&self, request: PermitRequest, limiter: SocketAddr) -> Option<LimitReply> {
+    async fn answer_to(&self, request: PermitRequest, limiter: SocketAddr) -> Option<LimiterReply> {
         let number = request.number;
         let (tx, rx) = oneshot::channel();
         let asked = self.parts.timers.now();
@@ -137,11 +137,11 @@
             limits: self,
             number,
         };
-        let ask = LimitAsk {
+        let ask = LimiterRequest {
             sender: self.parts.own,
             request,
         };
-        let message = PeerMessage::LimitAsk(ask);
+        let message = PeerMessage::LimiterRequest(ask);
         self.parts.datagrams.send(&message, &[limiter]);
         let answer = self.parts.timers.timeout(ANSWER_TIMEOUT, rx).await;
         // A sender that is gone without an answer is none either.
@@ -149,7 +149,7 @@
     }
 
     /// Takes a limiter's answer to an ask. One that comes late, as when this process stood still, is none.
-    pub fn on_reply(&self, reply: LimitReply) {
+    pub fn on_reply(&self, reply: LimiterReply) {
         let now = self.parts.timers.now();
         let pending = self.pending.borrow_mut().remove(&reply.reply.number);
         let Some(pending) = pending else { return };
--- a/crates/router/cloverpier_router/src/upstream_limits/limiter.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/limiter.rs
@@ -4,7 +4,7 @@
 //! [`UpstreamLimits::on_period`] being called once a period. Owns no state of its own.
 
 use super::{UpstreamLimits, place_of};
-use crate::peer_messages::{LimitAsk, LimitReply, PeerMessage};
+use crate::peer_messages::{LimiterReply, LimiterRequest, PeerMessage};
 use cloverpier_router_policy::permit::{LimitedUpstream, LimiterMap, PermitReply};
 use cloverpier_router_policy::prelude::{UpstreamKey, UpstreamState, UpstreamTable};
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 impl UpstreamLimits {
     /// Answers another router's ask. One that this router is not the limiter for leads to the question
     /// whether the limiter answers: the other router may have found that it does not.
-    pub fn on_ask(self: &Rc<Self>, ask: &LimitAsk, state: Option<&UpstreamState>) {
+    pub fn on_ask(self: &Rc<Self>, ask: &LimiterRequest, state: Option<&UpstreamState>) {
         if let Some(report) = &ask.request.limit {
             self.on_report(report, state, ask.sender);
         }
@@ -29,11 +29,11 @@
         drop(permits);
         self.count_handed_out(&reply);
         let is_for_another = reply.handed_out.is_none() && ask.request.count > 0;
-        let reply = LimitReply {
+        let reply = LimiterReply {
             sender: self.parts.own,
             reply,
         };
-        let message = PeerMessage::LimitReply(reply);
+        let message = PeerMessage::LimiterReply(reply);
         self.parts.datagrams.send(&message, &[ask.sender]);
         if let Some(limiter) = limiter.filter(|l| is_for_another && *l != self.parts.own) {
             self.ask_in_background(limiter);
--- a/crates/router/cloverpier_router/src/beliefs.rs
+++ b/crates/router/cloverpier_router/src/upstream_log.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Logs that what is believed of an upstream has changed, and why.
-pub(crate) fn log_belief(
+pub(crate) fn log_upstream_change(
     log: &Log,
     event: &'static str,
     upstream: &Upstream,
@@ -51,7 +51,7 @@
 }
 
 /// Logs that an upstream has begun to want nothing for a time.
-pub(crate) fn log_wait(log: &Log, upstream: &Upstream, time: Duration, via: Via<'_>) {
+pub(crate) fn log_wait_period(log: &Log, upstream: &Upstream, time: Duration, via: Via<'_>) {
     let line = WaitLearned {
         upstream: upstream.name.as_str(),
         wait_ms: ms(time),
--- a/crates/router/cloverpier_router/src/upstream_updates.rs
+++ b/crates/router/cloverpier_router/src/upstream_updates.rs
@@ -24,7 +24,7 @@
     restart::on_restarted(router, &applied.restarted, now);
     rollouts::on_listed(router, &applied, now);
     if applied.is_new {
-        router.store.on_upstreams_learned(now);
+        router.store.on_upstreams_received(now);
         log_version(router, Watched::Upstreams, list.revision, from);
     }
 }
--- a/crates/router/cloverpier_router/tests/gossip_messages.rs
+++ b/crates/router/cloverpier_router/tests/gossip_messages.rs
@@ -81,7 +81,7 @@
         members: vec![update(7304, MemberState::Dead)],
     });
     assert_is_golden(include_str!("golden/members.hex"), &message);
-    let question = PeerMessage::AskMembers(address(7104));
+    let question = PeerMessage::MembersRequest(address(7104));
     assert_is_golden(include_str!("golden/ask_members.hex"), &question);
 }
 
--- a/crates/router/cloverpier_router/tests/limit_messages.rs
+++ b/crates/router/cloverpier_router/tests/limit_messages.rs
@@ -5,7 +5,7 @@
 //! releases read these bytes.
 
 use cloverpier_router::peer_messages::{
-    LimitAsk, LimitReply, LimitReports, PeerMessage, decode, encode,
+    LimitReports, LimiterReply, LimiterRequest, PeerMessage, decode, encode,
 };
 use cloverpier_router_policy::heartbeat::MAX_DATAGRAM;
 use cloverpier_router_policy::limit::{LimitReport, Rate, in_messages};
@@ -47,12 +47,12 @@
         limits: vec![report(21, Some(1.5)), report(22, None)],
     };
     let golden = include_str!("golden/limits.hex");
-    assert_is_golden(golden, &PeerMessage::Limits(news));
+    assert_is_golden(golden, &PeerMessage::LimitReports(news));
 }
 
 #[test]
 fn asks_for_permits_keep_their_bytes() {
-    let ask = LimitAsk {
+    let ask = LimiterRequest {
         sender: sender(),
         request: PermitRequest {
             number: 77,
@@ -63,12 +63,12 @@
         },
     };
     let golden = include_str!("golden/limit_ask.hex");
-    assert_is_golden(golden, &PeerMessage::LimitAsk(ask));
+    assert_is_golden(golden, &PeerMessage::LimiterRequest(ask));
 }
 
 #[test]
 fn answers_to_asks_keep_their_bytes() {
-    let reply = LimitReply {
+    let reply = LimiterReply {
         sender: sender(),
         reply: PermitReply {
             number: 77,
@@ -85,7 +85,7 @@
         },
     };
     let golden = include_str!("golden/limit_reply.hex");
-    assert_is_golden(golden, &PeerMessage::LimitReply(reply));
+    assert_is_golden(golden, &PeerMessage::LimiterReply(reply));
 }
 
 #[test]
@@ -104,7 +104,7 @@
             sender: ([0xffff; 8], u16::MAX).into(),
             limits,
         };
-        let bytes = encode(&PeerMessage::Limits(news)).unwrap();
+        let bytes = encode(&PeerMessage::LimitReports(news)).unwrap();
         assert!(bytes.len() <= MAX_DATAGRAM, "{}", bytes.len());
     }
 }
--- a/crates/router/cloverpier_router/tests/peer_messages.rs
+++ b/crates/router/cloverpier_router/tests/peer_messages.rs
@@ -121,13 +121,13 @@
 fn successors_keep_their_bytes() {
     let successor = PeerMessage::Successor(Successor {
         sender: address(7104),
-        former: UpstreamName::new("e0"),
+        predecessor: UpstreamName::new("e0"),
         upstream: upstream(1),
     });
     assert_is_golden("successor", &successor);
-    let replaced = PeerMessage::Replaced(Replaced {
+    let replaced = PeerMessage::ReplacedUpstream(ReplacedUpstream {
         sender: address(7104),
-        former: UpstreamName::new("e0"),
+        predecessor: UpstreamName::new("e0"),
     });
     assert_is_golden("replaced", &replaced);
 }
@@ -210,7 +210,7 @@
         order: None,
         ..rollout_view()
     };
-    let news = PeerMessage::Rollouts(RolloutReports {
+    let news = PeerMessage::RolloutReports(RolloutReports {
         sender: address(7104),
         views: vec![rollout_view(), withdrawn],
     });
@@ -271,7 +271,7 @@
         },
     ];
     let content = ContentKey::parse("0102030405060708090a0b0c0d0e0f10").unwrap();
-    let news = PeerMessage::Crashes(CrashReports {
+    let news = PeerMessage::CrashReports(CrashReports {
         sender: address(7104),
         contents: vec![ContentReport { content, crashes }],
     });
@@ -292,7 +292,7 @@
             age_ms: 0,
         },
     ];
-    let news = PeerMessage::Leavings(LeavingReports {
+    let news = PeerMessage::LeavingReports(LeavingReports {
         sender: address(7104),
         upstreams,
     });
@@ -310,7 +310,11 @@
         let sender = "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535"
             .parse()
             .unwrap();
-        let bytes = encode(&PeerMessage::Leavings(LeavingReports { sender, upstreams })).unwrap();
+        let bytes = encode(&PeerMessage::LeavingReports(LeavingReports {
+            sender,
+            upstreams,
+        }))
+        .unwrap();
         assert!(bytes.len() <= MAX_DATAGRAM, "{}", bytes.len());
     }
 }
