--- a/crates/router/cloverpier_router/src/configuration_copies.rs
+++ b/crates/router/cloverpier_router/src/configuration_copies.rs
@@ -1,9 +1,8 @@
-//! The configuration in force, and the bytes in which peers get it.
+//! The configuration in force, with its encoded copies for peers.
 //!
-//! Owns both. The bytes are written once for each version, however many peers ask, or are
-//! those that a peer sent; they are written beside the thread that serves
-//! ([`crate::background`]). A peer of a release that does not ask for compressed bytes gets
-//! plain ones.
+//! [`ConfigurationWithCopies`] owns both. Each version is encoded once, for all peers that request it, or not at all if
+//! a peer sent the bytes. Encoding and decoding run on a background thread ([`crate::background`]) so that they don't
+//! delay requests. Peers whose requests don't accept compression, as those of old releases, receive an uncompressed copy.
 
 use crate::background::run_in_background;
 use crate::peer_messages::{CodecError, compress, decode, decompress, encode};
@@ -12,28 +11,29 @@
 use std::sync::Arc;
 use tokio::sync::OnceCell;
 
-/// Bytes that a route takes in a plain copy, about: more where its names are longer.
+/// Approximate size in bytes of a route in an uncompressed copy; routes with long names take more.
 const ESTIMATED_ROUTE_BYTES: usize = 100;
 
-/// How the bytes are encoded.
+/// The content encoding of a copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum CopyEncoding {
-    /// As the codec writes them.
+    /// Uncompressed `MessagePack`.
     Plain,
-    /// Compressed with `gzip`.
+    /// `MessagePack` compressed with `gzip`.
     Compressed,
 }
 
-/// A configuration, indexed, with the bytes of its copies.
+/// An indexed configuration, with its encoded copies for peers.
 #[derive(Debug)]
 pub(crate) struct ConfigurationWithCopies {
     index: Arc<ConfigurationIndex>,
+    /// The uncompressed copy, and then the compressed one; each empty until a peer sent or requested it.
     plain: OnceCell<Bytes>,
     compressed: OnceCell<Bytes>,
 }
 
 impl ConfigurationWithCopies {
-    /// Indexes a configuration that was read elsewhere.
+    /// Indexes a configuration, as read from the store, without any copy.
     pub async fn from_configuration(configuration: Configuration) -> Self {
         let size = estimated_bytes(&configuration);
         let index = move || Arc::new(ConfigurationIndex::new(configuration));
@@ -44,11 +44,11 @@
         }
     }
 
-    /// Reads a copy, and keeps its bytes for other peers.
+    /// Decodes and indexes a copy from a peer, and keeps its bytes for other peers.
     ///
     /// # Errors
     ///
-    /// [`CodecError`] for bytes that are no copy.
+    /// [`CodecError`] if the bytes are not a configuration in this encoding.
     pub async fn read(bytes: Bytes, encoding: CopyEncoding) -> Result<Self, CodecError> {
         let copy = bytes.clone();
         let index = run_in_background(bytes.len(), move || read_index(&copy, encoding));
@@ -65,16 +65,16 @@
         })
     }
 
-    /// The configuration, for requests.
+    /// The indexed configuration, by which requests are routed.
     pub fn index(&self) -> &Arc<ConfigurationIndex> {
         &self.index
     }
 
-    /// The bytes for a peer; written by the first call.
+    /// The copy in this encoding, which the first call encodes.
     ///
     /// # Errors
     ///
-    /// [`CodecError`] if they cannot be written.
+    /// [`CodecError`] if the configuration can't be encoded or compressed.
     pub async fn copy(&self, encoding: CopyEncoding) -> Result<Bytes, CodecError> {
         let cell = match encoding {
             CopyEncoding::Plain => &self.plain,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Bytes of a plain copy, about; what is not a route is small.
+/// Approximate size in bytes of an uncompressed copy. Only routes are counted, as the rest is small.
 fn estimated_bytes(configuration: &Configuration) -> usize {
     configuration.routes.len() * ESTIMATED_ROUTE_BYTES
 }
--- a/crates/router/cloverpier_router/src/datagrams.rs
+++ b/crates/router/cloverpier_router/src/datagrams.rs
@@ -1,7 +1,8 @@
-//! Datagrams to other routers, sent at once.
+//! Immediate sending of datagrams to other routers.
 //!
-//! [`Datagrams`] owns the way to the socket; what waits for the next round of sending is in
-//! [`crate::outbox`]. A datagram that is lost costs little: whatever matters is repeated, or asked for again.
+//! [`Datagrams`] owns the reference to the socket. [`crate::outbox`] holds the messages that wait for the next round of
+//! sending. Datagrams are neither acknowledged nor retransmitted here: senders of messages that must arrive repeat
+//! them, or receivers request the content again.
 
 use crate::decision_log::log_dependency;
 use crate::metrics::ByKind;
@@ -12,18 +13,20 @@
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 
-/// Sends datagrams over the socket that receives them.
+/// Sends datagrams from the socket on which this router also receives them.
 #[derive(Debug)]
 pub(crate) struct Datagrams {
-    /// Set at the start, once the port is bound.
+    /// Set at the start, once the port is bound; until then nothing is sent.
     socket: OnceCell<Rc<UdpSocket>>,
     log: Log,
+    /// Counts sent datagrams, by kind of message.
     sent: ByKind,
+    /// Counts sent bytes, by kind of message.
     bytes: ByKind,
 }
 
 impl Datagrams {
-    /// Datagrams that have no socket yet; they are counted by what they say.
+    /// Creates a sender without a socket. `sent` and `bytes` are the metrics for datagrams and bytes.
     pub fn new(log: Log, sent: ByKind, bytes: ByKind) -> Self {
         Self {
             socket: OnceCell::new(),
@@ -33,14 +36,14 @@
         }
     }
 
-    /// Sends over this socket from now on.
+    /// Sets the socket to send from.
     pub fn attach(&self, socket: Rc<UdpSocket>) {
-        // A router listens once; a second socket would be as good.
+        // A router binds its port once. If it did twice, the first socket would stay in use.
         let _ = self.socket.set(socket);
     }
 
-    /// Waits until the runtime has seen that the socket takes datagrams: before that each would be
-    /// dropped, and peers would miss the first, which says that this router has just begun.
+    /// Waits until the runtime has registered the socket as writable. Datagrams sent before are dropped, and peers
+    /// would miss the first one, which reports that this router has just started.
     pub async fn ready(&self) {
         let Some(socket) = self.socket.get() else {
             return;
@@ -50,7 +53,7 @@
         }
     }
 
-    /// Sends a message to some peers.
+    /// Sends one datagram with the message to each peer. Does nothing without a socket.
     pub fn send(&self, message: &PeerMessage, peers: &[SocketAddr]) {
         let Some(socket) = self.socket.get() else {
             return;
@@ -66,7 +69,7 @@
         self.sent.add(kind, count);
         self.bytes.add(kind, bytes.len() as u64 * count);
         for peer in peers {
-            // A datagram that the system does not take is like one that was lost.
+            // A datagram that the operating system does not accept counts as lost.
             let _ = socket.try_send_to(&bytes, *peer);
         }
     }
--- a/crates/router/cloverpier_router/src/gossip.rs
+++ b/crates/router/cloverpier_router/src/gossip.rs
@@ -1,8 +1,8 @@
-//! Gossip of a large fleet: sends and receives what replaces heartbeats there.
+//! Sending and receiving of gossip, which replaces heartbeats in a large fleet.
 //!
-//! Who is sent what, who is probed and who lives is decided in
-//! `cloverpier_router_policy::{membership, watcher_reports}`; [`crate::heartbeats`] has the loop that
-//! sends. Owns no state: [`crate::peers`] does.
+//! `cloverpier_router_policy::{membership, watcher_reports}` decide the recipients and contents of messages, which
+//! routers are probed and which are alive. [`crate::heartbeats`] runs the loop that sends. Owns no state;
+//! [`crate::peers`] holds the members and the reports of watchers.
 
 use crate::crashes::reports as crash_reports;
 use crate::decision_log::log_dependency;
@@ -27,12 +27,14 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Suspects in one message: suspicions count for a second only.
+/// Maximum number of suspected upstreams in one gossip message. A peer's suspicion is valid for a second only.
 const MAX_SUSPECTS: usize = 16;
-/// Bytes that a datagram's envelope and the sender's address take at most.
-const ENVELOPE: usize = 64;
+/// Maximum number of bytes that a message's envelope and its sender's address take. Routers that forward a message
+/// replace the address by their own, which may be longer.
+const MAX_ENVELOPE_BYTES: usize = 64;
 
-/// Sends what is due in each period: gossip, and probes of silent predecessors.
+/// Does the work of one gossip interval: sends gossip, probes silent predecessors on the ring, and declares those dead
+/// that did not reply. `was_paused` is whether this process was paused before.
 pub(crate) fn send_period(router: &Router, was_paused: bool, now: Instant) {
     let peers = &router.peers;
     peers.members.borrow_mut().set_own_state(router.state());
@@ -45,7 +47,7 @@
             &router.log,
             "peer.dead",
             &dead.to_string(),
-            "no answer to probes",
+            "no reply to probes",
         );
     }
     record_own_report(router, now);
@@ -59,7 +61,7 @@
     }
 }
 
-/// Sends at once that routers end.
+/// Sends an urgent report of leaving and dead routers.
 pub(crate) fn send_departures(router: &Router) {
     let (members, targets) = {
         let mut known = router.peers.members.borrow_mut();
@@ -76,7 +78,8 @@
         .send(&PeerMessage::Members(message), &targets);
 }
 
-/// Sends something urgent at once: a version, or that the store is not reached any more.
+/// Sends gossip outside of the interval, because a version has changed or this watcher's calls to the store fail or
+/// succeed again.
 pub(crate) fn send_urgent(router: &Router, now: Instant) {
     record_own_report(router, now);
     let targets = {
@@ -86,12 +89,12 @@
     send_gossip(router, &targets, false, now);
 }
 
-/// Sends a router that has just begun, or was not known, a first message.
+/// Sends new peers a first gossip message, to which they reply.
 pub(crate) fn send_first_gossip(router: &Router, to: &[SocketAddr], now: Instant) {
     send_gossip(router, to, true, now);
 }
 
-/// Records what this router says of itself as a watcher, if it is one.
+/// Records this router's own report as a watcher of the store, if it is one, so that gossip messages contain it.
 fn record_own_report(router: &Router, now: Instant) {
     let Some(store_age_ms) = store_age_ms(router, now) else {
         return;
@@ -133,7 +136,7 @@
     }
 }
 
-/// Applies a router's message.
+/// Applies a gossip message and replies to it.
 pub(crate) fn on_gossip(router: &Router, gossip: Gossip, now: Instant) {
     let sender = gossip.sender.router;
     if sender == router.settings().listen.peers {
@@ -178,7 +181,7 @@
     reply
 }
 
-/// Records the sender's versions and its use of the budget, as of a heartbeat.
+/// Records the sender's versions and its use of retry budgets, as if they came in a heartbeat.
 fn record_entry(router: &Router, gossip: &Gossip, now: Instant) {
     let MemberState::Alive(state) = gossip.sender.state else {
         return;
@@ -190,7 +193,7 @@
         last_heartbeat: now,
         configuration_version: gossip.configuration_version,
         upstreams_revision: gossip.upstreams_revision,
-        // What it says of the store is among the beats.
+        // The sender's store age is in its watcher report.
         store_age: None,
         budget_use: gossip.budget_use.clone(),
     };
@@ -217,7 +220,7 @@
     }
 }
 
-/// Sends a router that knows fewer all members.
+/// Sends the member list to a router that requested it, unless a list was sent to any router within 200 ms.
 pub(crate) fn on_members_request(router: &Router, asking: SocketAddr, now: Instant) {
     let sender = router.settings().listen.peers;
     let parts = router.peers.members.borrow_mut().on_members_request(now);
@@ -230,7 +233,8 @@
     }
 }
 
-/// Takes members that a router was asked for, or what it says of this one.
+/// Applies member updates: a list that this router requested, a report of leaving and dead routers, or the notice that
+/// this router is recorded as dead.
 pub(crate) fn on_members(router: &Router, message: Members, now: Instant) {
     let mut members = router.peers.members.borrow_mut();
     members.on_members(message.members, now);
@@ -239,7 +243,8 @@
     }
 }
 
-/// Takes what watchers of the store said; the roles are decided anew where it says something else.
+/// Applies reports of watchers. If one of them changes whether a watcher reaches the store, decides this router's role
+/// again and sends gossip at once.
 fn apply_watcher_reports(router: &Router, watcher_reports: &[WatcherReport], now: Instant) {
     let mut is_urgent = false;
     let peers = router.peers.count();
@@ -253,13 +258,14 @@
     }
     if is_urgent {
         decide_watcher_role(router, now);
-        // Others learn it from this router without waiting for its next period.
+        // Forwards the report without waiting for the next gossip interval.
         router.peers.outbox.schedule_heartbeat();
     }
 }
 
-/// Has changes that this router read from the store sent to all; false where they are too many, or
-/// orders of roll-outs have to come with them.
+/// Queues changes that this router read from the store for all peers. Returns false without queueing them in a small
+/// fleet, if they don't fit into one datagram, or if there are orders of roll-outs: these have to arrive together with
+/// new upstreams, which only a fetch ensures.
 pub(crate) fn broadcast_upstream_changes(
     router: &Router,
     after: u64,
@@ -277,11 +283,11 @@
     };
     let message = PeerMessage::UpstreamUpdate(update);
     match encode(&message) {
-        Ok(bytes) if bytes.len() + ENVELOPE <= MAX_DATAGRAM => {
+        Ok(bytes) if bytes.len() + MAX_ENVELOPE_BYTES <= MAX_DATAGRAM => {
             router.peers.outbox.send(message, Recipients::All);
             true
         }
-        // Whoever learns of the revision fetches them.
+        // Peers fetch these changes when this router reports the new revision.
         Ok(_) => false,
         Err(error) => {
             log_dependency(&router.log, "peer.unsent", "peers", &error.to_string());
@@ -290,14 +296,14 @@
     }
 }
 
-/// Applies changes that a router passed on, and passes them on.
+/// Applies changes that a router sent or forwarded, and forwards them.
 pub(crate) fn on_upstream_update(router: &Router, update: UpstreamUpdate) {
     let known = router.upstreams.borrow().revision();
     if update.revision <= known || !router.store.has_upstreams() {
         return;
     }
     if update.after > known {
-        // Something before it was missed.
+        // This router lacks earlier changes, and fetches all of them.
         router.peers.notify_newer_version(Watched::Upstreams);
         return;
     }
@@ -317,7 +323,7 @@
     router.peers.forward(PeerMessage::UpstreamUpdate(message));
 }
 
-/// What a heartbeat of a release that knows no gossip says of its sender.
+/// The member update for the sender of a heartbeat, which contains no stamp.
 pub(crate) fn member_of(entry: &PeerEntry, peer: SocketAddr) -> MemberUpdate {
     MemberUpdate {
         router: peer,
--- a/crates/router/cloverpier_router/src/heartbeats.rs
+++ b/crates/router/cloverpier_router/src/heartbeats.rs
@@ -1,8 +1,12 @@
-//! Sends heartbeats and changes to peers; [`crate::peer_reports`] receives theirs.
+//! The loop that sends this router's messages to its peers: heartbeats, changes and queued messages.
 //!
-//! Datagrams, as a lost one costs little: the next heartbeat repeats everything. Who is sent
-//! what, and how much of it, is decided in `cloverpier_router_policy::heartbeat`; the shapes
-//! are [`crate::peer_messages`]'s. Owns when what is due next, and the turn among peers.
+//! Messages are datagrams; the loss of a heartbeat needs no retransmission, because the next one repeats the whole
+//! state. `cloverpier_router_policy::heartbeat` decides the recipients and the bounds on the contents, and
+//! [`crate::peer_messages`] defines the messages. In a large fleet, [`crate::gossip`] replaces heartbeats.
+//! [`crate::peer_reports`] receives peers' messages.
+//!
+//! Owns the times of the next heartbeat and of the next decision on watcher roles, and the rotation of heartbeats
+//! among peers.
 
 use crate::crashes::reports as crash_reports;
 use crate::gossip;
@@ -26,15 +30,15 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A period that begins so late means that this process was paused, so that others' silence says
-/// nothing.
+/// If a sending interval starts later than planned by more than this, the process was paused, and the silence of other
+/// routers is no evidence that they have failed.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(300);
-/// After this time a router knows most members of a large fleet.
+/// How long after its start a router has received most members of a large fleet.
 const MEMBER_DISCOVERY_TIME: Duration = Duration::from_secs(4);
-/// How often roles are decided in a large fleet from then on.
+/// Interval at which a router of a large fleet decides its watcher role after [`MEMBER_DISCOVERY_TIME`].
 const LARGE_FLEET_ROLE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Sends heartbeats and changes until the process ends.
+/// Sends heartbeats, changes and queued messages until the process ends.
 pub(crate) async fn send_messages(router: Rc<Router>) {
     router.datagrams.ready().await;
     let mut sender = MessageSender::new(router);
@@ -45,17 +49,19 @@
     }
 }
 
-/// Sends what is due and what waits.
+/// The state of the loop that sends.
 struct MessageSender {
     router: Rc<Router>,
     rotation: HeartbeatRotation,
     roles: RoleDecisionTimer,
+    /// When the next heartbeat or gossip message is due.
     next_period: Instant,
+    /// When the seeds from the settings are added to the peers again.
     next_seeds: Instant,
 }
 
 impl MessageSender {
-    /// A sender for which everything is due.
+    /// Creates a sender whose periodic work is due at once.
     fn new(router: Rc<Router>) -> Self {
         let now = router.now();
         Self {
@@ -67,7 +73,8 @@
         }
     }
 
-    /// Sends what is due by the time, or since a version has changed.
+    /// Does the periodic work that is due. If none is, and a version or the reported store age has changed, sends
+    /// heartbeats to some peers.
     fn send_due(&mut self) {
         let now = self.router.now();
         if now >= self.next_seeds {
@@ -96,7 +103,7 @@
         update_limiters(router, now);
     }
 
-    /// Sends what waits for the next round.
+    /// Sends the queued messages and reports.
     fn send_pending(&self) {
         let router = &self.router;
         let now = router.now();
@@ -106,7 +113,7 @@
         let new_peers = router.peers.outbox.take_new_peers(MAX_NEW_PEERS_PER_ROUND);
         if !new_peers.is_empty() {
             send_heartbeat(router, &new_peers, MENTIONED_TO_NEW_PEER, now);
-            // One that belongs to a large fleet answers this.
+            // A router of a large fleet replies to gossip, not to heartbeats.
             gossip::send_first_gossip(router, &new_peers, now);
         }
         for (message, to) in router.peers.outbox.drain_outgoing() {
@@ -119,7 +126,7 @@
     }
 }
 
-/// Tells the part that hands out permits which routers live.
+/// Updates the routers by which the limiter of each rate-limited upstream is chosen.
 fn update_limiters(router: &Router, now: Instant) {
     let settings = router.settings();
     let own = RouterPlace {
@@ -133,7 +140,7 @@
     router.upstream_limits.on_period(map, timeout, &table);
 }
 
-/// How often heartbeats or gossip are sent.
+/// Interval between heartbeats, a setting, or between gossip messages in a large fleet.
 fn period(router: &Router) -> Duration {
     if router.peers.is_large() {
         GOSSIP_PERIOD
@@ -142,15 +149,17 @@
     }
 }
 
-/// When the roles of watchers are decided anew.
+/// Decides when this router decides its role as a watcher of the store again.
 #[derive(Default)]
 struct RoleDecisionTimer {
+    /// When the last decision was due; `None` before the first.
     last: Option<Instant>,
 }
 
 impl RoleDecisionTimer {
-    /// With each heartbeat; in a large fleet, where that takes a look at each member, less often once
-    /// most members are known: what watchers say of themselves has them decided at once, too.
+    /// Whether a decision is due; called at each sending interval. In a small fleet it always is. In a large fleet, a
+    /// decision goes over all members, so it is due once a second after the first 4 s. That is enough, because reports
+    /// of watchers that change the roles cause a decision at once.
     fn is_due(&mut self, router: &Router, now: Instant) -> bool {
         let passed = |at: Instant| now.saturating_duration_since(at);
         let is_recent = self
@@ -165,7 +174,7 @@
     }
 }
 
-/// Sends what is due in each period: heartbeats, or gossip in a large fleet.
+/// Sends the heartbeats of one interval. In a large fleet, sends gossip, and heartbeats to the peers without gossip.
 fn send_period(router: &Router, rotation: &mut HeartbeatRotation, was_paused: bool, now: Instant) {
     let serves_peers = serves_peers(router, now);
     let is_large = router.peers.is_large();
@@ -181,7 +190,7 @@
     }
 }
 
-/// Tells some peers at once that a version has changed.
+/// Sends heartbeats or gossip to some peers at once, because a version or the reported store age has changed.
 fn send_versions(router: &Router, now: Instant) {
     let serves_peers = serves_peers(router, now);
     let peers = if router.peers.is_large() {
@@ -196,7 +205,7 @@
     }
 }
 
-/// Waits for the next period, or for a change that peers are to be sent at once.
+/// Waits for the next sending interval, or until a message is queued.
 async fn wait_for_change(router: &Router, next_period: Instant) {
     let sent = router.now();
     if !router.peers.outbox.has_new_peers() {
@@ -205,7 +214,7 @@
             () = router.timers.sleep_until(next_period) => return,
         }
     }
-    // What comes close together goes in one round.
+    // Messages that are queued within 10 ms are sent in one round.
     router.timers.sleep_until(sent + MIN_SEND_PAUSE).await;
 }
 
@@ -213,7 +222,7 @@
     let peers = &router.peers;
     let mut rng = router.rng.borrow_mut();
     match to {
-        // Whoever gets it passes it on.
+        // The recipients forward the message.
         Recipients::All if peers.is_large() => peers.members.borrow().flood_roots(&mut rng),
         Recipients::All => peers.addresses(),
         Recipients::LargeSample => change_recipients(peers.addresses(), &mut rng),
@@ -249,15 +258,15 @@
     router.datagrams.send(&message, peers);
 }
 
-/// Load and prompts of this router's streams, for peers. It is empty unless each change of it
-/// reaches all peers: otherwise engines are asked ([`cloverpier_router_policy::load_query`]).
+/// The load and prompts of this router's streams, for heartbeats. Empty in a large fleet, in which changes don't reach
+/// all peers, and routers query the engines instead ([`cloverpier_router_policy::load_query`]).
 #[derive(Default)]
 struct StreamReport {
     load: Vec<(UpstreamKey, Load)>,
     prompt_locations: Vec<(PromptKey, UpstreamKey)>,
 }
 
-/// As many entries as one message may hold.
+/// The first 64 entries, the maximum in one message, converted by `entry`.
 fn first_entries<T, R>(entries: Vec<T>, entry: impl Fn(T) -> R) -> Vec<R> {
     entries.into_iter().take(MAX_ENTRIES).map(entry).collect()
 }
@@ -293,18 +302,19 @@
     }
 }
 
-/// The age of the last successful call to the store, as it is reported to peers.
+/// The age of the last successful call to the store in milliseconds, as it is reported to peers; `None` if this router
+/// does not watch the store.
 pub(crate) fn store_age_ms(router: &Router, now: Instant) -> Option<u32> {
     let store = &router.store;
     let peers = router.peers.count();
     let (role, last) = (store.role(), store.last_success());
     let age = reported_store_age(role, last, store.is_failing(), peers, now);
-    // An age beyond 49 days is as good as 49 days.
+    // u32 milliseconds hold 49 days; a longer age has the same consequences.
     age.map(|age| u32::try_from(age.as_millis()).unwrap_or(u32::MAX))
 }
 
-/// What peers are to be sent at once, if anything: suspicions, and while that reaches all of them,
-/// changes of load and new locations of prompts.
+/// The change to send in this round: suspicions, and in a small fleet also changed load and new prompt locations.
+/// `None` if no upstream has changed, or in a large fleet if none of the changed ones is suspected.
 fn next_change(router: &Router) -> Option<Change> {
     let changed = changed_upstreams(router);
     let prompt_locations = router.peers.outbox.drain_prompt_locations();
@@ -329,7 +339,7 @@
     })
 }
 
-/// The upstreams of which something is to be reported, each once.
+/// Removes and returns the upstreams to report, without duplicates and at most 64.
 fn changed_upstreams(router: &Router) -> Vec<UpstreamName> {
     let mut changed = router.peers.outbox.drain_changed_upstreams();
     changed.sort_unstable();
--- a/crates/router/cloverpier_router/src/leaving_reports.rs
+++ b/crates/router/cloverpier_router/src/leaving_reports.rs
@@ -1,8 +1,8 @@
-//! Sends peers the upstreams that have announced that they leave, and applies what peers send.
+//! Reports leaving upstreams to peers, and applies peers' reports.
 //!
-//! The messages' contents are decided in `cloverpier_router_policy::leaving`, repeats in `dissemination`
-//! there. Owns no state: the table of upstreams holds the leavings, the router when the last one was
-//! learned.
+//! An upstream announces in its responses that it leaves. `cloverpier_router_policy::leaving` defines the reports, and
+//! `cloverpier_router_policy::dissemination` decides when they are sent again. Owns no state; the table of upstreams
+//! holds the announcements, and [`Router`] the time when the last new one arrived.
 
 use crate::outbox::Recipients;
 use crate::peer_messages::{LeavingReports, PeerMessage};
@@ -17,7 +17,8 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Records that an upstream has announced that it leaves, and sends that to all peers if it is new.
+/// Records the announcement of an upstream that it leaves, and reports it to all peers if it is new. `start_time_ms` is
+/// the start of the leaving process as a Unix time in milliseconds, if the response contains it.
 pub(crate) fn on_leaving(
     router: &Router,
     upstream: &Upstream,
@@ -35,7 +36,7 @@
     send(router, &reports, &Recipients::All);
 }
 
-/// Applies a peer's message.
+/// Applies a peer's reports, and forwards them if one of them is new.
 pub(crate) fn on_reports(router: &Router, reports: LeavingReports, now: Instant) {
     let mut table = router.upstreams.borrow_mut();
     let new = table.on_peer_leaving_reports(&reports.upstreams, now);
@@ -71,7 +72,7 @@
     log_leaving(&router.log, upstream, source, age_ms);
 }
 
-/// Sends a peer all upstreams that leave, if it may have missed some.
+/// Sends a peer reports of all leaving upstreams if its heartbeat shows that it may have missed some.
 pub(crate) fn send_if_missed(
     router: &Router,
     peer: SocketAddr,
@@ -83,7 +84,7 @@
     }
 }
 
-/// Sends a peer that may have missed some what is known, where this router is one of those that do.
+/// Sends reports of all leaving upstreams to a peer that may have missed some. Of all routers, about 16 random ones do.
 pub(crate) fn send_missed_if_selected(router: &Router, peer: SocketAddr) {
     let reports = router.upstreams.borrow().leaving_reports(router.now());
     if !reports.is_empty() && sends_missed_facts(router.peers.count(), &mut router.rng.borrow_mut())
@@ -92,7 +93,8 @@
     }
 }
 
-/// Repeats what is new to one peer, for a while after the last leaving was learned.
+/// Sends recent reports to one random peer, if the last new announcement arrived within 3 s. Called at each sending
+/// interval, because datagrams are lost.
 pub(crate) fn repeat(router: &Router, now: Instant) {
     if !is_within_repeat_window(router.last_leaving.get(), now) {
         return;
--- a/crates/router/cloverpier_router/src/limit_reports.rs
+++ b/crates/router/cloverpier_router/src/limit_reports.rs
@@ -1,7 +1,7 @@
-//! Sends peers the limits that upstreams name, and applies what peers send.
+//! Reports to peers the rate limits that upstreams advertise, and applies peers' reports.
 //!
-//! What changes by a report is decided in `cloverpier_router_policy::limit`, repeats in `dissemination`
-//! there. Owns no state: [`crate::upstream_limits`] does.
+//! `cloverpier_router_policy::limit` decides the effect of a report, and `cloverpier_router_policy::dissemination` when
+//! reports are sent again. Owns no state; [`crate::upstream_limits`] holds the limits.
 
 use crate::outbox::Recipients;
 use crate::peer_messages::{LimitReports, PeerMessage};
@@ -14,12 +14,12 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Sends all peers what an answer has changed.
+/// Reports to all peers a limit that a response has changed.
 pub(crate) fn send_to_all(router: &Router, report: LimitReport) {
     send(router, &[report], &Recipients::All);
 }
 
-/// Applies a peer's message.
+/// Applies a peer's reports, and forwards them if one of them is new.
 pub(crate) fn on_reports(router: &Router, reports: LimitReports) {
     let mut is_new = false;
     let table = router.upstreams.borrow();
@@ -35,7 +35,7 @@
     }
 }
 
-/// Sends a peer all limits, if it may have missed some.
+/// Sends a peer reports of all limits if its heartbeat shows that it may have missed some.
 pub(crate) fn send_if_missed(
     router: &Router,
     peer: SocketAddr,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Sends a peer that may have missed some what is known, where this router is one of those that do.
+/// Sends reports of all limits to a peer that may have missed some. Of all routers, about 16 random ones do.
 pub(crate) fn send_missed_if_selected(router: &Router, peer: SocketAddr) {
     let reports = reports(router);
     if !reports.is_empty() && sends_missed_facts(router.peers.count(), &mut router.rng.borrow_mut())
@@ -56,7 +56,8 @@
     }
 }
 
-/// Repeats what is known to one peer, for a while after something was learned.
+/// Sends reports of all limits to one random peer, if the last new limit or change arrived within 3 s. Called at each
+/// sending interval, because datagrams are lost.
 pub(crate) fn repeat(router: &Router, now: Instant) {
     if !is_within_repeat_window(router.upstream_limits.last_report.get(), now) {
         return;
@@ -66,6 +67,7 @@
     send(router, &reports(router), &Recipients::Only(peer));
 }
 
+/// Reports of the last known limit of each upstream.
 fn reports(router: &Router) -> Vec<LimitReport> {
     let table = router.upstreams.borrow();
     let start_time_ms = |key| table.by_key(key).and_then(UpstreamState::start_time_ms);
--- a/crates/router/cloverpier_router/src/peer_fetch.rs
+++ b/crates/router/cloverpier_router/src/peer_fetch.rs
@@ -1,8 +1,9 @@
-//! Newer configurations and upstreams, fetched from other routers over HTTP.
+//! Fetches of newer configurations and lists of upstreams from other routers over HTTP.
 //!
-//! Two loops, one for each, so that neither waits for the other. Each owns how its fetches
-//! went. Whom to ask, and when, is decided in `cloverpier_router_policy::version_fetch`; the
-//! shapes are [`crate::peer_messages`]'s, and [`crate::peer_serve`] is the other side.
+//! One loop fetches configurations and another one upstreams, so that neither waits for the other. Each loop owns its
+//! connections to peers and the results of its last fetches. `cloverpier_router_policy::version_fetch` decides from
+//! which peer to fetch, and when; [`crate::peer_serve`] serves the requests, and [`crate::peer_messages`] defines the
+//! replies.
 
 use crate::configuration_copies::{ConfigurationWithCopies, CopyEncoding};
 use crate::decision_log::{FetchFailed, VersionFetched, ms};
@@ -31,27 +32,27 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A peer did not hand out a version.
+/// The fetch of a newer version from a peer failed.
 #[derive(Debug, Snafu)]
 enum FetchError {
-    /// The call failed.
+    /// The HTTP call failed.
     #[snafu(display("{source}"))]
     Call { source: CallError },
-    /// The answer cannot be read.
+    /// The body of the peer's reply can't be decoded.
     #[snafu(display("{source}"))]
     Codec { source: CodecError },
-    /// The peer hands out other copies at present.
-    #[snafu(display("busy for {wait:?}"))]
+    /// The peer refused the request, because its link is busy with other copies, and accepts requests again after `wait`.
+    #[snafu(display("the peer is busy for {wait:?}"))]
     Busy { wait: Duration },
-    /// The peer does not hand out a version.
-    #[snafu(display("the peer answered {status}"))]
+    /// The peer replied with an unexpected status, as a router that has no version yet.
+    #[snafu(display("the peer replied with status {status}"))]
     Status { status: StatusCode },
-    /// What came is not newer than what is in force here.
-    #[snafu(display("what the peer sent is not newer"))]
+    /// The fetched version is not newer than the version in force here.
+    #[snafu(display("the version from the peer is not newer"))]
     NotNewer,
 }
 
-/// Fetches newer versions of one kind from peers, until the process ends.
+/// Fetches newer configurations or upstreams, as `watched` selects, from peers until the process ends.
 pub(crate) async fn fetch_newer(router: Rc<Router>, watched: Watched) {
     let mut fetcher = Fetcher {
         router,
@@ -76,7 +77,7 @@
     }
 }
 
-/// How often versions are compared without a sign of a newer one.
+/// Interval at which versions are compared with those of peers even if no peer has reported a newer one.
 fn compare_period(router: &Router) -> Duration {
     if router.peers.is_large() {
         LARGE_FLEET_COMPARE_PERIOD
@@ -85,14 +86,16 @@
     }
 }
 
-/// One of the two loops.
+/// The state of one of the two loops.
 struct Fetcher {
     router: Rc<Router>,
+    /// The kind of data that this loop fetches.
     watched: Watched,
+    /// The peers that are avoided after a failed fetch or a refusal.
     sources: FetchSources,
-    /// Connections to peers, one each, kept until a fetch fails.
+    /// One client for each peer, removed when a fetch from the peer fails.
     clients: HashMap<SocketAddr, Rc<HttpClient>>,
-    /// Whether the last fetch failed.
+    /// Whether the last fetch failed; a refusal does not count.
     is_failing: bool,
 }
 
@@ -111,7 +114,7 @@
         }
     }
 
-    /// Has the next changes of upstreams come together, in a large fleet.
+    /// Pauses after a fetch of upstreams in a large fleet, so that the next fetch returns all changes of that time.
     async fn pause_after_fetch(&self) {
         if self.watched == Watched::Upstreams && self.router.peers.is_large() {
             self.router.timers.sleep(UPSTREAM_FETCH_PAUSE).await;
@@ -134,6 +137,7 @@
             .step(self.current_version(), peers, now, &mut rng)
     }
 
+    /// The version of the configuration, or the revision of the upstreams, in force at this router.
     fn current_version(&self) -> u64 {
         match self.watched {
             Watched::Configuration => self.router.store.configuration_version(),
@@ -141,8 +145,8 @@
         }
     }
 
-    /// Waits as long as peers are busy, and up to as long again: whoever else was refused
-    /// waits for the same moment.
+    /// Waits for a random time between `wait` and twice as long, because all routers that the busy peers refused wait for
+    /// the same moment.
     async fn pause(&self, wait: Duration) {
         let spread = jitter(&mut self.router.rng.borrow_mut(), wait * 2);
         self.router.timers.sleep(spread).await;
@@ -189,7 +193,7 @@
         self.router.log.info("version.fetched", &line);
     }
 
-    /// Of failures in a row, as while a peer is dead and not missed yet, one is logged.
+    /// Logs the first of consecutive failures. There are many, for example, until a dead peer no longer counts as alive.
     fn on_failed(&mut self, peer: SocketAddr, error: &FetchError, took: Duration) {
         self.router.metrics.version_fetches.count("failed");
         if std::mem::replace(&mut self.is_failing, true) {
@@ -205,7 +209,7 @@
         self.router.log.info("peer.fetch_failed", &line);
     }
 
-    /// Fetches the configuration; returns the bytes that it took.
+    /// Fetches and applies the configuration; returns the size of the reply's body in bytes.
     async fn fetch_configuration(&mut self, peer: SocketAddr) -> Result<usize, FetchError> {
         let mut headers = HeaderMap::new();
         headers.insert(ACCEPT_ENCODING, HeaderValue::from_static(GZIP));
@@ -218,7 +222,8 @@
         Ok(bytes)
     }
 
-    /// Fetches upstreams; returns the bytes that it took.
+    /// Fetches and applies changes of upstreams, or the whole list if this router has none; returns the size of the
+    /// reply's body in bytes.
     async fn fetch_upstreams(&mut self, peer: SocketAddr) -> Result<usize, FetchError> {
         let path = if self.router.store.has_upstreams() {
             format!("{UPSTREAMS_PATH}?after={}", self.current_version())
--- a/crates/router/cloverpier_router/src/peer_messages.rs
+++ b/crates/router/cloverpier_router/src/peer_messages.rs
@@ -1,12 +1,13 @@
-//! Messages between routers: their shapes and their codec.
+//! The wire format of messages between routers, and their codec.
 //!
-//! Owns everything that one router sends to another: datagrams (heartbeats and
-//! changes) and the replies to fetches of newer versions. All are `MessagePack`
-//! without field names, so the *order* of fields is on the wire, and so are the
-//! names of enum variants; names of fields and types are free. The golden files
-//! in `tests/golden` hold the bytes, and a change there is a change of protocol.
+//! Defines all datagrams that routers send each other, and the HTTP replies that contain a newer list of
+//! upstreams. A configuration is sent as the encoded [`Configuration`] without a type of its own here.
 //!
-//! Relies on the types of `cloverpier_router_policy` that travel inside the messages.
+//! All are encoded as `MessagePack` without field names. So the order of fields and the (serde) names of enum
+//! variants are part of the protocol, while the names of fields and types are not. The golden files in
+//! `tests/golden` contain the expected bytes; a change of these bytes changes the protocol.
+//!
+//! Relies on `cloverpier_router_policy` and `cloverpier_crashes` for the types that the messages contain.
 
 mod codec;
 mod large_fleet;
@@ -26,21 +27,21 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The sender's own load at one upstream.
+/// The load that the sender's own requests cause at one upstream. The token counts concern model engines only.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The upstream.
+    /// The loaded upstream, by the hash of its name.
     pub upstream: UpstreamKey,
-    /// Requests in flight.
+    /// Number of the sender's requests that are in flight at the upstream.
     pub requests: u32,
-    /// Prompt tokens that the upstream has not read yet.
+    /// Prompt tokens of these requests that the engine has not read yet.
     pub unread_tokens: u32,
-    /// Tokens in the upstream's memory, or to come there.
+    /// Tokens that these requests occupy in the engine's KV cache, including those that they will add.
     pub memory_tokens: u32,
 }
 
 impl LoadReport {
-    /// A report of the load at one upstream.
+    /// Creates the report of an upstream's load from the upstream's key and this router's load there.
     pub fn new((upstream, load): (UpstreamKey, Load)) -> Self {
         Self {
             upstream,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// The upstream and the load there.
+    /// Converts the report into the upstream's key and the sender's load there.
     pub fn into_load(self) -> (UpstreamKey, Load) {
         let load = Load {
             requests: self.requests,
@@ -61,221 +62,235 @@
     }
 }
 
-/// The whole state that a router reports to its peers in each period.
+/// The state that a router of a small fleet reports to its peers at each heartbeat interval. A receiver replaces the
+/// sender's previous state by it, so a lost heartbeat needs no retransmission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender's address for peers, which identifies it.
     pub sender: SocketAddr,
-    /// Where the sender serves callers.
+    /// The address at which the sender serves callers.
     pub callers: SocketAddr,
-    /// The sender's data centre.
+    /// The data centre in which the sender runs.
     pub data_centre: DataCentre,
-    /// Whether the sender takes new callers.
+    /// The sender's state between its start and its shutdown; only ready routers are listed for callers.
     pub state: PeerState,
-    /// Version of the configuration that the sender uses; 0 before the first.
+    /// Version of the configuration in force at the sender; 0 before the first.
     pub configuration_version: u64,
-    /// Revision of the sender's list of upstreams.
+    /// Revision of the sender's list of upstreams; 0 before the first list.
     pub upstreams_revision: u64,
-    /// Milliseconds since the sender's last successful store call; `None` if it does not watch
-    /// the store.
+    /// Milliseconds since the sender's last successful call to the store. While calls fail, at least the age at
+    /// which other routers replace the sender as a watcher. `None` if the sender does not watch the store.
     pub store_age_ms: Option<u32>,
-    /// The sender's load at each upstream where it has any.
+    /// The sender's load at each upstream that has any of its requests, at most 64 upstreams. Empty in a large fleet,
+    /// where routers query the engines for their load.
     pub load: Vec<LoadReport>,
-    /// Upstreams that the sender suspects to be dead.
+    /// Upstreams that the sender suspects to be dead, at most 64.
     pub suspects: Vec<UpstreamKey>,
-    /// Engines that run the sender's streams, by prompt.
+    /// The prompts of the sender's running streams, each with the engine that reads or has read it; at most 64.
+    /// Empty in a large fleet.
     pub prompt_locations: Vec<(PromptKey, UpstreamKey)>,
-    /// Some of the sender's peers, by which routers discover each other.
+    /// Addresses of some random peers of the sender, by which routers discover each other.
     pub known_peers: Vec<SocketAddr>,
-    /// The sender's use of each service's retry budget.
+    /// The requests and retries that the sender counts against each service's retry budget.
     pub budget_use: Vec<(ServiceKey, BudgetUse)>,
 }
 
-/// What changed at a router since its last message, sent at once.
+/// Changes of a router's load and suspicions since its last message, sent between heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
     /// The sender's address for peers.
     pub sender: SocketAddr,
-    /// The sender's load at upstreams where it changed.
+    /// The sender's new load at upstreams where it changed. Empty in a large fleet.
     pub load: Vec<LoadReport>,
-    /// Those of these upstreams that the sender suspects.
+    /// Upstreams that the sender suspects to be dead and whose load or suspicion changed.
     pub suspects: Vec<UpstreamKey>,
-    /// Engines that have begun to read a prompt.
+    /// Prompts of streams that the sender has started, each with the engine that reads the prompt. Empty in a large
+    /// fleet.
     pub prompt_locations: Vec<(PromptKey, UpstreamKey)>,
 }
 
-/// An upstream that the platform's list does not name yet.
+/// A process that responds at a dead upstream's address under another name, belongs to the same service, and is not
+/// on the platform's list of upstreams yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Successor {
     /// The sender's address for peers.
     pub sender: SocketAddr,
-    /// The upstream that was at its address before.
+    /// Name of the upstream that had the address before.
     #[serde(rename = "former")]
     pub predecessor: UpstreamName,
-    /// The upstream.
+    /// The entry that the sender assumes for the new process, without version and start time.
     pub upstream: Upstream,
 }
 
-/// An upstream at whose address another process answers.
+/// An upstream at whose address a process with another name responds. Unlike for a [`Successor`], that process may
+/// belong to another service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplacedUpstream {
     /// The sender's address for peers.
     pub sender: SocketAddr,
-    /// The upstream, which is gone: a name belongs to one start of one process.
+    /// Name of the upstream. Its process has ended, because a name belongs to one start of one process.
     #[serde(rename = "former")]
     pub predecessor: UpstreamName,
 }
 
-/// What a router knows of roll-outs.
+/// Orders of roll-outs and their progress, as a router has them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutReports {
     /// The sender's address for peers.
     pub sender: SocketAddr,
-    /// The orders that are under way, and those that ended recently.
+    /// The orders in progress, and those that ended or were withdrawn recently, at most one of each service.
     pub views: Vec<RolloutView>,
 }
 
-/// What a router saw of a roll-out, for those that decide.
+/// One router's measurements of a roll-out, for the routers that decide on its progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutEvidence {
     /// The sender's address for peers.
     pub sender: SocketAddr,
-    /// All that it has counted.
+    /// The sender's counts since the order arrived there.
     pub report: EvidenceReport,
 }
 
-/// What a router knows of contents that ended upstreams.
+/// Request contents that may have crashed upstreams, with the crashes that the sender has recorded for each.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReports {
     /// The sender's address for peers.
     pub sender: SocketAddr,
-    /// The contents.
+    /// The contents and their crashes, at most 32 crashes in one message if no single content has more.
     pub contents: Vec<ContentReport>,
 }
 
-/// Upstreams that have said in answers that they leave.
+/// Upstreams that have announced in responses that they leave.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingReports {
     /// The sender's address for peers.
     pub sender: SocketAddr,
-    /// The upstreams.
+    /// The leaving upstreams, at most 256 in one message.
     pub upstreams: Vec<LeavingReport>,
 }
 
-/// Limits that upstreams have named in answers.
+/// Request rate limits that upstreams have advertised in responses.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitReports {
     /// The sender's address for peers.
     pub sender: SocketAddr,
-    /// The limits.
+    /// The last known limit of each upstream, also where the upstream has stopped advertising one.
     pub limits: Vec<LimitReport>,
 }
 
-/// An ask for permits to send requests to an upstream that limits itself.
+/// A request for permits to send requests to an upstream that limits its request rate. Its recipient is the
+/// upstream's limiter: the router that grants the permits of this upstream to all routers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimiterRequest {
     /// The sender's address for peers.
     pub sender: SocketAddr,
-    /// What it asks for.
+    /// The upstream, the number of permits, and how long a permit may be delayed.
     pub request: PermitRequest,
 }
 
-/// The answer to a [`LimiterRequest`].
+/// The reply to a [`LimiterRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimiterReply {
     /// The sender's address for peers.
     pub sender: SocketAddr,
-    /// What it answers.
+    /// The granted permits, or the refusal.
     pub reply: PermitReply,
 }
 
-/// What a router counted, its load and its clock, for the holder of the lease on work that one router
-/// at a time does.
+/// A router's request counts, load and clock, for the router that holds the lease on singleton work (work that one
+/// router does at a time).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetReport {
     /// The sender's address for peers.
     pub sender: SocketAddr,
-    /// Which run of the sender's process it is.
+    /// A random number that the sender's process chose at its start. It distinguishes the counts of this process from
+    /// those of earlier processes at the same address.
     pub incarnation: u64,
-    /// When this run began, by the time of day that routers agree on.
+    /// When the sender's process started, in milliseconds since 1970 by the clock that routers agree on.
     pub started: u64,
-    /// The time of day by the sender's own clock, in milliseconds since 1970.
+    /// The time of sending in milliseconds since 1970, by the sender's own clock.
     pub wall_ms: u64,
-    /// Requests that began to run, by window and client account, as far as they fit.
+    /// Numbers of requests that started to run, by usage window and client account. Counts that do not fit into the
+    /// datagram are in further reports.
     pub windows: Vec<ReportedWindow>,
-    /// The sender's load at each service of engines.
+    /// The load of the sender's streams on each service of model engines.
     pub loads: Vec<(ServiceKey, ServiceLoad)>,
 }
 
-/// What the holder of the lease says of it.
+/// A notice of the holder of the lease on singleton work.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseUpdate {
     /// The sender's address for peers.
     pub sender: SocketAddr,
-    /// The version of the lease's record.
+    /// The version of the lease's record in the store, as the holder last wrote it.
     pub version: RecordVersion,
-    /// The holder's fencing token.
+    /// The holder's fencing token, which orders the holders of the lease.
     pub token: u64,
-    /// The first window of which counts are still needed.
+    /// Number of the first usage window whose usage is not decided yet; other routers discard their counts of earlier
+    /// windows.
     pub undecided: u64,
-    /// The time of day that routers agree on, in milliseconds since 1970.
+    /// The time of sending in milliseconds since 1970, by the clock that routers agree on.
     pub fleet_ms: u64,
 }
 
-/// A datagram.
+/// The content of one datagram.
+///
+/// A router ignores datagrams with a variant that its release does not define, and logs the first of them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Sent every period.
+    /// Sent at each heartbeat interval in a small fleet, and in a large fleet to routers that send heartbeats.
     Heartbeat(Heartbeat),
-    /// Sent between heartbeats.
+    /// Sent between heartbeats when load or suspicions change.
     Change(Change),
-    /// Sent once when it is found; a router of a release without it ignores the datagram.
+    /// Sent to all peers once, when the sender identifies the successor of a dead upstream.
     Successor(Successor),
-    /// The same, where it is not known whose process answers now.
+    /// Sent to all peers once, when another process responds at an upstream's address and no new successor is
+    /// identified.
     #[serde(rename = "Replaced")]
     ReplacedUpstream(ReplacedUpstream),
-    /// Sent when an order is new or further on, and each second while it is under way; a router
-    /// of a release without it ignores the datagram.
+    /// Sent when an order is new or has advanced, and to a few random peers each second while it is in progress.
     #[serde(rename = "Rollouts")]
     RolloutReports(RolloutReports),
-    /// Sent to the routers that decide, while an order is under way; likewise.
+    /// Sent to the routers that decide on roll-outs, which are the store's watchers, while an order is in progress.
     RolloutEvidence(RolloutEvidence),
-    /// Sent to all when an upstream has ended under a request that may be why, and again for a
-    /// while; likewise.
+    /// Sent to all peers when an upstream has crashed while it executed a request that may be the cause, and to random
+    /// peers for 3 s after.
     #[serde(rename = "Crashes")]
     CrashReports(CrashReports),
-    /// Sent to all when an upstream has said in an answer that it leaves, and again for a while;
-    /// likewise.
+    /// Sent to all peers when an upstream has announced in a response that it leaves, and to random peers for 3 s
+    /// after.
     #[serde(rename = "Leavings")]
     LeavingReports(LeavingReports),
-    /// Sent to the routers that may hold the lease, where the settings name work for its holder;
-    /// likewise.
+    /// Sent to the lease holder and to the store's watchers, which may take over the lease, if the settings enable
+    /// singleton work.
     FleetReport(FleetReport),
-    /// Sent by the holder of the lease, likewise.
+    /// Sent by the lease holder in reply to a report, and to the store's watchers when the lease was renewed.
     LeaseUpdate(LeaseUpdate),
-    /// Sent every period in a large fleet; a router of a release without it ignores the datagram, and
-    /// is sent heartbeats.
+    /// Sent at each gossip interval in a large fleet. A router of a release without gossip ignores it and sends
+    /// heartbeats, and so receives heartbeats instead.
     Gossip(Gossip),
-    /// Sent to ask for all members; likewise.
+    /// Sent by a router to request a peer's member list; contains the requesting router's address for peers.
     #[serde(rename = "AskMembers")]
     MembersRequest(SocketAddr),
-    /// Sent in answer to that, likewise.
+    /// Sent in reply to a request for the member list, to report leaving and dead routers at once, and to a router that
+    /// is recorded as dead.
     Members(Members),
-    /// Sent by watchers of the store in a large fleet, and passed on; likewise.
+    /// Sent in a large fleet by a watcher that read changes from the store, and forwarded by their recipients.
     UpstreamUpdate(UpstreamUpdate),
-    /// Sent to all when an upstream names a limit or none any more, and again for a while; likewise.
+    /// Sent to all peers when an upstream advertises a rate limit or stops to, and to random peers for 3 s after.
     #[serde(rename = "Limits")]
     LimitReports(LimitReports),
-    /// Sent to the router that hands out permits for an upstream; likewise: another one is asked then.
+    /// Sent to the limiter of an upstream. A router of a release without permits does not reply, and another router is
+    /// asked instead.
     #[serde(rename = "LimitAsk")]
     LimiterRequest(LimiterRequest),
-    /// Sent in answer to that.
+    /// Sent in reply to a permit request.
     #[serde(rename = "LimitReply")]
     LimiterReply(LimiterReply),
 }
 
 impl PeerMessage {
-    /// What it says, in a word.
+    /// The message's kind as a label of metrics. Messages that serve the same purpose share a kind.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Heartbeat(_) => "heartbeat",
@@ -296,27 +311,27 @@
     }
 }
 
-/// The reply to a fetch of upstreams.
+/// The reply to a fetch of upstreams, which a router sends over HTTP.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamsReply {
-    /// The whole list.
+    /// The whole list, for a peer that has none, or whose revision is too old to send the changes since.
     List {
-        /// All upstreams that are listed.
+        /// All upstreams on the list.
         upstreams: Vec<Upstream>,
         /// The revision of the list.
         revision: u64,
-        /// The orders of roll-outs, so that whoever learns of a new version's upstreams learns
-        /// of its order. Written only to a peer that asks for starts, and only if there are any.
+        /// The orders of roll-outs, so that a peer that receives upstreams with a new version also has the order.
+        /// Encoded only for a peer that accepts start times, and only if this router has received an order.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         rollouts: Vec<RolloutView>,
     },
-    /// The changes since the revision that was asked for.
+    /// The changes since the revision in the peer's request.
     Changes {
         /// The changes, in order.
         changes: Vec<UpstreamChange>,
-        /// The revision that they lead to.
+        /// The revision of the list after these changes.
         revision: u64,
-        /// Roll-outs that are under way.
+        /// The orders of roll-outs, as in a whole list.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         rollouts: Vec<RolloutView>,
     },
--- a/crates/router/cloverpier_router/src/peer_messages/codec.rs
+++ b/crates/router/cloverpier_router/src/peer_messages/codec.rs
@@ -1,6 +1,6 @@
-//! Writes and reads messages between routers, and compresses the longer ones.
+//! Encoding, decoding and compression of messages between routers.
 //!
-//! Knows no message. Owns the bound on what is decompressed.
+//! Works with any serializable type. Owns the bound on the size of a decompressed message.
 
 use bytes::Bytes;
 use flate2::Compression;
@@ -11,28 +11,28 @@
 use snafu::{ResultExt, Snafu};
 use std::io::{self, Read, Write};
 
-/// A message could not be written or read.
+/// The encoding, decoding, compression or decompression of a message failed.
 #[derive(Debug, Snafu)]
 pub enum CodecError {
-    /// A message could not be written.
+    /// The value can't be encoded as `MessagePack`.
     #[snafu(display("cannot encode a peer message: {source}"))]
     Encode {
         /// The codec's error.
         source: rmp_serde::encode::Error,
     },
-    /// Bytes are no message, or one of another release.
+    /// The bytes are not a message, or are a message that this release does not define.
     #[snafu(display("cannot decode a peer message: {source}"))]
     Decode {
         /// The codec's error.
         source: rmp_serde::decode::Error,
     },
-    /// A message could not be compressed.
+    /// The compressor failed.
     #[snafu(display("cannot compress a peer message: {source}"))]
     Compress {
         /// The codec's error.
         source: io::Error,
     },
-    /// Bytes are not compressed, torn, or too many.
+    /// The bytes are not `gzip`, are incomplete, or decompress to more than 16 MiB.
     #[snafu(display("cannot decompress a peer message: {source}"))]
     Decompress {
         /// The codec's error.
@@ -40,35 +40,35 @@
     },
 }
 
-/// Bytes of the longest message that is decompressed: 15 times a plain copy of 14,000 routes
-/// (1,078,022 bytes).
-const MAX_DECOMPRESSED: u64 = 16 * 1024 * 1024;
+/// Maximum size of a decompressed message, so that a broken copy can't exhaust the memory. It is 15 times the
+/// uncompressed copy of a configuration with 14,000 routes (1,078,022 bytes).
+const MAX_DECOMPRESSED_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Writes a message.
+/// Encodes a message as `MessagePack` without field names.
 ///
 /// # Errors
 ///
-/// [`CodecError::Encode`].
+/// [`CodecError::Encode`] if the value can't be encoded.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, CodecError> {
     rmp_serde::to_vec(message).context(EncodeSnafu)
 }
 
-/// Reads a message.
+/// Decodes a message that [`encode`] wrote.
 ///
 /// # Errors
 ///
-/// [`CodecError::Decode`] for bytes of another shape.
+/// [`CodecError::Decode`] if the bytes are not an encoded `T`.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     rmp_serde::from_slice(bytes).context(DecodeSnafu)
 }
 
-/// Compresses the bytes of a message, as `gzip`.
+/// Compresses an encoded message with `gzip` at its fastest level.
 ///
-/// It spares narrow links: a configuration becomes a sixth of its bytes.
+/// Compression saves bandwidth on slow links: it reduces a configuration to a sixth of its size.
 ///
 /// # Errors
 ///
-/// [`CodecError::Compress`].
+/// [`CodecError::Compress`] if the compressor fails.
 pub fn compress(bytes: &[u8]) -> Result<Bytes, CodecError> {
     let mut encoder = GzEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(bytes).context(CompressSnafu)?;
@@ -76,16 +76,16 @@
     Ok(compressed.into())
 }
 
-/// Reads what [`compress`] wrote.
+/// Decompresses a message that [`compress`] wrote.
 ///
 /// # Errors
 ///
-/// [`CodecError::Decompress`] for other bytes, torn ones, or ones that hold more than 16 MiB.
+/// [`CodecError::Decompress`] if the bytes are not `gzip`, are incomplete, or decompress to more than 16 MiB.
 pub fn decompress(bytes: &[u8]) -> Result<Vec<u8>, CodecError> {
     let mut message = Vec::new();
-    let mut decoder = GzDecoder::new(bytes).take(MAX_DECOMPRESSED + 1);
+    let mut decoder = GzDecoder::new(bytes).take(MAX_DECOMPRESSED_BYTES + 1);
     decoder.read_to_end(&mut message).context(DecompressSnafu)?;
-    if message.len() as u64 > MAX_DECOMPRESSED {
+    if message.len() as u64 > MAX_DECOMPRESSED_BYTES {
         let too_long = io::Error::from(io::ErrorKind::FileTooLarge);
         return Err(too_long).context(DecompressSnafu);
     }
--- a/crates/router/cloverpier_router/src/peer_messages/large_fleet.rs
+++ b/crates/router/cloverpier_router/src/peer_messages/large_fleet.rs
@@ -1,6 +1,6 @@
-//! What routers of a large fleet send each other in place of heartbeats.
+//! Messages that routers of a large fleet send each other instead of heartbeats.
 //!
-//! As the parent module says, the order of fields is on the wire.
+//! The order of fields is part of the protocol, as for all types of [`super`].
 
 use cloverpier_router_policy::membership::MemberUpdate;
 use cloverpier_router_policy::prelude::*;
@@ -8,49 +8,52 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a router of a large fleet sends in place of heartbeats.
+/// A gossip message, which carries the sender's state and updates about other routers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gossip {
-    /// What the sender says of itself.
+    /// The state that the sender reports for itself.
     pub sender: MemberUpdate,
-    /// Whether the sender waits for a message: it probes the recipient, or has just begun.
+    /// Whether the sender requires a gossip message as a reply, because it probes the recipient or sends to it for the
+    /// first time.
     pub wants_reply: bool,
-    /// How many members the sender knows.
+    /// Number of live members in the sender's record, without the sender.
     pub members: u32,
-    /// A digest of what the sender knows of them.
+    /// Digest of the sender's record of live members; routers with the same record have the same digest.
     pub digest: u64,
-    /// Version of the configuration that the sender uses; 0 before the first.
+    /// Version of the configuration in force at the sender; 0 before the first.
     pub configuration_version: u64,
-    /// Revision of the sender's list of upstreams.
+    /// Revision of the sender's list of upstreams; 0 before the first list.
     pub upstreams_revision: u64,
-    /// What the watchers of the store said last, as far as the sender knows.
+    /// The last reports of the store's watchers that the sender has received, its own included if it is a watcher.
     pub watchers: Vec<WatcherReport>,
-    /// Upstreams that the sender suspects to be dead.
+    /// Upstreams that the sender suspects to be dead, at most 16.
     pub suspects: Vec<UpstreamKey>,
-    /// The sender's use of each service's retry budget.
+    /// The requests and retries that the sender counts against each service's retry budget.
     pub budget_use: Vec<(ServiceKey, BudgetUse)>,
-    /// What is new of other routers.
+    /// Recent updates about other routers. A reply may also contain a sample of members without an update.
     pub updates: Vec<MemberUpdate>,
 }
 
-/// Some of the members that a router knows, for one that knows fewer.
+/// Updates about some members: a chunk of a member list, a report of leaving and dead routers, or the notice to a
+/// router that it is recorded as dead.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
     /// The sender's address for peers.
     pub sender: SocketAddr,
-    /// The members.
+    /// The updates, at most 48.
     pub members: Vec<MemberUpdate>,
 }
 
-/// Changes of upstreams, passed on from router to router.
+/// Changes of the list of upstreams, which routers forward to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamUpdate {
     /// The sender's address for peers.
     pub sender: SocketAddr,
-    /// The revision that the changes follow.
+    /// The revision of the list before these changes. A router with an older list can't apply them, and fetches all
+    /// changes that it lacks.
     pub after: u64,
-    /// The revision that they lead to.
+    /// The revision of the list after these changes.
     pub revision: u64,
-    /// The changes, in order.
+    /// The changes, in the order in which they apply.
     pub changes: Vec<UpstreamChange>,
 }
--- a/crates/router/cloverpier_router/src/peer_reports.rs
+++ b/crates/router/cloverpier_router/src/peer_reports.rs
@@ -1,8 +1,7 @@
-//! Receives peers' heartbeats and changes, and applies them.
+//! Receives peers' datagrams, dispatches them to the modules that handle them, and applies heartbeats and changes.
 //!
-//! What a report counts for, and how long, is decided in
-//! `cloverpier_router_policy::{heartbeat, suspicion}`; [`crate::heartbeats`] is the sending side.
-//! Owns no state.
+//! `cloverpier_router_policy::{heartbeat, suspicion}` decide the effect of a report and how long it is valid.
+//! [`crate::heartbeats`] sends this router's own messages. Owns no state.
 
 use crate::crashes::record;
 use crate::crashes::reports as crash_reports;
@@ -28,17 +27,17 @@
 /// Receives messages until the process ends.
 pub(crate) async fn receive_messages(router: Rc<Router>, socket: Rc<UdpSocket>) {
     let mut buf = vec![0; MAX_DATAGRAM];
-    let mut is_reported = false;
+    let mut has_logged_unreadable = false;
     loop {
         let Ok((length, sender)) = socket.recv_from(&mut buf).await else {
-            // The system reports here that a peer's port is closed; the peer's silence says so.
+            // The operating system reports closed ports of peers here; a peer's silence is detected anyway.
             continue;
         };
         match decode(&buf[..length]) {
             Ok(message) => on_message(&router, message, router.now()),
-            // Cut off, or of another release, as during an upgrade: logged once a process.
+            // Truncated, or of another release, as during an upgrade. Only the first is logged.
             Err(error) => {
-                if !std::mem::replace(&mut is_reported, true) {
+                if !std::mem::replace(&mut has_logged_unreadable, true) {
                     let name = sender.to_string();
                     log_dependency(&router.log, "peer.unreadable", &name, &error.to_string());
                 }
@@ -93,7 +92,7 @@
     on_suspects(router, &change.suspects, now);
 }
 
-/// Records upstreams that a peer suspects.
+/// Records that a peer suspects these upstreams to be dead.
 pub(crate) fn on_suspects(router: &Router, suspects: &[UpstreamKey], now: Instant) {
     for key in suspects {
         let mut table = router.upstreams.borrow_mut();
@@ -146,8 +145,8 @@
     }
 }
 
-/// Records a peer's state; the watchers are decided anew where it says something else of the
-/// store.
+/// Records a peer's heartbeat, sends the peer facts that it may have missed, and decides this router's watcher role
+/// again if the peer's store age requires that.
 fn record_entry(router: &Router, peer: SocketAddr, entry: PeerEntry, now: Instant) {
     let store_age = entry.store_age;
     let is_large = router.peers.is_large();
@@ -168,7 +167,7 @@
     }
 }
 
-/// Applies what a heartbeat reports of upstreams.
+/// Applies the load and the suspicions in a heartbeat.
 fn apply_reports(router: &Router, heartbeat: &Heartbeat, now: Instant) {
     let mut table = router.upstreams.borrow_mut();
     let load = heartbeat.load.iter().cloned().map(LoadReport::into_load);
--- a/crates/router/cloverpier_router/src/peer_serve.rs
+++ b/crates/router/cloverpier_router/src/peer_serve.rs
@@ -1,9 +1,9 @@
-//! Configuration and upstreams, handed to other routers over HTTP.
+//! The HTTP endpoints from which other routers fetch the configuration and the upstreams.
 //!
-//! Owns the words of that exchange, for [`crate::peer_fetch`] too: paths, the encoding of a
-//! copy, the time after which a refused peer asks again. Whether a copy is handed out now is
-//! decided in `cloverpier_router_policy::version_serving`; the shapes are
-//! [`crate::peer_messages`]'s.
+//! Owns the HTTP protocol between the endpoints and [`crate::peer_fetch`]: paths, media types, encodings, and the
+//! header with the time after which a refused peer sends its request again.
+//! `cloverpier_router_policy::version_serving` decides whether a copy is sent now, and [`crate::peer_messages`] defines
+//! the bodies.
 
 use crate::background::run_in_background;
 use crate::body::ReplyBody;
@@ -24,20 +24,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Paths at a peer; they are on the wire.
+/// The path of the configuration, part of the protocol between routers.
 pub(crate) const CONFIGURATION_PATH: &str = "/versions/catalog";
-/// The path of the list of upstreams.
+/// The path of the list of upstreams, part of the protocol between routers. The query `after=REVISION` requests only
+/// the changes since that revision.
 pub(crate) const UPSTREAMS_PATH: &str = "/versions/fleet";
-/// The encoding of compressed copies. A peer that asks without it gets a plain one, and one
-/// that does not know it answers with a plain one: releases before compression do both.
+/// The content encoding of compressed copies. A peer whose request does not accept it receives an uncompressed copy,
+/// and a peer may send one although the request accepts it. Releases without compression do both.
 pub(crate) const GZIP: &str = "gzip";
-/// The form of upstreams that say which version of their software they run and when they started.
-/// A peer that asks without it, of a release that cannot read it, gets the form without.
+/// The media type for upstreams with their software versions and start times. A peer whose request does not accept it
+/// is of a release that can't decode these fields, and receives upstreams without them.
 pub(crate) const UPSTREAMS_WITH_STARTS: &str = "application/msgpack;starts=1";
-/// When a refused peer asks again if the answer does not say.
+/// When a refused peer sends its request again if the refusal contains no readable time.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Hands versions to peers.
+/// Serves a peer's request for the configuration or the upstreams. The status is 404 if this router has received none
+/// yet, if the path is unknown, or if the reply can't be encoded.
 pub(crate) async fn serve_version(router: Rc<Router>, request: Request<Incoming>) -> Reply {
     let served = match request.uri().path() {
         CONFIGURATION_PATH => configuration_reply(&router, request.headers()).await,
@@ -54,7 +56,8 @@
         .unwrap_or_else(|| own_reply(StatusCode::NOT_FOUND, "no such version"))
 }
 
-/// A copy of the configuration, or when to ask again; `None` before the first one is known.
+/// The response with a copy of the configuration, or a refusal with the time after which the peer should send its
+/// request again. `None` if this router has no configuration yet.
 async fn configuration_reply(
     router: &Router,
     headers: &HeaderMap,
@@ -78,7 +81,8 @@
     Ok(Some(reply))
 }
 
-/// Changes of upstreams, or a copy of the whole list, or when to ask again for one.
+/// The response with changes of upstreams or with the whole list, or a refusal with the time after which the peer
+/// should send its request again. A few changes are sent at once, without compression and pacing.
 async fn upstreams_reply(
     router: &Router,
     request: &Request<Incoming>,
@@ -106,7 +110,7 @@
     Ok(reply)
 }
 
-/// Writes a reply in an encoding, beside the thread that serves where it is long.
+/// Encodes a reply, on a background thread if it is long.
 async fn write_reply(reply: UpstreamsReply, encoding: CopyEncoding) -> Result<Bytes, CodecError> {
     let entries = match &reply {
         UpstreamsReply::List { upstreams, .. } => upstreams.len(),
@@ -122,7 +126,7 @@
     run_in_background(entries * ESTIMATED_UPSTREAM_BYTES, write).await
 }
 
-/// The whole list in the bytes in which peers get it: written once for all that ask about the same time.
+/// The encoded list of upstreams. All peers that request it within a second receive the same copy.
 async fn list_copy(
     router: &Router,
     form: UpstreamsForm,
@@ -138,7 +142,8 @@
     Ok(bytes)
 }
 
-/// The refusal of a copy that would come before the link has carried the others.
+/// The refusal of a copy of this many bytes if the link is still busy with earlier copies; `None` if the copy may be
+/// sent, which is then recorded.
 fn pacing_refusal(router: &Router, bytes: usize) -> Option<Reply> {
     let link = LinkRate::from_mbps(router.settings().link_mbps);
     let mut pacing = router.copy_pacing.borrow_mut();
@@ -162,7 +167,7 @@
     Response::new(ReplyBody::whole(bytes))
 }
 
-/// The encoding in which a peer may be answered.
+/// The encoding of the response to a peer, as the headers of its request allow.
 fn accepted_encoding(headers: &HeaderMap) -> CopyEncoding {
     match headers.get(ACCEPT_ENCODING) {
         Some(accepted) if accepted == GZIP => CopyEncoding::Compressed,
@@ -170,7 +175,7 @@
     }
 }
 
-/// The encoding of a peer's answer.
+/// The encoding of a peer's response, by its headers.
 pub(crate) fn encoding_of(headers: &HeaderMap) -> CopyEncoding {
     match headers.get(CONTENT_ENCODING) {
         Some(encoding) if encoding == GZIP => CopyEncoding::Compressed,
@@ -178,34 +183,38 @@
     }
 }
 
-/// When a refused peer is to ask again.
+/// The time after which a refused peer should send its request again, by the headers of the refusal.
 pub(crate) fn retry_delay(headers: &HeaderMap) -> Duration {
-    // A peer that does not say when, or says something unreadable, is asked again after a while.
+    // A missing or unreadable time is no error.
     read_seconds(headers.get(RETRY_AFTER)).unwrap_or(DEFAULT_RETRY_DELAY)
 }
 
-/// A header in seconds; `None` where it is missing or no time.
+/// Reads a header that contains a decimal number of seconds; `None` if it is missing or not such a number.
 fn read_seconds(header: Option<&HeaderValue>) -> Option<Duration> {
-    // Its writer is a router, so nothing but a time is expected here.
+    // Only routers write this header, so an HTTP date, which `Retry-After` also allows, is not expected.
     let seconds = header?.to_str().ok()?.parse().ok()?;
     Duration::try_from_secs_f64(seconds).ok()
 }
 
-/// The revision after which changes are asked for; without a readable one, the whole list is.
+/// The revision after which a peer requests changes; `None` if it requests the whole list or the revision is
+/// unreadable.
 fn requested_after(request: &Request<Incoming>) -> Option<u64> {
     let query = request.uri().query()?;
     query.strip_prefix("after=")?.parse().ok()
 }
 
-/// Bytes that an upstream takes in a copy of the list, about.
+/// Approximate size in bytes of an upstream in a copy of the list, which decides whether a reply is encoded on a
+/// background thread.
 const ESTIMATED_UPSTREAM_BYTES: usize = 100;
-/// So many changes are as quickly sent as they are compressed.
+/// Maximum number of changes that are sent without compression and pacing. Compressing so few takes as long as sending
+/// them.
 const MAX_UNPACED_CHANGES: usize = 20;
 
-/// How upstreams are written for a peer.
+/// Whether upstreams are encoded with software versions and start times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum UpstreamsForm {
     WithStarts,
+    /// For peers of releases that can't decode these fields; also without orders of roll-outs.
     WithoutStarts,
 }
 
--- a/crates/router/cloverpier_router/src/peers.rs
+++ b/crates/router/cloverpier_router/src/peers.rs
@@ -1,11 +1,12 @@
-//! What this router knows of its peers.
+//! This router's record of its peers, the other routers.
 //!
-//! Owns the table of peers, the members of a large fleet, and the signals that a peer has a newer
-//! version; [`Outbox`] has what they are sent next. [`crate::heartbeats`] and [`crate::gossip`] send
-//! and receive; who is sent what is decided in `cloverpier_router_policy::{heartbeat, membership}`.
+//! [`Peers`] owns the table of peers, the members of a large fleet, the reports of the store's watchers, and the
+//! signals that a peer has a newer version; its [`Outbox`] owns the queued messages. [`crate::heartbeats`],
+//! [`crate::gossip`] and [`crate::peer_reports`] send and receive. `cloverpier_router_policy::{heartbeat, membership}`
+//! decide which peers are sent which messages.
 //!
-//! In a small fleet each peer is alive for as long as its heartbeats come; in a large one, members are
-//! alive until somebody's probe says otherwise.
+//! In a small fleet, a peer counts as alive for a timeout after its last heartbeat. In a large one, a member counts as
+//! alive until a router reports that the member did not reply to probes.
 
 use crate::outbox::{Outbox, Recipients};
 use crate::peer_messages::PeerMessage;
@@ -25,48 +26,55 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// What single routers of a large fleet said of themselves counts for this long: their use of the retry
-/// budget, whose window it mostly is, their versions, how many members they know.
+/// How long a large fleet's routers' reports about themselves are valid: their use of retry budgets, their versions,
+/// their number of members, and that they send heartbeats. It usually equals the window of retry budgets.
 const LARGE_FLEET_REPORT_TTL: Duration = Duration::from_secs(10);
 
-/// What decides who may hand out permits in a large fleet.
+/// The inputs to the limiter map of a large fleet. While they are unchanged, the map is, too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct LimiterInputs {
+    /// Digest of the recorded live members and their states.
     digest: u64,
+    /// Number of members recorded as dead.
     lost: usize,
+    /// Whether this router receives no messages.
     is_isolated: bool,
+    /// Whether this router is ready.
     serves: bool,
 }
 
-/// The peers, what is known of them, and what waits to be sent.
+/// The recorded state of all peers, and the queue of messages for them.
 #[derive(Debug)]
 pub(crate) struct Peers {
+    /// The last heartbeat of each peer; in a large fleet, filled from gossip messages, too.
     table: RefCell<PeerTable>,
+    /// The members by gossip, which decide in a large fleet which routers are alive.
     pub(crate) members: RefCell<Membership>,
+    /// The last reports of the store's watchers, in a large fleet.
     pub(crate) watcher_reports: RefCell<WatcherReports>,
-    /// The size of the fleet as other routers said it, and when.
+    /// The largest number of members that another router reported recently, and when it did.
     reported_size: Cell<Option<(usize, Instant)>>,
-    /// Peers that send heartbeats though they know of a large fleet: those of former releases.
+    /// Peers that send heartbeats in a large fleet, because their release has no gossip, and when each last did.
     heartbeat_peers: RefCell<HashMap<SocketAddr, Instant>>,
-    /// The number of this router's last beat as a watcher.
+    /// Sequence number of this router's last report as a watcher of the store.
     last_report_number: Cell<u64>,
-    /// What the last map of a large fleet's limiters was made of.
+    /// The inputs to the last limiter map of a large fleet.
     last_limiter_inputs: Cell<Option<LimiterInputs>>,
-    /// When others were last notified at once of routers that end.
+    /// When this router last sent an urgent report of leaving and dead routers.
     departures_sent_at: Cell<Option<Instant>>,
-    /// What they are sent next.
+    /// The queue of messages to peers.
     pub(crate) outbox: Outbox,
-    /// Wakes the fetcher of configurations.
+    /// Wakes the loop that fetches configurations from peers.
     newer_configuration: Notify,
-    /// Wakes the fetcher of upstreams.
+    /// Wakes the loop that fetches upstreams from peers.
     newer_upstreams: Notify,
 }
 
 impl Peers {
-    /// A router that knows no peer yet.
+    /// Creates the record of a router that has no peers yet. `own` is the state that the router reports for itself.
     pub fn new(own: MemberUpdate) -> Self {
         Self {
-            // Greater than those of former runs, as stamps are.
+            // The stamp is the time of day, so these numbers exceed those of earlier processes at this address.
             last_report_number: Cell::new(own.stamp),
             departures_sent_at: Cell::default(),
             last_limiter_inputs: Cell::default(),
@@ -81,24 +89,25 @@
         }
     }
 
-    /// Whether the fleet is too large for heartbeats to all.
+    /// Whether the fleet is too large for heartbeats to all peers, and uses gossip instead: more than 96 peers.
     pub fn is_large(&self) -> bool {
         !is_small_fleet(self.count())
     }
 
-    /// Whether any peer has sent something since the start.
+    /// Whether a member is recorded that is not dead. After a start, that is so from the first message of a peer on.
     pub fn has_live_members(&self) -> bool {
         self.members.borrow().count() > 0
     }
 
-    /// How many peers there are.
+    /// Number of peers: the highest of the recorded members, the table's peers, and the number that other routers
+    /// reported within 10 s.
     pub fn count(&self) -> usize {
         let heard = self.reported_size.get().map_or(0, |(size, _)| size);
         let known = self.members.borrow().count();
         known.max(self.table.borrow().count()).max(heard)
     }
 
-    /// Records how many members another router knows.
+    /// Records the number of members that another router reported, unless a higher one is recorded.
     pub fn on_reported_size(&self, size: usize, now: Instant) {
         let is_higher = self
             .reported_size
@@ -109,14 +118,15 @@
         }
     }
 
-    /// The number of this router's next beat as a watcher.
+    /// Increments and returns the sequence number for this router's reports as a watcher.
     pub fn next_report_number(&self) -> u64 {
         let next = self.last_report_number.get() + 1;
         self.last_report_number.set(next);
         next
     }
 
-    /// Whether others are notified now of routers that end; it counts as done then.
+    /// Whether to send an urgent report of leaving and dead routers now. If so, records `now` as the time of the report;
+    /// two reports are at least 100 ms apart.
     pub fn start_departure_report(&self, now: Instant) -> bool {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < DEPARTURE_REPORT_INTERVAL;
         if !self.members.borrow().has_departures()
@@ -128,22 +138,23 @@
         true
     }
 
-    /// Records a peer that sends heartbeats to a router of a large fleet.
+    /// Records that a peer sent a heartbeat in a large fleet, so that it receives heartbeats, too.
     pub fn add_heartbeat_peer(&self, peer: SocketAddr, now: Instant) {
         self.heartbeat_peers.borrow_mut().insert(peer, now);
     }
 
-    /// Records a peer that takes part in gossip.
+    /// Records that a peer sent gossip, so that it receives gossip instead of heartbeats.
     pub fn remove_heartbeat_peer(&self, peer: SocketAddr) {
         self.heartbeat_peers.borrow_mut().remove(&peer);
     }
 
-    /// The peers that are to be sent heartbeats in a large fleet.
+    /// The peers that receive heartbeats in a large fleet, because their release has no gossip.
     pub fn heartbeat_peers(&self) -> Vec<SocketAddr> {
         self.heartbeat_peers.borrow().keys().copied().collect()
     }
 
-    /// Records a heartbeat; returns the one before.
+    /// Records a peer's heartbeat and returns the peer's previous one. In a small fleet, a new peer is sent a first
+    /// heartbeat.
     pub fn on_heartbeat(&self, peer: SocketAddr, entry: PeerEntry) -> Option<PeerEntry> {
         let is_new = !self.table.borrow().contains(peer);
         if is_new && !self.is_large() {
@@ -152,7 +163,7 @@
         self.table.borrow_mut().on_heartbeat(peer, entry)
     }
 
-    /// Records the seeds of the settings; those that are not known are greeted.
+    /// Records the seeds from the settings. Seeds without a record so far are sent a first heartbeat.
     pub fn on_seeds(&self, seeds: impl IntoIterator<Item = SocketAddr>, now: Instant) {
         for seed in seeds {
             if self.record_mentioned(seed, now) {
@@ -161,7 +172,8 @@
         }
     }
 
-    /// Records peers that a peer mentioned.
+    /// Records peers that another peer's heartbeat named, and sends new ones a first heartbeat. Does nothing in a large
+    /// fleet.
     pub fn on_mentioned(&self, peers: impl IntoIterator<Item = SocketAddr>, now: Instant) {
         for peer in peers {
             if contacts_mentioned_peers(self.count()) && self.record_mentioned(peer, now) {
@@ -170,13 +182,13 @@
         }
     }
 
-    /// Records a peer that was mentioned; returns whether it was not known.
+    /// Records a peer that was named by the settings or by another peer; returns whether it had no record so far.
     fn record_mentioned(&self, peer: SocketAddr, now: Instant) -> bool {
         let is_new = self.table.borrow_mut().on_mentioned(peer, now);
         is_new && !self.members.borrow().contains(peer)
     }
 
-    /// Forgets peers that were silent for long.
+    /// Removes peers and members that have been silent or dead for a minute, and expired reports.
     pub fn remove_expired(&self, now: Instant) {
         self.table.borrow_mut().remove_expired(now);
         self.members.borrow_mut().remove_expired(now);
@@ -189,7 +201,7 @@
         self.reported_size.set(heard);
     }
 
-    /// The addresses of all peers, alive or not.
+    /// The addresses of all recorded peers, dead ones included.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         if self.is_large() {
             return self.members.borrow().addresses();
@@ -197,7 +209,8 @@
         self.table.borrow().addresses()
     }
 
-    /// The live peers that are ready, and what they say of the store.
+    /// The live and ready peers, with the age of each one's last successful call to the store. `timeout` is the silence
+    /// after which a peer of a small fleet no longer counts as alive.
     pub fn ready(&self, now: Instant, timeout: Duration) -> Vec<ReadyPeer> {
         if self.is_large() {
             return self.ready_members(now);
@@ -209,7 +222,7 @@
         let ready = ready.map(|(peer, entry)| ReadyPeer {
             peer: *peer,
             data_centre: entry.data_centre.clone(),
-            // The age has grown since the heartbeat.
+            // The heartbeat contains the age at the time of its sending.
             store_age: entry
                 .store_age
                 .map(|age| age + now.saturating_duration_since(entry.last_heartbeat)),
@@ -229,7 +242,7 @@
         ready.collect()
     }
 
-    /// The addresses of live peers.
+    /// The addresses of live peers. `timeout` applies in a small fleet, as in [`Peers::ready`].
     pub fn live(&self, now: Instant, timeout: Duration) -> Vec<SocketAddr> {
         if self.is_large() {
             let members = self.members.borrow();
@@ -240,8 +253,8 @@
         live.map(|(peer, _)| *peer).collect()
     }
 
-    /// The routers that live and serve, this one among them if it does, as far as permits depend on
-    /// them; `None` where they are the same as the last time in a large fleet.
+    /// The live and ready routers by which the limiter of each upstream is chosen. `own` is included if this router
+    /// `serves`, that is, if it is ready. `None` in a large fleet if the map is the same as that of the last call.
     pub fn limiter_map(
         &self,
         own: RouterPlace,
@@ -271,7 +284,7 @@
         Some(LimiterMap::new(address, live.collect(), lost))
     }
 
-    /// Changes with each change of what [`Peers::limiter_map`] says in a large fleet.
+    /// The inputs to [`Peers::limiter_map`] in a large fleet, which differ whenever the map does.
     fn limiter_inputs(&self, serves: bool, now: Instant) -> LimiterInputs {
         let members = self.members.borrow();
         LimiterInputs {
@@ -282,7 +295,8 @@
         }
     }
 
-    /// The addresses that callers get.
+    /// The directory for callers: addresses of live and ready routers. `own` is this router's address for callers, or
+    /// `None` while it is not ready.
     pub fn addresses_for_callers(
         &self,
         own: Option<SocketAddr>,
@@ -299,7 +313,8 @@
         directory_addresses(own, ready, || members.last_known_ready())
     }
 
-    /// What is known of the peers' use of a service's retry budget.
+    /// The peers' use of a service's retry budget: the total of their reports in a small fleet, and an estimate from the
+    /// reports of some of them in a large one.
     pub fn budget_use(
         &self,
         service: &ServiceName,
@@ -323,7 +338,7 @@
         }
     }
 
-    /// The live peers that watch the store or try to.
+    /// The addresses of live peers that watch the store or try to.
     pub fn watchers(&self, now: Instant, timeout: Duration) -> Vec<SocketAddr> {
         if self.is_large() {
             return self.watcher_reports.borrow().watchers(now);
@@ -334,7 +349,9 @@
         watchers.map(|(peer, _)| *peer).collect()
     }
 
-    /// The live peers, and one of the versions that each of them reported.
+    /// The live peers with the version that `version` selects from each one's last report. Peers that are
+    /// recorded as dead are left out. In a large fleet, so are peers without a report within 10 s, and only those of
+    /// `own_data_centre` count as local.
     pub fn versions(
         &self,
         version: impl Fn(&PeerEntry) -> u64,
@@ -355,26 +372,26 @@
         let versions = live.map(|(peer, entry)| PeerVersion {
             peer: *peer,
             version: version(entry),
-            // In a small fleet all are as good.
+            // In a small fleet, fetches don't prefer a data centre.
             is_local: !is_large || entry.data_centre == *own_data_centre,
         });
         versions.collect()
     }
 
-    /// Has a message passed on that was new here, in a large fleet: in a small one its sender has sent
-    /// it to all.
+    /// Forwards a message that this router received for the first time. In a small fleet that is not necessary, because
+    /// the sender sent it to all peers.
     pub fn forward(&self, message: PeerMessage) {
         if self.is_large() {
             self.outbox.send(message, Recipients::ForwardTargets);
         }
     }
 
-    /// Wakes the fetcher of this kind: a peer has a newer version.
+    /// Wakes the loop that fetches this kind of data, because a peer has a newer version.
     pub fn notify_newer_version(&self, watched: Watched) {
         self.newer_version_notify(watched).notify_one();
     }
 
-    /// Waits until a peer has a newer version of this kind.
+    /// Waits until a peer reports a newer version of this kind of data.
     pub async fn wait_for_newer_version(&self, watched: Watched) {
         self.newer_version_notify(watched).notified().await;
     }
--- a/crates/router/cloverpier_router/src/probe.rs
+++ b/crates/router/cloverpier_router/src/probe.rs
@@ -192,7 +192,7 @@
     router.report_to_peers(&upstream.name);
     let renewed = router.health.renew(upstream, now);
     renewed.is_of_next_start.set(cause == DeathCause::NoProcess);
-    successors::check_for_successor(router, upstream);
+    successors::schedule_successor_checks(router, upstream);
 }
 
 /// Checks suspects for signs of life, until the process ends.
--- a/crates/router/cloverpier_router/src/statements.rs
+++ b/crates/router/cloverpier_router/src/statements.rs
@@ -1,8 +1,8 @@
-//! Applies what upstreams state about themselves in answers, of whatever kind of call.
+//! Applies the statements that upstreams make about themselves in responses to any kind of call.
 //!
-//! Modules that receive answers pass them to [`Router::apply_query_statement`] and do not depend on the effects. The
-//! platform's adapter decodes a statement; `cloverpier_router_policy::statement` decides which
-//! upstream it is about. Owns no state.
+//! Modules that receive responses pass them to [`Router::apply_query_statement`] or
+//! [`Router::apply_response_statement`], and do not depend on the effects. The platform's adapter decodes a statement,
+//! and `cloverpier_router_policy::statement` decides to which upstream it is attributed. Owns no state.
 
 use crate::decision_log::log_dependency;
 use crate::leaving_reports;
@@ -21,28 +21,29 @@
 use hyper::http::response::Parts;
 use std::time::{Duration, Instant};
 
-/// A call to an upstream.
+/// A call to an upstream, whose response contains a statement.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Call<'a> {
-    /// The upstream.
+    /// The upstream to which the call was sent.
     pub upstream: &'a Upstream,
-    /// What kind of call.
+    /// The kind of call, for log lines.
     pub via: Via<'a>,
-    /// When it was sent.
+    /// When the call was sent.
     pub sent: Instant,
 }
 
-/// What an answer to a question said.
+/// The statement in the response to a query, after it was applied.
 #[derive(Debug)]
 pub(crate) struct AppliedStatement {
-    /// The statement.
+    /// The decoded statement.
     pub statement: UpstreamStatement,
-    /// How the start that it names compares with the newest that is known.
+    /// How the start time in the response compares with the newest known start time of the sender. `Same` if the sender
+    /// is unknown.
     pub start_order: StartOrder,
 }
 
 impl Router {
-    /// Applies what the answer to a question states about its sender.
+    /// Applies the statement in the response to a probe, check or query.
     pub(crate) fn apply_query_statement(
         &self,
         call: Call<'_>,
@@ -57,8 +58,8 @@
         }
     }
 
-    /// Applies what the head of the answer to a request states about its sender, given whether the
-    /// answer counts.
+    /// Applies the statement in the head of the response to a caller's request. `verdict` is whether the response counts
+    /// as the response to this request.
     pub(crate) fn apply_response_statement(
         &self,
         call: Call<'_>,
@@ -76,7 +77,8 @@
     }
 }
 
-/// Applies a statement to the upstream that made it, given whether it ran a request.
+/// Applies a statement to its sender. `was_executed` is whether the sender executed a request, so that its response would
+/// contain a rate limit if there were one. A statement of an earlier process than the newest known one is ignored.
 fn apply_statement(
     router: &Router,
     call: Call<'_>,
@@ -106,8 +108,7 @@
     order
 }
 
-/// The upstream that made a statement; `None` where nothing can be concluded from it, as its sender is
-/// not known.
+/// The upstream that made a statement; `None` if the sender can't be determined or is not in the table of upstreams.
 fn sender_upstream(router: &Router, call: Call<'_>, sender: Sender) -> Option<Upstream> {
     match sender {
         Sender::Addressee => Some(call.upstream.clone()),
--- a/crates/router/cloverpier_router/src/store_events.rs
+++ b/crates/router/cloverpier_router/src/store_events.rs
@@ -1,8 +1,8 @@
-//! What follows from changes of the platform's store: a configuration is put in force, peers are told that
-//! calls fail, this router begins or ends to watch.
+//! The consequences of new configurations, of failed and successful calls to the store, and of changed watcher roles:
+//! data is applied, peers are notified, and changes are logged.
 //!
-//! Owns no state: [`crate::store_view`] does. Who watches is decided in
-//! `cloverpier_router_policy::store_watch`.
+//! Owns no state; [`crate::store_view`] holds it. `cloverpier_router_policy::store_watch` decides which routers watch the
+//! store.
 
 use crate::configuration_copies::ConfigurationWithCopies;
 use crate::decision_log::{VersionTaken, WatcherRoleChanged, log_dependency};
@@ -11,8 +11,8 @@
 use cloverpier_router_policy::store_watch::{OwnWatcherState, max_backoff, watcher_role};
 use std::time::{Duration, Instant};
 
-/// Puts a configuration in force if it is newer; peers are notified at once, as any router that
-/// has it can hand it on.
+/// Applies a configuration if it is newer than the one in force. Peers are notified at once, as they can fetch it from any
+/// router that has it. `from` is its source in the log line.
 pub(crate) fn apply_configuration(
     router: &Router,
     configuration: ConfigurationWithCopies,
@@ -29,6 +29,7 @@
     }
 }
 
+/// Logs that a version of the configuration or of the upstreams was applied. `from` is its source: the store or a peer.
 pub(crate) fn log_version(router: &Router, watched: Watched, version: u64, from: &str) {
     let line = VersionTaken {
         what: watched.name(),
@@ -38,7 +39,8 @@
     router.log.info("version.taken", &line);
 }
 
-/// Records that calls fail; the first failure in a row is logged and reported to peers.
+/// Records a failed call of a loop. The first of consecutive failures is logged, and peers are notified if no other call
+/// failed before.
 pub(crate) fn on_store_call_failed(router: &Router, store_loop: StoreLoop, reason: &str) {
     let was_failing = router.store.is_failing();
     if !router.store.set_failing(store_loop, true) {
@@ -47,7 +49,8 @@
     report_call_status_change(router, was_failing);
 }
 
-/// Records that calls succeed; the first success after failures is logged and reported to peers.
+/// Records a successful call of a loop. The first success after failures is logged, and peers are notified if no other
+/// call fails.
 pub(crate) fn on_store_call_succeeded(router: &Router, store_loop: StoreLoop) {
     let was_failing = router.store.is_failing();
     if router.store.set_failing(store_loop, false) {
@@ -55,28 +58,27 @@
             &router.log,
             "dependency.regained",
             store_loop.name(),
-            "it answers",
+            "the store responds",
         );
     }
     report_call_status_change(router, was_failing);
 }
 
-/// Records whether pings are answered; peers are notified of a change.
+/// Records whether the store responds to pings. Peers are notified if that changes whether any call fails.
 pub(crate) fn on_ping_result(router: &Router, is_answered: bool) {
     let was_failing = router.store.is_failing();
     router.store.set_pings_failing(!is_answered);
     report_call_status_change(router, was_failing);
 }
 
-/// Has peers notified at once that calls fail now, or succeed again.
+/// Notifies peers at once if this router watches the store and its calls have begun or stopped to fail.
 fn report_call_status_change(router: &Router, was_failing: bool) {
     if router.store.is_failing() != was_failing && router.store.role().watches() {
         router.peers.outbox.schedule_heartbeat();
     }
 }
 
-/// Decides this router's role as a watcher of the store, and logs when it begins or ends to
-/// watch.
+/// Decides this router's role as a watcher of the store again, and logs when this router starts or stops to watch.
 pub(crate) fn decide_watcher_role(router: &Router, now: Instant) {
     let peers = router.peers.ready(now, router.peer_timeout());
     let settings = router.settings();
@@ -101,7 +103,7 @@
     }
 }
 
-/// The longest pause between calls to a store that does not answer.
+/// Maximum pause between calls to a store that does not respond.
 pub(crate) fn max_store_backoff(router: &Router) -> Duration {
     max_backoff(router.store.role(), live_routers(router))
 }
--- a/crates/router/cloverpier_router/src/store_list.rs
+++ b/crates/router/cloverpier_router/src/store_list.rs
@@ -1,8 +1,8 @@
 //! Reads the whole list of upstreams from the platform's store, page by page.
 //!
-//! A page that cannot be had is asked for again: a store that turns away a part of its calls, as at a
-//! start of a whole fleet, would never give a list of many pages if each of them began it anew. Who reads,
-//! and when, is decided in [`crate::store_sync`]. Owns nothing.
+//! A read of a later page that fails because the store is unavailable is repeated for this page. A store under load, as when a whole
+//! fleet starts, rejects some of its calls; if each rejection restarted the list, a list of many pages would never be
+//! complete. [`crate::store_sync`] decides when this router reads. Owns no state.
 
 use crate::router::Router;
 use crate::source::{
@@ -10,11 +10,12 @@
 };
 use crate::store_sync::Backoff;
 
-/// Reads the list; `None` if it is not wanted any more, as a peer has handed it on.
+/// Reads the list. Returns `None` if `is_wanted` becomes false before the last page, as when a peer has delivered the
+/// list.
 ///
 /// # Errors
 ///
-/// [`SourceError`] where it has to be read from its beginning.
+/// [`SourceError`] if the first page can't be read, or if the list has to be read again from its first page.
 pub(crate) async fn read_list(
     router: &Router,
     source: &impl ConfigurationSource,
@@ -26,7 +27,7 @@
     let mut list = UpstreamList {
         upstreams: first.upstreams,
         unreadable: first.unreadable,
-        // Changes since the first page are read by the watch that follows.
+        // The watch that follows starts here, and returns all changes since the first page.
         revision: first.revision,
     };
     let mut next = first.next;
@@ -46,12 +47,12 @@
     Ok(Some(list))
 }
 
-/// Appends a page; returns where the next one begins.
+/// Appends a page; returns the position of the next one, or `None` after the last.
 fn append(
     list: &mut UpstreamList,
     page: UpstreamPage,
 ) -> Result<Option<PagePosition>, SourceError> {
-    // The store has returned in an older state.
+    // The store was restored from an older state while the list was read.
     if page.revision < list.revision {
         return Err(SourceError::HistoryLost);
     }
--- a/crates/router/cloverpier_router/src/store_sync.rs
+++ b/crates/router/cloverpier_router/src/store_sync.rs
@@ -1,12 +1,13 @@
-//! Keeps configuration and upstreams as new as the platform's store.
+//! The loops that watch the platform's store and keep this router's data up to date.
 //!
-//! Four loops: one for each thing that is watched, and one that pings the store while the
-//! watches wait. They own the revision that they have read up to. When to call, and how long
-//! to wait after a failure, is decided in `cloverpier_router_policy::{store_watch, store_ping}`.
+//! There are four loops: one each for the configuration, the upstreams and the orders of roll-outs, and one that pings
+//! the store while the watches wait for changes. Each watching loop owns the revision up to which it has read.
+//! `cloverpier_router_policy::{store_watch, store_ping, first_read}` decide when to call the store, and how long to wait
+//! after a failure.
 //!
-//! After a failed call everything is read again, not only after lost history: a store that
-//! drops its history cuts all watches a moment before, and one that was made anew in between
-//! from the former revision received nothing for 5 s, past a change and a leaving.
+//! After any failed call a loop reads all of its data again, and not only when the store reports that it has lost its
+//! history. A store that drops its history first ends all watches. A watch that is started between the two events, from
+//! the last known revision, can receive nothing for 5 s, so that a change and the shutdown of an upstream go unnoticed.
 
 use crate::configuration_copies::ConfigurationWithCopies;
 use crate::decision_log::log_dependency;
@@ -33,11 +34,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Where applied versions come from, in log lines.
+/// The source of versions that were read from the store, in log lines.
 const FROM_STORE: &str = "store";
 
-/// The pauses after failed calls.
+/// Exponential backoff of one loop's calls to the store, which also records whether the loop's calls fail.
 pub(crate) struct Backoff {
+    /// The pause after the next failed call, before randomisation.
     pause: Duration,
     store_loop: StoreLoop,
 }
@@ -57,7 +59,8 @@
         on_store_call_succeeded(router, self.store_loop);
     }
 
-    /// Records a failed call and waits before the next one.
+    /// Records a failed call. Then waits for a random time between half the pause and the whole, or until the loops are
+    /// woken, and doubles the next pause.
     pub(crate) async fn after_failure(&mut self, router: &Router, error: &SourceError) {
         router.metrics.store_calls.count("failed");
         on_store_call_failed(router, self.store_loop, &error.to_string());
@@ -65,13 +68,14 @@
         self.pause = (self.pause * 2).min(max_store_backoff(router));
         tokio::select! {
             () = router.timers.sleep(pause) => {}
-            // A ping was answered, or the role is another one.
+            // The store responded to a ping again, or this router's watcher role has changed.
             () = router.store.loops_woken() => {}
         }
     }
 }
 
-/// Waits until this router serves, knows its peers and is to call the store.
+/// Waits until this router may watch the store: it has served for long enough to have received other watchers' reports,
+/// and its role includes calls to the store.
 async fn wait_until_may_watch(router: &Router) {
     loop {
         let woken = router.store.loops_woken();
@@ -79,23 +83,24 @@
         match router.store.watches_from() {
             Some(at) if now < at => router.timers.sleep_until(at).await,
             Some(_) if may_call(router.store.role(), router.store.is_fresh(now)) => return,
-            // The role will be another one, or this router will serve.
+            // A change of the role, or the first configuration and list of upstreams, wakes the loops.
             _ => woken.await,
         }
     }
 }
 
-/// How often a router that waits for a peer looks whether it is to read by itself.
+/// Interval at which a starting router that waits for data from a peer checks whether to read from the store instead.
 const FIRST_READ_PERIOD: Duration = Duration::from_millis(5);
 
-/// Waits until a peer has handed on what is awaited, or this router is to read it.
+/// Waits until a peer has delivered the data (`has_data`), or this router should read the data from the store. `random`
+/// is [`StartupState::random`].
 async fn wait_for_first_read(router: &Router, random: f64, has_data: impl Fn(&StoreView) -> bool) {
     while !has_data(&router.store) && !is_first_read_due(router, random) {
         router.timers.sleep(FIRST_READ_PERIOD).await;
     }
 }
 
-/// Whether this router reads from the store although it has just started.
+/// Whether this router, which has no data yet, should read from the store now instead of waiting for a peer.
 fn is_first_read_due(router: &Router, random: f64) -> bool {
     let started = router.lifecycle.started();
     let starting = StartupState {
@@ -108,13 +113,13 @@
     first_read(&starting) == FirstRead::Now
 }
 
-/// Whether others begin with this router.
+/// Whether the settings name this router as a seed, or name no seeds.
 fn is_seed(router: &Router) -> bool {
     let settings = router.settings();
     settings.seeds.is_empty() || settings.seeds.contains(&settings.listen.peers)
 }
 
-/// Watches the configuration until the process ends.
+/// Reads and watches the configuration until the process ends.
 pub(crate) async fn watch_configuration(router: Rc<Router>, source: Rc<impl ConfigurationSource>) {
     let mut backoff = Backoff::new(StoreLoop::Of(Watched::Configuration));
     let mut revision: Option<u64> = None;
@@ -141,7 +146,7 @@
                     apply_from_store(&router, configuration).await;
                 }
             }
-            // The store swallowed the watch, or may have; the next one asks anew.
+            // The watch was cancelled, because the store may have dropped it. The next call starts a new one.
             Err(SourceError::GivenUp) => {}
             Err(error) => {
                 revision = None;
@@ -158,7 +163,7 @@
     }
 }
 
-/// Watches the list of upstreams until the process ends.
+/// Reads and watches the list of upstreams until the process ends.
 pub(crate) async fn watch_upstreams(router: Rc<Router>, source: Rc<impl ConfigurationSource>) {
     let mut backoff = Backoff::new(StoreLoop::Of(Watched::Upstreams));
     let mut revision: Option<u64> = None;
@@ -167,7 +172,7 @@
         wait_for_first_read(&router, random, StoreView::has_upstreams).await;
         if router.store.has_upstreams() {
             wait_until_may_watch(&router).await;
-            // Peers may have sent newer changes than the last watch returned.
+            // Peers may have delivered newer changes than the last watch.
             let known = router.upstreams.borrow().revision();
             revision = revision.map(|at| at.max(known));
         }
@@ -181,7 +186,7 @@
             },
         };
         match result {
-            // A peer has handed it on meanwhile, or is about to.
+            // The read was abandoned, as a peer has delivered the list or this router stopped watching.
             Ok(None) => {}
             Ok(Some(at)) => {
                 backoff.on_success(&router);
@@ -196,7 +201,8 @@
     }
 }
 
-/// Watches the orders of roll-outs until the process ends, where they are in force.
+/// Reads and watches the orders of roll-outs until the process ends. Returns at once if the settings don't enable
+/// roll-outs.
 pub(crate) async fn watch_rollouts(router: Rc<Router>, source: Rc<impl ConfigurationSource>) {
     let mut backoff = Backoff::new(StoreLoop::Rollouts);
     let mut revision: Option<u64> = None;
@@ -232,14 +238,15 @@
     }
 }
 
-/// Reads the whole list; returns the revision reached, or `None` if the list is not wanted any more.
+/// Reads and applies the whole list of upstreams. Returns its revision, or `None` if the read was abandoned because the
+/// list is no longer needed.
 ///
-/// The orders of roll-outs are read before, at a start: whoever learns of a new version's upstreams
-/// has to know that few requests may go there.
+/// After the start, the orders of roll-outs are read first, because a router that has a new version's upstreams must
+/// already limit the requests that go there.
 ///
-/// A list that may be old costs a tenth and does for a router that has just started, as peers and
-/// the watch supply later changes.  After a failed call the list replaces a watch that may have
-/// missed changes, so it has to be new.
+/// After the start, the list may be out of date: such a read costs a tenth of an up-to-date one, and peers and the watch
+/// deliver later changes. After a failed call the list replaces a watch that may have missed changes, so the list must be
+/// up to date.
 async fn read_upstreams(
     router: &Router,
     source: &impl ConfigurationSource,
@@ -264,7 +271,7 @@
         return Ok(None);
     };
     if is_startup && has_several_versions(&list.upstreams) {
-        // The order may be younger than what was read of it.
+        // The orders that were read may be out of date and lack the one in progress.
         read_orders(router, source, Freshness::Newest).await?;
     }
     let revision = list.revision;
@@ -272,7 +279,7 @@
     Ok(Some(revision))
 }
 
-/// Whether upstreams of one service run several versions, as during a roll-out.
+/// Whether upstreams of one service have different software versions, as during a roll-out.
 fn has_several_versions(upstreams: &[Upstream]) -> bool {
     let mut first = HashMap::new();
     upstreams.iter().any(|upstream| {
@@ -281,7 +288,7 @@
     })
 }
 
-/// Applies what a watch returned; gives the revision reached.
+/// Applies the changes that a watch returned, and sends them to peers; returns their revision.
 fn apply_changes(router: &Router, changes: UpstreamChanges) -> u64 {
     let revision = changes.revision;
     let count = changes.changes.len();
@@ -290,7 +297,7 @@
         let known = router.upstreams.borrow().revision();
         let readable = readable_changes(&changes);
         apply_upstream_changes(router, changes, &from);
-        // The others learn it from this router.
+        // If peers can't be sent the changes, they are notified of the revision and fetch the changes.
         if !broadcast_upstream_changes(router, known, revision, readable) {
             router.peers.outbox.schedule_heartbeat();
         }
@@ -298,12 +305,12 @@
     revision
 }
 
-/// Pings the store while watches wait, or before they begin, until the process ends.
+/// Pings the store until the process ends, while this router watches the store or is about to.
 pub(crate) async fn ping_store(router: Rc<Router>, source: Rc<impl ConfigurationSource>) {
     let mut pacing = PingPacing::default();
     let mut is_unresponsive = false;
     loop {
-        // Before it serves, a router's first reads show whether the store answers.
+        // Until a router serves, its first reads show whether the store responds.
         while !router.store.is_serving() && !is_seed(&router) {
             router.store.loops_woken().await;
         }
@@ -329,7 +336,8 @@
     }
 }
 
-/// Pings the store once; peers learn of a suspicion before the ping is over.
+/// Pings the store once. Without a response within 150 ms, peers are notified that pings fail, before the ping's timeout
+/// of 500 ms.
 async fn ping(router: &Router, source: &impl ConfigurationSource) -> Result<(), SourceError> {
     let mut ping = pin!(source.ping(PING_TIMEOUT));
     if let Ok(result) = router
@@ -354,7 +362,7 @@
 fn on_ping_answered(router: &Router, is_unresponsive: &mut bool) {
     router.metrics.store_calls.count("ping-answered");
     if std::mem::take(is_unresponsive) {
-        // A store that was silent may have swallowed the watches, too.
+        // A store that did not respond may also have dropped the pending watches.
         router.store.restart_watches();
     }
     let was_fresh = router.store.is_fresh(router.now());
--- a/crates/router/cloverpier_router/src/store_view.rs
+++ b/crates/router/cloverpier_router/src/store_view.rs
@@ -1,9 +1,9 @@
-//! What this router has from the platform's store, and how its calls there go.
+//! The data that this router has from the platform's store, and the state of its calls to the store.
 //!
-//! Owns the configuration in force, whether a list of upstreams was learned since the
-//! start, this router's role as a watcher of the store, and whether calls fail at present.
-//! A configuration is replaced by a newer version only. What follows from a change is in
-//! [`crate::store_events`], the loops that call the store in [`crate::store_sync`].
+//! [`StoreView`] owns the configuration in force, whether a list of upstreams has been received since the start, this
+//! router's role as a watcher of the store, and whether its calls fail at present. Only a newer version replaces the
+//! configuration. [`crate::store_events`] carries out the consequences of changes, and [`crate::store_sync`] runs the
+//! loops that call the store.
 
 use crate::configuration_copies::ConfigurationWithCopies;
 use cloverpier_router_policy::prelude::*;
@@ -14,7 +14,7 @@
 use std::time::Instant;
 use tokio::sync::Notify;
 
-/// Something that is read from the store and watched there.
+/// A kind of data that routers read from the store, watch there, and fetch from each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Watched {
     /// The configuration.
@@ -24,7 +24,7 @@
 }
 
 impl Watched {
-    /// Its name in log lines.
+    /// The name of the data in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::Configuration => "configuration",
@@ -33,17 +33,17 @@
     }
 }
 
-/// A loop that reads and watches the store.
+/// One of the loops that read and watch the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StoreLoop {
-    /// Of something that peers hand on, too.
+    /// The loop for data that routers also fetch from each other.
     Of(Watched),
-    /// Of the orders of roll-outs, which routers send each other.
+    /// The loop for orders of roll-outs, which routers send each other in datagrams.
     Rollouts,
 }
 
 impl StoreLoop {
-    /// What it watches, in log lines.
+    /// The name of the watched data in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::Of(watched) => watched.name(),
@@ -52,25 +52,30 @@
     }
 }
 
-/// What is known from the store.
+/// The data from the store, and the state of the calls to it.
 #[derive(Debug)]
 pub(crate) struct StoreView {
+    /// The configuration in force; `None` before the first.
     configuration: RefCell<Option<Rc<ConfigurationWithCopies>>>,
-    /// Whether the list of upstreams was learned since the start.
+    /// Whether a list of upstreams has been received since the start.
     has_upstreams: Cell<bool>,
-    /// Since when requests can be served.
+    /// When this router first had both a configuration and a list of upstreams; `None` before.
     serving_since: Cell<Option<Instant>>,
     role: Cell<WatcherRole>,
+    /// When a call to the store last succeeded; `None` before the first.
     last_success: Cell<Option<Instant>>,
+    /// Whether the last call of the loop for the configuration failed; the next two are the same for the other loops.
     configuration_fails: Cell<bool>,
     upstreams_fail: Cell<bool>,
     rollouts_fail: Cell<bool>,
     pings_fail: Cell<bool>,
-    /// Ends watches that a silent store may have swallowed.
+    /// Cancels pending watches, which a store that did not respond may have dropped.
     watch_restart: Notify,
-    /// Wakes the loops that call the store: the role has changed, or a call succeeded again.
+    /// Wakes the loops that call the store when the role has changed, when this router starts to serve, or when the
+    /// store responds again.
     loop_wake: Notify,
-    /// Wakes requests that are held: this router serves, or calls to the store fail.
+    /// Wakes the requests that are held during the start, when this router starts to serve or a loop's calls begin to
+    /// fail.
     held_requests_woken: Notify,
 }
 
@@ -80,7 +85,7 @@
             configuration: RefCell::new(None),
             has_upstreams: Cell::new(false),
             serving_since: Cell::new(None),
-            // A router that knows no peer watches itself.
+            // A router without peers watches the store itself.
             role: Cell::new(WatcherRole::Chosen),
             last_success: Cell::new(None),
             configuration_fails: Cell::new(false),
@@ -95,7 +100,7 @@
 }
 
 impl StoreView {
-    /// The configuration in force, once one was learned.
+    /// The configuration in force; `None` before the first.
     pub fn configuration(&self) -> Option<Arc<ConfigurationIndex>> {
         let configuration = self.configuration.borrow();
         configuration
@@ -103,7 +108,7 @@
             .map(|entry| Arc::clone(entry.index()))
     }
 
-    /// The configuration in force with its copies for peers, once one was learned.
+    /// The configuration in force with its encoded copies for peers; `None` before the first.
     pub fn configuration_with_copies(&self) -> Option<Rc<ConfigurationWithCopies>> {
         self.configuration.borrow().clone()
     }
@@ -116,28 +121,29 @@
             .map_or(0, |entry| entry.index().version())
     }
 
-    /// Whether a list of upstreams was learned since the start.
+    /// Whether a list of upstreams has been received since the start.
     pub fn has_upstreams(&self) -> bool {
         self.has_upstreams.get()
     }
 
-    /// Whether requests can be served.
+    /// Whether this router has a configuration and a list of upstreams, and so can serve requests.
     pub fn is_serving(&self) -> bool {
         self.has_upstreams() && self.configuration.borrow().is_some()
     }
 
-    /// When this router may begin to watch; `None` before it serves.
+    /// When this router may begin to watch the store; `None` before it serves.
     pub fn watches_from(&self) -> Option<Instant> {
         self.serving_since.get().map(watches_from)
     }
 
-    /// Records that a list of upstreams was learned.
+    /// Records that a list of upstreams was received, from the store or a peer.
     pub fn on_upstreams_received(&self, now: Instant) {
         self.has_upstreams.set(true);
         self.on_data_received(now);
     }
 
-    /// Records that configuration or upstreams were learned.
+    /// Records the start of serving, once configuration and upstreams have both been received, and wakes what waits for
+    /// it.
     pub fn on_data_received(&self, now: Instant) {
         if self.is_serving() && self.serving_since.get().is_none() {
             self.serving_since.set(Some(now));
@@ -146,7 +152,7 @@
         }
     }
 
-    /// Waits until this router serves or calls to the store fail.
+    /// Waits until this router starts to serve or a loop's calls to the store begin to fail.
     pub async fn held_requests_woken(&self) {
         self.held_requests_woken.notified().await;
     }
@@ -156,7 +162,7 @@
         self.role.get()
     }
 
-    /// When a call to the store last succeeded.
+    /// When a call to the store last succeeded; `None` before the first.
     pub fn last_success(&self) -> Option<Instant> {
         self.last_success.get()
     }
@@ -171,7 +177,7 @@
         watches.iter().any(|fails| fails.get()) || self.pings_fail.get()
     }
 
-    /// Whether the store was reached just now, and no call fails.
+    /// Whether a recent call to the store succeeded and none fails at present.
     pub fn is_fresh(&self, now: Instant) -> bool {
         !self.is_failing() && self.last_success.get().is_some_and(|at| is_fresh(now, at))
     }
@@ -181,27 +187,27 @@
         self.last_success.set(Some(now));
     }
 
-    /// Has all watches made anew.
+    /// Cancels all pending watches, so that their loops start new ones.
     pub fn restart_watches(&self) {
         self.watch_restart.notify_waiters();
     }
 
-    /// Waits until watches are to be made anew.
+    /// Waits until pending watches are cancelled.
     pub async fn watches_restarted(&self) {
         self.watch_restart.notified().await;
     }
 
-    /// Has the loops that call the store decide anew.
+    /// Wakes the loops that call the store, so that they decide again whether to call it.
     pub fn wake_loops(&self) {
         self.loop_wake.notify_waiters();
     }
 
-    /// Waits until the loops that call the store are to decide anew.
+    /// Waits until the loops that call the store are woken.
     pub async fn loops_woken(&self) {
         self.loop_wake.notified().await;
     }
 
-    /// Replaces the configuration; false where the known one is as new.
+    /// Replaces the configuration; returns false, and changes nothing, if the one in force is as new.
     pub fn set_configuration(&self, configuration: ConfigurationWithCopies) -> bool {
         if self.configuration.borrow().is_some()
             && self.configuration_version() >= configuration.index().version()
@@ -212,8 +218,8 @@
         true
     }
 
-    /// Records whether the calls of a loop fail; returns whether they did before. Held requests are
-    /// woken when they begin to.
+    /// Records whether the calls of a loop fail, and returns whether they failed before. Wakes held requests when the calls
+    /// begin to fail.
     pub fn set_failing(&self, store_loop: StoreLoop, fails: bool) -> bool {
         let was_failing = self.failing_cell(store_loop).replace(fails);
         if fails && !was_failing {
@@ -227,7 +233,7 @@
         self.pings_fail.set(fails);
     }
 
-    /// Takes another role as a watcher; returns the former one.
+    /// Sets this router's role as a watcher of the store; returns the previous one.
     pub fn set_role(&self, role: WatcherRole) -> WatcherRole {
         self.role.replace(role)
     }
--- a/crates/router/cloverpier_router/src/successors.rs
+++ b/crates/router/cloverpier_router/src/successors.rs
@@ -1,9 +1,9 @@
-//! Learns which process has taken the place of a dead upstream, and notifies peers.
+//! Adds the successors of dead upstreams, and notifies peers of them.
 //!
-//! Whether it belongs to the same service is decided in
-//! `cloverpier_router_policy::successor`; this module reads its name off answers, adds it to
-//! the table of upstreams and applies what peers have found. Relies on
-//! [`crate::health`] for the former process's last sign of life.
+//! A successor is a process that responds under another name at the address of a dead upstream, its predecessor.
+//! `cloverpier_router_policy::successor` decides whether it must belong to the same service. This module adds such a
+//! process to the table of upstreams and applies the reports of peers. Relies on [`crate::health`] for the time of the
+//! predecessor's last response. Owns no state.
 
 use crate::crashes::record;
 use crate::outbox::Recipients;
@@ -15,8 +15,9 @@
 use cloverpier_router_policy::successor::{must_be_same_service, successor_deadline};
 use std::time::Instant;
 
-/// Has a dead upstream checked closely while its successor would be recognized.
-pub(crate) fn check_for_successor(router: &Router, upstream: &Upstream) {
+/// Makes the checks of a dead upstream more frequent while its successor can still be accepted. Does nothing if no
+/// response of the upstream to a request has arrived here.
+pub(crate) fn schedule_successor_checks(router: &Router, upstream: &Upstream) {
     let Some(last_response) = last_response(router, upstream, router.now()) else {
         return;
     };
@@ -25,14 +26,17 @@
     table.check_frequently_until(&upstream.name, until);
 }
 
+/// When data of a response of the upstream itself last arrived; `None` if none has.
 fn last_response(router: &Router, upstream: &Upstream, now: Instant) -> Option<Instant> {
     router.health.of(upstream, now).last_own_answer.get()
 }
 
-/// Records that a process answers at an upstream's address under another name, takes it if it
-/// must belong to the same service, and notifies peers: each of them would have to try the dead
-/// upstream to find out. With 74 routers, 540 requests met the next process in 9 s in which
-/// two data centres' engines had restarted and the store was away.
+/// Records that a process responds at an upstream's address under another name, and adds it as the successor if it must
+/// belong to the same service.
+///
+/// Peers are notified, as each of them would otherwise have to send a request to the dead upstream to detect this. Without
+/// the notice, 74 routers send 540 requests to a wrong process in 9 s, while the engines of two data centres have
+/// restarted and the store is unreachable.
 pub(crate) fn on_name_mismatch(
     router: &Router,
     predecessor: &Upstream,
@@ -45,7 +49,7 @@
     }
     let successor = successor(router, predecessor, responding_name);
     let successor =
-        successor.filter(|upstream| add(router, &predecessor.name, upstream, "answers"));
+        successor.filter(|upstream| add(router, &predecessor.name, upstream, "process responds"));
     record::on_former_start(router, predecessor);
     let is_new = router.upstreams.borrow_mut().on_replaced(&predecessor.name);
     if !is_new && successor.is_none() {
@@ -55,7 +59,7 @@
         &router.log,
         "server.replaced",
         predecessor,
-        "another answers",
+        "another process responds",
         0,
     );
     let predecessor = predecessor.name.clone();
@@ -63,7 +67,7 @@
         Some(upstream) => PeerMessage::Successor(Successor {
             sender,
             predecessor,
-            // Routers of the last release read it, too; what it runs is what the former ran.
+            // Routers of an older release can't decode the start. Others assume the predecessor's version.
             upstream: upstream.without_start(),
         }),
         None => PeerMessage::ReplacedUpstream(ReplacedUpstream {
@@ -74,7 +78,8 @@
     router.peers.outbox.send(message, Recipients::All);
 }
 
-/// The process that answers in place of an upstream, if it must belong to the same service.
+/// The assumed entry of the process that responds at the predecessor's address; `None` if it need not belong to the same
+/// service, or if its name is unknown.
 fn successor(
     router: &Router,
     predecessor: &Upstream,
@@ -91,7 +96,7 @@
     })
 }
 
-/// Takes an upstream that a peer has found.
+/// Adds a successor that a peer has reported, with the version of the predecessor if that is known here.
 pub(crate) fn on_peer_successor(router: &Router, successor: Successor) {
     let table = router.upstreams.borrow();
     let predecessor = table.get(&successor.predecessor).map(|s| &s.upstream);
@@ -100,12 +105,17 @@
         ..successor.upstream.clone()
     };
     drop(table);
-    if add(router, &successor.predecessor, &upstream, "a peer saw it") {
+    if add(
+        router,
+        &successor.predecessor,
+        &upstream,
+        "responds to a peer",
+    ) {
         router.peers.forward(PeerMessage::Successor(successor));
     }
 }
 
-/// Records that a peer has found another process at an upstream's address.
+/// Records a peer's report that another process responds at an upstream's address.
 pub(crate) fn on_peer_replaced(router: &Router, replaced: ReplacedUpstream) {
     let is_new = router
         .upstreams
@@ -119,7 +129,8 @@
     }
 }
 
-/// Adds an upstream that is not listed yet; false where that is not new.
+/// Adds a successor that is not on the platform's list yet; returns false if it was added or listed before. `how` is the
+/// evidence for the log line.
 fn add(router: &Router, predecessor: &UpstreamName, upstream: &Upstream, how: &str) -> bool {
     let mut table = router.upstreams.borrow_mut();
     let is_new = table.add_successor(predecessor, upstream.clone());
--- a/crates/router/cloverpier_router/src/upstream_log.rs
+++ b/crates/router/cloverpier_router/src/upstream_log.rs
@@ -1,5 +1,6 @@
-//! Logs changes of what this router believes of an upstream: that it is dead, that it leaves, that it
-//! wants nothing for a time. Relies on [`crate::decision_log`] for the lines. Owns nothing.
+//! Log lines for changes of an upstream's recorded state: suspected dead, replaced, leaving, or paused for a time.
+//!
+//! Relies on [`crate::decision_log`] for the fields of the lines. Owns no state.
 
 use crate::decision_log::{LeavingLearned, UpstreamBelief, WaitLearned, ms};
 use crate::via::Via;
@@ -8,7 +9,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Logs that what is believed of an upstream has changed, and why.
+/// Logs a change of an upstream's state with its reason. `silent_ms` is for how many milliseconds the upstream had been
+/// silent or suspected, or 0 where that does not apply.
 pub(crate) fn log_upstream_change(
     log: &Log,
     event: &'static str,
@@ -25,15 +27,16 @@
     log.info(event, &line);
 }
 
-/// By whom this router learned that an upstream leaves.
+/// The source of the announcement that an upstream leaves.
 pub(crate) enum LeavingSource<'a> {
-    /// By the upstream itself.
+    /// The upstream's response to this call.
     Answer(Via<'a>),
-    /// By a peer.
+    /// The report of the peer with this address.
     Peer(SocketAddr),
 }
 
-/// Logs that an upstream leaves, and by whom that is known.
+/// Logs that an upstream leaves, with the source of the announcement. `age_ms` is the time since the announcement reached
+/// the first router.
 pub(crate) fn log_leaving(log: &Log, upstream: &Upstream, source: &LeavingSource<'_>, age_ms: u64) {
     let (via, request, peer) = match source {
         LeavingSource::Answer(via) => (via.word(), via.request(), None),
@@ -50,7 +53,7 @@
     log.info("server.leaving", &line);
 }
 
-/// Logs that an upstream has begun to want nothing for a time.
+/// Logs that an upstream accepts no requests for `time`, as its response to the call `via` requires.
 pub(crate) fn log_wait_period(log: &Log, upstream: &Upstream, time: Duration, via: Via<'_>) {
     let line = WaitLearned {
         upstream: upstream.name.as_str(),
--- a/crates/router/cloverpier_router/src/upstream_updates.rs
+++ b/crates/router/cloverpier_router/src/upstream_updates.rs
@@ -1,8 +1,7 @@
-//! Puts in force what the store or a peer says of upstreams.
+//! Applies lists and changes of upstreams from the store or from peers.
 //!
-//! What a list or a change means is decided by the table of upstreams
-//! (`cloverpier_router_policy::upstream_table`); what follows for this router's connections, runs
-//! and versions is done here. Owns no state.
+//! The table of upstreams (`cloverpier_router_policy::upstream_table`) decides their effect on upstreams. This module
+//! carries out the consequences for restarted upstreams, roll-outs and the revision in force. Owns no state.
 
 use crate::decision_log::log_dependency;
 use crate::restart;
@@ -13,8 +12,8 @@
 use crate::store_view::Watched;
 use cloverpier_router_policy::prelude::*;
 
-/// Puts a whole list of upstreams in force if it is not older. An entry that cannot be read names
-/// no upstream.
+/// Applies a whole list of upstreams unless it is older than the one in force. Unreadable entries are logged and count as
+/// missing. `from` is the source of the list in the log line.
 pub(crate) fn apply_upstream_list(router: &Router, list: UpstreamList, from: &str) {
     log_unreadable(router, &list.unreadable);
     let now = router.now();
@@ -29,8 +28,8 @@
     }
 }
 
-/// The changes that can be read; an entry that cannot be read any more names no upstream, as if it were
-/// gone.
+/// The changes as the table of upstreams takes them. An entry that became unreadable counts as removed, or is left out if
+/// its name is unreadable, too.
 pub(crate) fn readable_changes(changes: &UpstreamChanges) -> Vec<UpstreamChange> {
     let readable = changes.changes.iter().filter_map(|change| match change {
         ReadChange::Readable(change) => Some(change.clone()),
@@ -39,7 +38,8 @@
     readable.collect()
 }
 
-/// Puts changes of upstreams in force if they are new; peers learn of it by the next heartbeat.
+/// Applies changes of upstreams if their revision is newer than the one in force. Does not notify peers, whom the next
+/// heartbeat informs of the revision.
 pub(crate) fn apply_upstream_changes(router: &Router, changes: UpstreamChanges, from: &str) {
     let readable = readable_changes(&changes);
     let unreadable = changes
@@ -61,7 +61,7 @@
     }
 }
 
-/// Logs entries that cannot be read, in one line whatever their number.
+/// Logs all unreadable entries in one line, with the name and reason of the first.
 fn log_unreadable(router: &Router, entries: &[UnreadableEntry]) {
     let Some(first) = entries.first() else { return };
     let name = first.name.as_ref().map_or("", |name| name.as_str());
--- a/crates/router/cloverpier_router/tests/gossip_messages.rs
+++ b/crates/router/cloverpier_router/tests/gossip_messages.rs
@@ -1,7 +1,7 @@
-//! The bytes of the messages of large fleets, and that each fits into a datagram.
+//! The encoding of messages in large fleets, and their maximum size.
 //!
-//! Each golden file must decode to the value below, and the value must encode to it: routers of other
-//! releases read these bytes.
+//! Each golden file has to decode to the value in its test, and the value has to encode to the same bytes. Otherwise
+//! routers of different releases can't decode each other's messages. The longest messages have to fit into a datagram.
 
 use cloverpier_core::DataCentre;
 use cloverpier_router::peer_messages::{
@@ -16,8 +16,8 @@
 use std::net::SocketAddr;
 
 #[track_caller]
-fn assert_is_golden(text: &str, message: &PeerMessage) {
-    let digits: String = text.split_whitespace().collect();
+fn assert_is_golden(golden_hex: &str, message: &PeerMessage) {
+    let digits: String = golden_hex.split_whitespace().collect();
     let starts = (0..digits.len()).step_by(2);
     let bytes = starts.map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap());
     let bytes: Vec<u8> = bytes.collect();
@@ -69,24 +69,24 @@
 }
 
 #[test]
-fn gossip_keeps_its_bytes() {
+fn gossip_keeps_its_encoding() {
     let message = PeerMessage::Gossip(gossip());
     assert_is_golden(include_str!("golden/gossip.hex"), &message);
 }
 
 #[test]
-fn members_and_the_question_for_them_keep_their_bytes() {
+fn members_and_their_request_keep_their_encoding() {
     let message = PeerMessage::Members(Members {
         sender: address(7104),
         members: vec![update(7304, MemberState::Dead)],
     });
     assert_is_golden(include_str!("golden/members.hex"), &message);
-    let question = PeerMessage::MembersRequest(address(7104));
-    assert_is_golden(include_str!("golden/ask_members.hex"), &question);
+    let request = PeerMessage::MembersRequest(address(7104));
+    assert_is_golden(include_str!("golden/ask_members.hex"), &request);
 }
 
 #[test]
-fn upstream_updates_keep_their_bytes() {
+fn upstream_updates_keep_their_encoding() {
     let message = PeerMessage::UpstreamUpdate(UpstreamUpdate {
         sender: address(7104),
         after: 529,
@@ -96,7 +96,7 @@
     assert_is_golden(include_str!("golden/upstream_update.hex"), &message);
 }
 
-/// An address, a data centre's name and a stamp as long as any.
+/// An update with addresses and a stamp of maximum encoded size, and with a data centre's name of 20 bytes.
 fn longest() -> MemberUpdate {
     let address: SocketAddr = "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535"
         .parse()
@@ -117,7 +117,7 @@
     let message = PeerMessage::Members(Members { sender, members });
     assert!(encode(&message).unwrap().len() <= MAX_DATAGRAM);
     let message = PeerMessage::Gossip(Gossip {
-        // A reply holds a sample besides.
+        // A reply contains a sample of members in addition to the updates.
         updates: vec![longest(); 2 * UPDATES_PER_MESSAGE],
         suspects: vec![UpstreamKey(u64::MAX); 16],
         ..gossip()
--- a/crates/router/cloverpier_router/tests/limit_messages.rs
+++ b/crates/router/cloverpier_router/tests/limit_messages.rs
@@ -1,8 +1,7 @@
-//! The bytes of the messages on limits of upstreams, and that as many reports as one message holds fit
-//! into a datagram.
+//! The encoding of messages about upstreams' rate limits and permits, and their maximum size.
 //!
-//! Each golden file must decode to the value below, and the value must encode to it: routers of other
-//! releases read these bytes.
+//! Each golden file has to decode to the value in its test, and the value has to encode to the same bytes. Otherwise
+//! routers of different releases can't decode each other's messages. The longest messages have to fit into a datagram.
 
 use cloverpier_router::peer_messages::{
     LimitReports, LimiterReply, LimiterRequest, PeerMessage, decode, encode,
@@ -15,8 +14,8 @@
 use std::time::Duration;
 
 #[track_caller]
-fn assert_is_golden(text: &str, message: &PeerMessage) {
-    let digits: String = text.split_whitespace().collect();
+fn assert_is_golden(golden_hex: &str, message: &PeerMessage) {
+    let digits: String = golden_hex.split_whitespace().collect();
     let starts = (0..digits.len()).step_by(2);
     let bytes = starts.map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap());
     let bytes: Vec<u8> = bytes.collect();
@@ -41,18 +40,18 @@
 }
 
 #[test]
-fn limits_keep_their_bytes() {
-    let news = LimitReports {
+fn limit_reports_keep_their_encoding() {
+    let reports = LimitReports {
         sender: sender(),
         limits: vec![report(21, Some(1.5)), report(22, None)],
     };
     let golden = include_str!("golden/limits.hex");
-    assert_is_golden(golden, &PeerMessage::LimitReports(news));
+    assert_is_golden(golden, &PeerMessage::LimitReports(reports));
 }
 
 #[test]
-fn asks_for_permits_keep_their_bytes() {
-    let ask = LimiterRequest {
+fn permit_requests_keep_their_encoding() {
+    let request = LimiterRequest {
         sender: sender(),
         request: PermitRequest {
             number: 77,
@@ -63,11 +62,11 @@
         },
     };
     let golden = include_str!("golden/limit_ask.hex");
-    assert_is_golden(golden, &PeerMessage::LimiterRequest(ask));
+    assert_is_golden(golden, &PeerMessage::LimiterRequest(request));
 }
 
 #[test]
-fn answers_to_asks_keep_their_bytes() {
+fn permit_replies_keep_their_encoding() {
     let reply = LimiterReply {
         sender: sender(),
         reply: PermitReply {
@@ -89,7 +88,7 @@
 }
 
 #[test]
-fn as_many_limits_as_one_message_holds_fit_into_a_datagram() {
+fn the_longest_limit_reports_fit_into_a_datagram() {
     let longest = LimitReport {
         upstream: UpstreamKey(u64::MAX),
         born_ms: Some(u64::MAX),
@@ -100,11 +99,11 @@
     let messages = in_messages(&[longest; 500]);
     assert!(messages.len() > 1);
     for limits in messages {
-        let news = LimitReports {
+        let reports = LimitReports {
             sender: ([0xffff; 8], u16::MAX).into(),
             limits,
         };
-        let bytes = encode(&PeerMessage::LimitReports(news)).unwrap();
+        let bytes = encode(&PeerMessage::LimitReports(reports)).unwrap();
         assert!(bytes.len() <= MAX_DATAGRAM, "{}", bytes.len());
     }
 }
--- a/crates/router/cloverpier_router/tests/peer_messages.rs
+++ b/crates/router/cloverpier_router/tests/peer_messages.rs
@@ -1,7 +1,7 @@
-//! Messages between routers, held against the bytes that commit 72eb395 wrote.
+//! The encoding of messages between routers in small and large fleets.
 //!
-//! Each golden file must decode to the value below, and the value must encode to
-//! the same bytes. So routers of both releases read each other.
+//! Each golden file has to decode to the value in its test, and the value has to encode to the same bytes. Otherwise
+//! routers of different releases can't decode each other's messages.
 
 use cloverpier_core::{DataCentre, ServiceName, SoftwareVersion, UpstreamName};
 use cloverpier_crashes::prelude::*;
@@ -32,8 +32,8 @@
 #[track_caller]
 fn assert_is_golden<T: Serialize + DeserializeOwned + Debug + PartialEq>(name: &str, value: &T) {
     let bytes = golden(name);
-    assert_eq!(&decode::<T>(&bytes).unwrap(), value, "{name} is read");
-    assert_eq!(encode(value).unwrap(), bytes, "{name} is written");
+    assert_eq!(&decode::<T>(&bytes).unwrap(), value, "decoding {name}");
+    assert_eq!(encode(value).unwrap(), bytes, "encoding {name}");
 }
 
 fn address(port: u16) -> SocketAddr {
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn heartbeats_keep_their_bytes() {
+fn heartbeats_keep_their_encoding() {
     let ready = heartbeat(PeerState::Ready, Some(13));
     assert_is_golden("heartbeat_ready", &ready);
     let starting = heartbeat(PeerState::Starting, None);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn changes_keep_their_bytes() {
+fn changes_keep_their_encoding() {
     let change = PeerMessage::Change(Change {
         sender: address(7104),
         load: load(),
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn successors_keep_their_bytes() {
+fn successors_keep_their_encoding() {
     let successor = PeerMessage::Successor(Successor {
         sender: address(7104),
         predecessor: UpstreamName::new("e0"),
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn replies_on_upstreams_keep_their_bytes() {
+fn upstreams_replies_keep_their_encoding() {
     let list = UpstreamsReply::List {
         upstreams: vec![upstream(1), upstream(2)],
         revision: 300,
@@ -151,7 +151,7 @@
     assert_is_golden("upstreams_changes", &changes);
 }
 
-/// What an upstream says of its start, as the release that writes it does.
+/// An entry with a software version and, if given, a start time.
 fn upstream_with_start(number: u16, start_time_ms: Option<u64>) -> Upstream {
     let version = SoftwareVersion::new("v2");
     Upstream {
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn upstreams_with_starts_have_bytes_of_their_own_and_none_without() {
+fn starts_are_encoded_only_in_the_form_with_starts() {
     let list = UpstreamsReply::List {
         upstreams: vec![
             upstream_with_start(1, Some(1_790_000_000_123)),
@@ -174,8 +174,8 @@
         rollouts: Vec::new(),
     };
     assert_is_golden("upstreams_list_with_starts", &list);
-    // What a router of the last release gets is what it has always got.
-    let without = UpstreamsReply::List {
+    // Releases that can't decode starts receive the same bytes as before the field was added.
+    let without_starts = UpstreamsReply::List {
         upstreams: vec![
             upstream_with_start(1, Some(1_790_000_000_123)).without_start(),
             upstream_with_start(2, None).without_start(),
@@ -183,7 +183,7 @@
         revision: 300,
         rollouts: Vec::new(),
     };
-    assert_is_golden("upstreams_list", &without);
+    assert_is_golden("upstreams_list", &without_starts);
 }
 
 fn rollout_view() -> RolloutView {
@@ -205,16 +205,16 @@
 }
 
 #[test]
-fn news_and_evidence_of_roll_outs_keep_their_bytes() {
+fn rollout_reports_and_evidence_keep_their_encoding() {
     let withdrawn = RolloutView {
         order: None,
         ..rollout_view()
     };
-    let news = PeerMessage::RolloutReports(RolloutReports {
+    let message = PeerMessage::RolloutReports(RolloutReports {
         sender: address(7104),
         views: vec![rollout_view(), withdrawn],
     });
-    assert_is_golden("rollouts", &news);
+    assert_is_golden("rollouts", &message);
     let mut counts = ResponseCounts {
         failed: 4,
         ..ResponseCounts::default()
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn what_is_known_of_crashing_contents_keeps_its_bytes() {
+fn crash_reports_keep_their_encoding() {
     let crash_id = |upstream, time_ms| CrashId { upstream, time_ms };
     let few = [(91, false), (92, true)];
     let crashes = vec![
@@ -271,15 +271,15 @@
         },
     ];
     let content = ContentKey::parse("0102030405060708090a0b0c0d0e0f10").unwrap();
-    let news = PeerMessage::CrashReports(CrashReports {
+    let message = PeerMessage::CrashReports(CrashReports {
         sender: address(7104),
         contents: vec![ContentReport { content, crashes }],
     });
-    assert_is_golden("crashes", &news);
+    assert_is_golden("crashes", &message);
 }
 
 #[test]
-fn leavings_keep_their_bytes() {
+fn leaving_reports_keep_their_encoding() {
     let upstreams = vec![
         LeavingReport {
             upstream: UpstreamKey(0x0102_0304_0506_0708),
@@ -292,15 +292,15 @@
             age_ms: 0,
         },
     ];
-    let news = PeerMessage::LeavingReports(LeavingReports {
+    let message = PeerMessage::LeavingReports(LeavingReports {
         sender: address(7104),
         upstreams,
     });
-    assert_is_golden("leavings", &news);
+    assert_is_golden("leavings", &message);
 }
 
 #[test]
-fn as_many_leavings_as_one_message_holds_fit_into_a_datagram() {
+fn the_longest_leaving_reports_fit_into_a_datagram() {
     let longest = LeavingReport {
         upstream: UpstreamKey(u64::MAX),
         start_time_ms: Some(u64::MAX),
@@ -382,7 +382,7 @@
 }
 
 #[test]
-fn configurations_keep_their_bytes() {
+fn configurations_keep_their_encoding() {
     let configuration = Configuration {
         version: 17,
         routes: vec![route("drafts", true), route("status", false)],
@@ -396,6 +396,6 @@
         },
     };
     assert_is_golden("configuration", &configuration);
-    let without = Configuration::default();
-    assert_is_golden("configuration_without_accounts", &without);
+    let without_accounts = Configuration::default();
+    assert_is_golden("configuration_without_accounts", &without_accounts);
 }
