--- a/crates/router/cloverpier_router/src/configuration_copies.rs
+++ b/crates/router/cloverpier_router/src/configuration_copies.rs
@@ -1,8 +1,9 @@
 //! The configuration in force, with its encoded copies for peers.
 //!
-//! [`ConfigurationWithCopies`] owns both. Each version is encoded once, for all peers that request it, or not at all if
-//! a peer sent the bytes. Encoding and decoding run on a background thread ([`crate::background`]) so that they don't
-//! delay requests. Peers whose requests don't accept compression, as those of old releases, receive an uncompressed copy.
+//! [`ConfigurationWithCopies`] owns both. Each version is encoded once, for all peers that request it, or not
+//! at all if this router received its encoded bytes from a peer. Large configurations are encoded and decoded
+//! on a background thread ([`crate::background`]), so that they don't delay requests. Peers whose requests
+//! don't accept compression, as those of old releases, receive an uncompressed copy.
 
 use crate::background::run_in_background;
 use crate::peer_messages::{CodecError, compress, decode, decompress, encode};
@@ -27,8 +28,9 @@
 #[derive(Debug)]
 pub(crate) struct ConfigurationWithCopies {
     index: Arc<ConfigurationIndex>,
-    /// The uncompressed copy, and then the compressed one; each empty until a peer sent or requested it.
+    /// The uncompressed copy; empty until a peer sent or requested it.
     plain: OnceCell<Bytes>,
+    /// The compressed copy; empty until a peer sent or requested it.
     compressed: OnceCell<Bytes>,
 }
 
@@ -49,9 +51,9 @@
     /// # Errors
     ///
     /// [`CodecError`] if the bytes are not a configuration in this encoding.
-    pub async fn read(bytes: Bytes, encoding: CopyEncoding) -> Result<Self, CodecError> {
+    pub async fn from_copy(bytes: Bytes, encoding: CopyEncoding) -> Result<Self, CodecError> {
         let copy = bytes.clone();
-        let index = run_in_background(bytes.len(), move || read_index(&copy, encoding));
+        let index = run_in_background(bytes.len(), move || decode_index(&copy, encoding));
         let index = index.await?;
         let kept = OnceCell::new_with(Some(bytes));
         let (plain, compressed) = match encoding {
@@ -83,7 +85,7 @@
         let write = || {
             let index = Arc::clone(&self.index);
             let size = estimated_bytes(index.unindexed());
-            run_in_background(size, move || write_copy(index.unindexed(), encoding))
+            run_in_background(size, move || encode_copy(index.unindexed(), encoding))
         };
         cell.get_or_try_init(write).await.cloned()
     }
@@ -94,7 +96,10 @@
     configuration.routes.len() * ESTIMATED_ROUTE_BYTES
 }
 
-fn read_index(bytes: &[u8], encoding: CopyEncoding) -> Result<Arc<ConfigurationIndex>, CodecError> {
+fn decode_index(
+    bytes: &[u8],
+    encoding: CopyEncoding,
+) -> Result<Arc<ConfigurationIndex>, CodecError> {
     let configuration: Configuration = match encoding {
         CopyEncoding::Plain => decode(bytes)?,
         CopyEncoding::Compressed => decode(&decompress(bytes)?)?,
@@ -102,7 +107,7 @@
     Ok(Arc::new(ConfigurationIndex::new(configuration)))
 }
 
-fn write_copy(configuration: &Configuration, encoding: CopyEncoding) -> Result<Bytes, CodecError> {
+fn encode_copy(configuration: &Configuration, encoding: CopyEncoding) -> Result<Bytes, CodecError> {
     let plain = encode(configuration)?;
     match encoding {
         CopyEncoding::Plain => Ok(plain.into()),
--- a/crates/router/cloverpier_router/src/datagrams.rs
+++ b/crates/router/cloverpier_router/src/datagrams.rs
@@ -1,8 +1,8 @@
 //! Immediate sending of datagrams to other routers.
 //!
-//! [`Datagrams`] owns the reference to the socket. [`crate::outbox`] holds the messages that wait for the next round of
-//! sending. Datagrams are neither acknowledged nor retransmitted here: senders of messages that must arrive repeat
-//! them, or receivers request the content again.
+//! [`Datagrams`] owns the reference to the socket. [`crate::outbox`] holds the messages that wait for the
+//! next round of sending. Datagrams are neither acknowledged nor retransmitted here: senders of messages that
+//! must arrive repeat them, or receivers request the content again.
 
 use crate::decision_log::log_dependency;
 use crate::metrics::ByKind;
@@ -42,8 +42,8 @@
         let _ = self.socket.set(socket);
     }
 
-    /// Waits until the runtime has registered the socket as writable. Datagrams sent before are dropped, and peers
-    /// would miss the first one, which reports that this router has just started.
+    /// Waits until the runtime has registered the socket as writable. Datagrams sent before are dropped, and
+    /// peers would miss the first one, which reports that this router has just started.
     pub async fn ready(&self) {
         let Some(socket) = self.socket.get() else {
             return;
--- a/crates/router/cloverpier_router/src/gossip.rs
+++ b/crates/router/cloverpier_router/src/gossip.rs
@@ -1,8 +1,8 @@
 //! Sending and receiving of gossip, which replaces heartbeats in a large fleet.
 //!
-//! `cloverpier_router_policy::{membership, watcher_reports}` decide the recipients and contents of messages, which
-//! routers are probed and which are alive. [`crate::heartbeats`] runs the loop that sends. Owns no state;
-//! [`crate::peers`] holds the members and the reports of watchers.
+//! `cloverpier_router_policy::{membership, watcher_reports}` decide the recipients and contents of messages,
+//! which routers are probed and which are alive. [`crate::heartbeats`] runs the loop that sends. Owns no
+//! state; [`crate::peers`] holds the members and the reports of watchers.
 
 use crate::crashes::reports as crash_reports;
 use crate::decision_log::log_dependency;
@@ -15,7 +15,7 @@
 use crate::router::Router;
 use crate::source::{ReadChange, UpstreamChanges};
 use crate::store_events::decide_watcher_role;
-use crate::store_view::Watched;
+use crate::store_view::WatchedData;
 use crate::upstream_updates::apply_upstream_changes;
 use cloverpier_router_policy::heartbeat::MAX_DATAGRAM;
 use cloverpier_router_policy::membership::{
@@ -27,22 +27,23 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Maximum number of suspected upstreams in one gossip message. A peer's suspicion is valid for a second only.
+/// Maximum number of suspected upstreams in one gossip message. A peer's suspicion is valid for a second
+/// only.
 const MAX_SUSPECTS: usize = 16;
-/// Maximum number of bytes that a message's envelope and its sender's address take. Routers that forward a message
-/// replace the address by their own, which may be longer.
+/// Maximum number of bytes that a message's envelope and its sender's address take. Routers that forward a
+/// message replace the address by their own, which may be longer.
 const MAX_ENVELOPE_BYTES: usize = 64;
 
-/// Does the work of one gossip interval: sends gossip, probes silent predecessors on the ring, and declares those dead
-/// that did not reply. `was_paused` is whether this process was paused before.
+/// Does the work of one gossip interval: sends gossip, probes silent predecessors on the ring, and declares
+/// those dead that did not reply. `was_paused` is whether this process was paused before.
 pub(crate) fn send_period(router: &Router, was_paused: bool, now: Instant) {
     let peers = &router.peers;
     peers.members.borrow_mut().set_own_state(router.state());
-    let step = peers
+    let check = peers
         .members
         .borrow_mut()
         .check_predecessors(was_paused, now);
-    for dead in &step.dead {
+    for dead in &check.dead {
         log_dependency(
             &router.log,
             "peer.dead",
@@ -56,18 +57,18 @@
         peers.members.borrow_mut().targets(&mut rng)
     };
     send_gossip(router, &targets, false, now);
-    if !step.probe.is_empty() {
-        send_gossip(router, &step.probe, true, now);
+    if !check.probe.is_empty() {
+        send_gossip(router, &check.probe, true, now);
     }
 }
 
 /// Sends an urgent report of leaving and dead routers.
 pub(crate) fn send_departures(router: &Router) {
     let (members, targets) = {
-        let mut known = router.peers.members.borrow_mut();
-        let ended = known.take_departures();
-        let targets = known.urgent_targets(&mut router.rng.borrow_mut());
-        (ended, targets)
+        let mut membership = router.peers.members.borrow_mut();
+        let departures = membership.take_departures();
+        let targets = membership.urgent_targets(&mut router.rng.borrow_mut());
+        (departures, targets)
     };
     let message = Members {
         sender: router.settings().listen.peers,
@@ -78,8 +79,8 @@
         .send(&PeerMessage::Members(message), &targets);
 }
 
-/// Sends gossip outside of the interval, because a version has changed or this watcher's calls to the store fail or
-/// succeed again.
+/// Sends gossip outside of the interval, because a version has changed or this watcher's calls to the store
+/// fail or succeed again.
 pub(crate) fn send_urgent(router: &Router, now: Instant) {
     record_own_report(router, now);
     let targets = {
@@ -94,7 +95,8 @@
     send_gossip(router, to, true, now);
 }
 
-/// Records this router's own report as a watcher of the store, if it is one, so that gossip messages contain it.
+/// Records this router's own report as a watcher of the store, if it is one, so that gossip messages contain
+/// it.
 fn record_own_report(router: &Router, now: Instant) {
     let Some(store_age_ms) = store_age_ms(router, now) else {
         return;
@@ -158,15 +160,17 @@
     send_reply(router, sender, reply, now);
     apply_watcher_reports(router, &gossip.watchers, now);
     if has_newer_configuration {
-        router.peers.notify_newer_version(Watched::Configuration);
+        router
+            .peers
+            .notify_newer_version(WatchedData::Configuration);
     }
     if has_newer_upstreams {
-        router.peers.notify_newer_version(Watched::Upstreams);
+        router.peers.notify_newer_version(WatchedData::Upstreams);
     }
 }
 
 fn apply_members(router: &Router, gossip: &Gossip, now: Instant) -> GossipReply {
-    let seen = ReceivedGossip {
+    let received = ReceivedGossip {
         sender: &gossip.sender,
         wants_reply: gossip.wants_reply,
         members: gossip.members as usize,
@@ -174,7 +178,7 @@
         updates: &gossip.updates,
     };
     let mut members = router.peers.members.borrow_mut();
-    let reply = members.on_gossip(seen, &mut router.rng.borrow_mut(), now);
+    let reply = members.on_gossip(received, &mut router.rng.borrow_mut(), now);
     if members.has_departures() {
         router.peers.outbox.wake();
     }
@@ -221,20 +225,20 @@
 }
 
 /// Sends the member list to a router that requested it, unless a list was sent to any router within 200 ms.
-pub(crate) fn on_members_request(router: &Router, asking: SocketAddr, now: Instant) {
+pub(crate) fn on_members_request(router: &Router, requester: SocketAddr, now: Instant) {
     let sender = router.settings().listen.peers;
-    let parts = router.peers.members.borrow_mut().on_members_request(now);
-    for members in parts {
+    let messages = router.peers.members.borrow_mut().on_members_request(now);
+    for members in messages {
         let message = PeerMessage::Members(Members { sender, members });
         router
             .peers
             .outbox
-            .send(message, Recipients::Only(vec![asking]));
+            .send(message, Recipients::Only(vec![requester]));
     }
 }
 
-/// Applies member updates: a list that this router requested, a report of leaving and dead routers, or the notice that
-/// this router is recorded as dead.
+/// Applies member updates: a list that this router requested, a report of leaving and dead routers, or the
+/// notice that this router is recorded as dead.
 pub(crate) fn on_members(router: &Router, message: Members, now: Instant) {
     let mut members = router.peers.members.borrow_mut();
     members.on_members(message.members, now);
@@ -243,16 +247,16 @@
     }
 }
 
-/// Applies reports of watchers. If one of them changes whether a watcher reaches the store, decides this router's role
-/// again and sends gossip at once.
+/// Applies reports of watchers. If one of them changes whether a watcher reaches the store, decides this
+/// router's role again and sends gossip at once.
 fn apply_watcher_reports(router: &Router, watcher_reports: &[WatcherReport], now: Instant) {
     let mut is_urgent = false;
     let peers = router.peers.count();
     for report in watcher_reports {
-        let mut known = router.peers.watcher_reports.borrow_mut();
-        let previous = known.store_age(report.router, now);
-        if known.on_report(*report, now) {
-            let present = known.store_age(report.router, now);
+        let mut recorded = router.peers.watcher_reports.borrow_mut();
+        let previous = recorded.store_age(report.router, now);
+        if recorded.on_report(*report, now) {
+            let present = recorded.store_age(report.router, now);
             is_urgent |= affects_watcher_roles(previous, present, peers);
         }
     }
@@ -263,9 +267,9 @@
     }
 }
 
-/// Queues changes that this router read from the store for all peers. Returns false without queueing them in a small
-/// fleet, if they don't fit into one datagram, or if there are orders of roll-outs: these have to arrive together with
-/// new upstreams, which only a fetch ensures.
+/// Queues changes that this router read from the store for all peers. Returns false without queueing them in
+/// a small fleet, if they don't fit into one datagram, or if there are orders of roll-outs: these have to
+/// arrive together with new upstreams, which only a fetch ensures.
 pub(crate) fn broadcast_upstream_changes(
     router: &Router,
     after: u64,
@@ -298,13 +302,13 @@
 
 /// Applies changes that a router sent or forwarded, and forwards them.
 pub(crate) fn on_upstream_update(router: &Router, update: UpstreamUpdate) {
-    let known = router.upstreams.borrow().revision();
-    if update.revision <= known || !router.store.has_upstreams() {
+    let current_revision = router.upstreams.borrow().revision();
+    if update.revision <= current_revision || !router.store.has_upstreams() {
         return;
     }
-    if update.after > known {
+    if update.after > current_revision {
         // This router lacks earlier changes, and fetches all of them.
-        router.peers.notify_newer_version(Watched::Upstreams);
+        router.peers.notify_newer_version(WatchedData::Upstreams);
         return;
     }
     let changes = UpstreamChanges {
--- a/crates/router/cloverpier_router/src/heartbeats.rs
+++ b/crates/router/cloverpier_router/src/heartbeats.rs
@@ -1,12 +1,12 @@
 //! The loop that sends this router's messages to its peers: heartbeats, changes and queued messages.
 //!
-//! Messages are datagrams; the loss of a heartbeat needs no retransmission, because the next one repeats the whole
-//! state. `cloverpier_router_policy::heartbeat` decides the recipients and the bounds on the contents, and
-//! [`crate::peer_messages`] defines the messages. In a large fleet, [`crate::gossip`] replaces heartbeats.
-//! [`crate::peer_reports`] receives peers' messages.
+//! Messages are datagrams; the loss of a heartbeat needs no retransmission, because the next one repeats the
+//! whole state. `cloverpier_router_policy::heartbeat` decides the recipients and the bounds on the contents,
+//! and [`crate::peer_messages`] defines the messages. In a large fleet, [`crate::gossip`] replaces
+//! heartbeats. [`crate::peer_reports`] receives peers' messages.
 //!
-//! Owns the times of the next heartbeat and of the next decision on watcher roles, and the rotation of heartbeats
-//! among peers.
+//! Owns the times of the next heartbeat and of the next decision on watcher roles, and the rotation of
+//! heartbeats among peers.
 
 use crate::crashes::reports as crash_reports;
 use crate::gossip;
@@ -30,8 +30,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// If a sending interval starts later than planned by more than this, the process was paused, and the silence of other
-/// routers is no evidence that they have failed.
+/// If a sending interval starts later than planned by more than this, the process was paused, and the silence
+/// of other routers is no evidence that they have failed.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(300);
 /// How long after its start a router has received most members of a large fleet.
 const MEMBER_DISCOVERY_TIME: Duration = Duration::from_secs(4);
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Does the periodic work that is due. If none is, and a version or the reported store age has changed, sends
-    /// heartbeats to some peers.
+    /// Does the periodic work that is due. If none is, and a version or the reported store age has changed,
+    /// sends heartbeats to some peers.
     fn send_due(&mut self) {
         let now = self.router.now();
         if now >= self.next_seeds {
@@ -85,7 +85,7 @@
             self.begin_period(now);
             self.next_period = now + period(&self.router);
         } else if self.router.peers.outbox.take_heartbeat_due() {
-            send_versions(&self.router, now);
+            send_early_heartbeats(&self.router, now);
         }
     }
 
@@ -149,17 +149,17 @@
     }
 }
 
-/// Decides when this router decides its role as a watcher of the store again.
+/// Limits how often this router decides its role as a watcher of the store.
 #[derive(Default)]
 struct RoleDecisionTimer {
-    /// When the last decision was due; `None` before the first.
+    /// When [`RoleDecisionTimer::is_due`] last returned true; `None` before.
     last: Option<Instant>,
 }
 
 impl RoleDecisionTimer {
-    /// Whether a decision is due; called at each sending interval. In a small fleet it always is. In a large fleet, a
-    /// decision goes over all members, so it is due once a second after the first 4 s. That is enough, because reports
-    /// of watchers that change the roles cause a decision at once.
+    /// Whether a decision is due; called at each sending interval. In a small fleet it always is. In a large
+    /// fleet, a decision goes over all members, so it is due once a second after the first 4 s. That is
+    /// enough, because reports of watchers that change the roles cause a decision at once.
     fn is_due(&mut self, router: &Router, now: Instant) -> bool {
         let passed = |at: Instant| now.saturating_duration_since(at);
         let is_recent = self
@@ -174,7 +174,8 @@
     }
 }
 
-/// Sends the heartbeats of one interval. In a large fleet, sends gossip, and heartbeats to the peers without gossip.
+/// Sends the heartbeats of one interval. In a large fleet, sends gossip, and heartbeats to the peers without
+/// gossip.
 fn send_period(router: &Router, rotation: &mut HeartbeatRotation, was_paused: bool, now: Instant) {
     let serves_peers = serves_peers(router, now);
     let is_large = router.peers.is_large();
@@ -191,7 +192,7 @@
 }
 
 /// Sends heartbeats or gossip to some peers at once, because a version or the reported store age has changed.
-fn send_versions(router: &Router, now: Instant) {
+fn send_early_heartbeats(router: &Router, now: Instant) {
     let serves_peers = serves_peers(router, now);
     let peers = if router.peers.is_large() {
         gossip::send_urgent(router, now);
@@ -258,8 +259,8 @@
     router.datagrams.send(&message, peers);
 }
 
-/// The load and prompts of this router's streams, for heartbeats. Empty in a large fleet, in which changes don't reach
-/// all peers, and routers query the engines instead ([`cloverpier_router_policy::load_query`]).
+/// The load and prompts of this router's streams, for heartbeats. Empty in a large fleet, in which changes
+/// don't reach all peers, and routers query the engines instead ([`cloverpier_router_policy::load_query`]).
 #[derive(Default)]
 struct StreamReport {
     load: Vec<(UpstreamKey, Load)>,
@@ -302,8 +303,8 @@
     }
 }
 
-/// The age of the last successful call to the store in milliseconds, as it is reported to peers; `None` if this router
-/// does not watch the store.
+/// The age of the last successful call to the store in milliseconds, as it is reported to peers; `None` if
+/// this router does not watch the store.
 pub(crate) fn store_age_ms(router: &Router, now: Instant) -> Option<u32> {
     let store = &router.store;
     let peers = router.peers.count();
@@ -313,8 +314,9 @@
     age.map(|age| u32::try_from(age.as_millis()).unwrap_or(u32::MAX))
 }
 
-/// The change to send in this round: suspicions, and in a small fleet also changed load and new prompt locations.
-/// `None` if no upstream has changed, or in a large fleet if none of the changed ones is suspected.
+/// The change to send in this round: suspicions, and in a small fleet also changed load and new prompt
+/// locations. `None` if no upstream has changed, or in a large fleet if none of the changed ones is
+/// suspected.
 fn next_change(router: &Router) -> Option<Change> {
     let changed = changed_upstreams(router);
     let prompt_locations = router.peers.outbox.drain_prompt_locations();
--- a/crates/router/cloverpier_router/src/leaving_reports.rs
+++ b/crates/router/cloverpier_router/src/leaving_reports.rs
@@ -1,8 +1,8 @@
 //! Reports leaving upstreams to peers, and applies peers' reports.
 //!
-//! An upstream announces in its responses that it leaves. `cloverpier_router_policy::leaving` defines the reports, and
-//! `cloverpier_router_policy::dissemination` decides when they are sent again. Owns no state; the table of upstreams
-//! holds the announcements, and [`Router`] the time when the last new one arrived.
+//! An upstream announces in its responses that it leaves. `cloverpier_router_policy::leaving` defines the
+//! reports, and `cloverpier_router_policy::dissemination` decides when they are sent again. Owns no state;
+//! the table of upstreams holds the announcements, and [`Router`] the time when the last new one arrived.
 
 use crate::outbox::Recipients;
 use crate::peer_messages::{LeavingReports, PeerMessage};
@@ -17,8 +17,9 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Records the announcement of an upstream that it leaves, and reports it to all peers if it is new. `start_time_ms` is
-/// the start of the leaving process as a Unix time in milliseconds, if the response contains it.
+/// Records the announcement of an upstream that it leaves, and reports it to all peers if it is new.
+/// `start_time_ms` is the start of the leaving process as a Unix time in milliseconds, if the response
+/// contains it.
 pub(crate) fn on_leaving(
     router: &Router,
     upstream: &Upstream,
@@ -32,7 +33,7 @@
     }
     let reports = table.leaving_reports_of(&upstream.name, now);
     drop(table);
-    record(router, upstream, "said", &LeavingSource::Answer(via), now);
+    record(router, upstream, "said", &LeavingSource::Response(via), now);
     send(router, &reports, &Recipients::All);
 }
 
@@ -58,17 +59,17 @@
 fn record(
     router: &Router,
     upstream: &Upstream,
-    how: &'static str,
+    label: &'static str,
     source: &LeavingSource<'_>,
     now: Instant,
 ) {
     router.last_leaving.set(Some(now));
-    router.metrics.leavings.count(how);
-    let known = router
+    router.metrics.leavings.count(label);
+    let reports = router
         .upstreams
         .borrow()
         .leaving_reports_of(&upstream.name, now);
-    let age_ms = known.first().map_or(0, |report| report.age_ms.into());
+    let age_ms = reports.first().map_or(0, |report| report.age_ms.into());
     log_leaving(&router.log, upstream, source, age_ms);
 }
 
@@ -84,7 +85,8 @@
     }
 }
 
-/// Sends reports of all leaving upstreams to a peer that may have missed some. Of all routers, about 16 random ones do.
+/// Sends reports of all leaving upstreams to a peer that may have missed some. Of all routers, about 16
+/// random ones do.
 pub(crate) fn send_missed_if_selected(router: &Router, peer: SocketAddr) {
     let reports = router.upstreams.borrow().leaving_reports(router.now());
     if !reports.is_empty() && sends_missed_facts(router.peers.count(), &mut router.rng.borrow_mut())
@@ -93,8 +95,8 @@
     }
 }
 
-/// Sends recent reports to one random peer, if the last new announcement arrived within 3 s. Called at each sending
-/// interval, because datagrams are lost.
+/// Sends recent reports to one random peer, if the last new announcement arrived within 3 s. Called at each
+/// sending interval, because datagrams are lost.
 pub(crate) fn repeat(router: &Router, now: Instant) {
     if !is_within_repeat_window(router.last_leaving.get(), now) {
         return;
--- a/crates/router/cloverpier_router/src/limit_reports.rs
+++ b/crates/router/cloverpier_router/src/limit_reports.rs
@@ -1,7 +1,8 @@
 //! Reports to peers the rate limits that upstreams advertise, and applies peers' reports.
 //!
-//! `cloverpier_router_policy::limit` decides the effect of a report, and `cloverpier_router_policy::dissemination` when
-//! reports are sent again. Owns no state; [`crate::upstream_limits`] holds the limits.
+//! `cloverpier_router_policy::limit` decides the effect of a report, and
+//! `cloverpier_router_policy::dissemination` when reports are sent again. Owns no state;
+//! [`crate::upstream_limits`] holds the limits.
 
 use crate::outbox::Recipients;
 use crate::peer_messages::{LimitReports, PeerMessage};
@@ -56,8 +57,8 @@
     }
 }
 
-/// Sends reports of all limits to one random peer, if the last new limit or change arrived within 3 s. Called at each
-/// sending interval, because datagrams are lost.
+/// Sends reports of all limits to one random peer, if the last new limit or change arrived within 3 s. Called
+/// at each sending interval, because datagrams are lost.
 pub(crate) fn repeat(router: &Router, now: Instant) {
     if !is_within_repeat_window(router.upstream_limits.last_report.get(), now) {
         return;
--- a/crates/router/cloverpier_router/src/list_copies.rs
+++ b/crates/router/cloverpier_router/src/list_copies.rs
@@ -1,17 +1,17 @@
 //! A cache of encoded copies of the list of upstreams, for peers that fetch the whole list.
 //!
 //! Peers that start together request the same list within a second, so it is encoded once for all of them.
-//! [`ListCopies`] owns the copies. Relies on the caller for the time, and on [`ListCopies::remove_expired`] being called
-//! regularly to free their memory.
+//! [`ListCopies`] owns the copies. Relies on the caller for the time, and on [`ListCopies::remove_expired`]
+//! being called regularly to free their memory.
 
 use crate::configuration_copies::CopyEncoding;
 use bytes::Bytes;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// How long a copy of the list is sent to peers, although it may lack the newest changes, which a peer fetches
-/// afterwards. While thousands of upstreams change, encoding each revision for each peer would take most of a small VM's
-/// processor time.
+/// How long a copy of the list is sent to peers, although it may lack the newest changes, which a peer
+/// fetches afterwards. While thousands of upstreams change, encoding each revision for each peer would take
+/// most of a small VM's processor time.
 const LIST_COPY_TTL: Duration = Duration::from_secs(1);
 
 /// Whether upstreams are encoded with software versions and start times, and the encoding of the copy.
--- a/crates/router/cloverpier_router/src/outbox.rs
+++ b/crates/router/cloverpier_router/src/outbox.rs
@@ -1,7 +1,7 @@
 //! The queue of messages and reports for peers.
 //!
-//! [`Outbox`] owns what the next round of sending in [`crate::heartbeats`] sends, and the signal that starts a round
-//! before the next heartbeat is due. Relies on that loop to drain the queues.
+//! [`Outbox`] owns what the next round of sending in [`crate::heartbeats`] sends, and the signal that starts
+//! a round before the next heartbeat is due. Relies on that loop to drain the queues.
 
 use crate::peer_messages::PeerMessage;
 use cloverpier_core::UpstreamName;
@@ -19,8 +19,8 @@
     LargeSample,
     /// 16 random peers, or all if there are fewer.
     SmallSample,
-    /// Four random live routers of this router's data centre. A router of a large fleet forwards a message to them when
-    /// it receives the message for the first time.
+    /// Four random live routers of this router's data centre. A router of a large fleet forwards a message to
+    /// them when it receives the message for the first time.
     ForwardTargets,
     /// The peers at these addresses.
     Only(Vec<SocketAddr>),
@@ -35,11 +35,12 @@
     new_prompt_locations: RefCell<Vec<(PromptKey, UpstreamKey)>>,
     /// Complete messages, each of which is sent once.
     outgoing: RefCell<Vec<(PeerMessage, Recipients)>>,
-    /// Peers that were not known before, to be sent a first heartbeat.
+    /// New peers that are to be sent a first heartbeat.
     new_peers: RefCell<Vec<SocketAddr>>,
     /// Wakes the loop that sends.
     sender_woken: Notify,
-    /// Whether to send a heartbeat in the next round, because the last one contains an old version or store age.
+    /// Whether to send a heartbeat in the next round, because the last one contains an old version or store
+    /// age.
     heartbeat_due: Cell<bool>,
 }
 
@@ -50,10 +51,10 @@
         self.sender_woken.notify_one();
     }
 
-    /// Removes and returns at most `most` peers that are to be sent a first heartbeat.
-    pub fn take_new_peers(&self, most: usize) -> Vec<SocketAddr> {
+    /// Removes and returns at most `max_count` peers that are to be sent a first heartbeat.
+    pub fn take_new_peers(&self, max_count: usize) -> Vec<SocketAddr> {
         let mut new = self.new_peers.borrow_mut();
-        let count = new.len().min(most);
+        let count = new.len().min(max_count);
         new.drain(..count).collect()
     }
 
@@ -79,15 +80,15 @@
         std::mem::take(&mut *self.outgoing.borrow_mut())
     }
 
-    /// Queues a report of the engine that reads a prompt. The report is sent only if the same round also reports a
-    /// changed upstream, as at the start of a stream; otherwise that round drops it.
+    /// Queues a report of the engine that reads a prompt. The report is sent only if the same round also
+    /// reports a changed upstream, as at the start of a stream; otherwise that round drops it.
     pub fn report_prompt_location(&self, prompt: PromptKey, engine: UpstreamKey) {
         let mut locations = self.new_prompt_locations.borrow_mut();
         locations.push((prompt, engine));
     }
 
-    /// Makes the next round send a heartbeat to some peers, because a version or the reported store age has changed, and
-    /// wakes the sender.
+    /// Makes the next round send a heartbeat to some peers, because a version or the reported store age has
+    /// changed, and wakes the sender.
     pub fn schedule_heartbeat(&self) {
         self.heartbeat_due.set(true);
         self.sender_woken.notify_one();
--- a/crates/router/cloverpier_router/src/peer_fetch.rs
+++ b/crates/router/cloverpier_router/src/peer_fetch.rs
@@ -1,9 +1,9 @@
 //! Fetches of newer configurations and lists of upstreams from other routers over HTTP.
 //!
-//! One loop fetches configurations and another one upstreams, so that neither waits for the other. Each loop owns its
-//! connections to peers and the results of its last fetches. `cloverpier_router_policy::version_fetch` decides from
-//! which peer to fetch, and when; [`crate::peer_serve`] serves the requests, and [`crate::peer_messages`] defines the
-//! replies.
+//! One loop fetches configurations and another one upstreams, so that neither waits for the other. Each loop
+//! owns its connections to peers and the results of its last fetches.
+//! `cloverpier_router_policy::version_fetch` decides from which peer to fetch, and when;
+//! [`crate::peer_serve`] serves the requests, and [`crate::peer_messages`] defines the replies.
 
 use crate::configuration_copies::{ConfigurationWithCopies, CopyEncoding};
 use crate::decision_log::{FetchFailed, VersionFetched, ms};
@@ -16,7 +16,7 @@
 use crate::router::Router;
 use crate::source::{ReadChange, UpstreamChanges, UpstreamList};
 use crate::store_events::apply_configuration;
-use crate::store_view::Watched;
+use crate::store_view::WatchedData;
 use crate::upstream_updates::{apply_upstream_changes, apply_upstream_list};
 use cloverpier_core::jitter;
 use cloverpier_router_policy::prelude::*;
@@ -41,10 +41,11 @@
     /// The body of the peer's reply can't be decoded.
     #[snafu(display("{source}"))]
     Codec { source: CodecError },
-    /// The peer refused the request, because its link is busy with other copies, and accepts requests again after `wait`.
+    /// The peer refused the request, because its link is busy with other copies, and accepts requests again
+    /// after `wait`.
     #[snafu(display("the peer is busy for {wait:?}"))]
     Busy { wait: Duration },
-    /// The peer replied with an unexpected status, as a router that has no version yet.
+    /// The peer replied with an unexpected status, such as 404 from a router that has no version yet.
     #[snafu(display("the peer replied with status {status}"))]
     Status { status: StatusCode },
     /// The fetched version is not newer than the version in force here.
@@ -53,13 +54,13 @@
 }
 
 /// Fetches newer configurations or upstreams, as `watched` selects, from peers until the process ends.
-pub(crate) async fn fetch_newer(router: Rc<Router>, watched: Watched) {
+pub(crate) async fn fetch_newer(router: Rc<Router>, watched: WatchedData) {
     let mut fetcher = Fetcher {
         router,
         watched,
         sources: match watched {
-            Watched::Configuration => FetchSources::default(),
-            Watched::Upstreams => FetchSources::with_remote_delay(REMOTE_FETCH_DELAY),
+            WatchedData::Configuration => FetchSources::default(),
+            WatchedData::Upstreams => FetchSources::with_remote_delay(REMOTE_FETCH_DELAY),
         },
         clients: HashMap::new(),
         is_failing: false,
@@ -86,11 +87,11 @@
     }
 }
 
-/// The state of one of the two loops.
+/// The state of the loop that fetches one kind of data.
 struct Fetcher {
     router: Rc<Router>,
     /// The kind of data that this loop fetches.
-    watched: Watched,
+    watched: WatchedData,
     /// The peers that are avoided after a failed fetch or a refusal.
     sources: FetchSources,
     /// One client for each peer, removed when a fetch from the peer fails.
@@ -114,9 +115,10 @@
         }
     }
 
-    /// Pauses after a fetch of upstreams in a large fleet, so that the next fetch returns all changes of that time.
+    /// Pauses after a fetch of upstreams in a large fleet, so that the next fetch returns all changes of that
+    /// time.
     async fn pause_after_fetch(&self) {
-        if self.watched == Watched::Upstreams && self.router.peers.is_large() {
+        if self.watched == WatchedData::Upstreams && self.router.peers.is_large() {
             self.router.timers.sleep(UPSTREAM_FETCH_PAUSE).await;
         }
     }
@@ -125,8 +127,8 @@
         let router = &self.router;
         let (now, timeout) = (router.now(), router.peer_timeout());
         let version = |peer: &PeerEntry| match self.watched {
-            Watched::Configuration => peer.configuration_version,
-            Watched::Upstreams => peer.upstreams_revision,
+            WatchedData::Configuration => peer.configuration_version,
+            WatchedData::Upstreams => peer.upstreams_revision,
         };
         let own_data_centre = &router.settings().data_centre;
         let peers = router
@@ -140,13 +142,13 @@
     /// The version of the configuration, or the revision of the upstreams, in force at this router.
     fn current_version(&self) -> u64 {
         match self.watched {
-            Watched::Configuration => self.router.store.configuration_version(),
-            Watched::Upstreams => self.router.upstreams.borrow().revision(),
+            WatchedData::Configuration => self.router.store.configuration_version(),
+            WatchedData::Upstreams => self.router.upstreams.borrow().revision(),
         }
     }
 
-    /// Waits for a random time between `wait` and twice as long, because all routers that the busy peers refused wait for
-    /// the same moment.
+    /// Waits for a random time between `wait` and twice as long, because all routers that the busy peers
+    /// refused wait for the same moment.
     async fn pause(&self, wait: Duration) {
         let spread = jitter(&mut self.router.rng.borrow_mut(), wait * 2);
         self.router.timers.sleep(spread).await;
@@ -156,8 +158,8 @@
         let began = self.router.now();
         let current_version = self.current_version();
         let fetched = match self.watched {
-            Watched::Configuration => self.fetch_configuration(peer).await,
-            Watched::Upstreams => self.fetch_upstreams(peer).await,
+            WatchedData::Configuration => self.fetch_configuration(peer).await,
+            WatchedData::Upstreams => self.fetch_upstreams(peer).await,
         };
         let fetched = fetched.and_then(|bytes| {
             let is_newer = self.current_version() > current_version;
@@ -193,7 +195,8 @@
         self.router.log.info("version.fetched", &line);
     }
 
-    /// Logs the first of consecutive failures. There are many, for example, until a dead peer no longer counts as alive.
+    /// Logs the first of consecutive failures. There are many, for example, until a dead peer no longer
+    /// counts as alive.
     fn on_failed(&mut self, peer: SocketAddr, error: &FetchError, took: Duration) {
         self.router.metrics.version_fetches.count("failed");
         if std::mem::replace(&mut self.is_failing, true) {
@@ -216,14 +219,14 @@
         let response = self.get(peer, CONFIGURATION_PATH, headers).await?;
         let bytes = response.body.len();
         let encoding = encoding_of(&response.headers);
-        let configuration = ConfigurationWithCopies::read(response.body, encoding).await;
+        let configuration = ConfigurationWithCopies::from_copy(response.body, encoding).await;
         let configuration = configuration.context(CodecSnafu)?;
         apply_configuration(&self.router, configuration, &format!("peer {peer}"));
         Ok(bytes)
     }
 
-    /// Fetches and applies changes of upstreams, or the whole list if this router has none; returns the size of the
-    /// reply's body in bytes.
+    /// Fetches and applies changes of upstreams, or the whole list if this router has none; returns the size
+    /// of the reply's body in bytes.
     async fn fetch_upstreams(&mut self, peer: SocketAddr) -> Result<usize, FetchError> {
         let path = if self.router.store.has_upstreams() {
             format!("{UPSTREAMS_PATH}?after={}", self.current_version())
--- a/crates/router/cloverpier_router/src/peer_messages.rs
+++ b/crates/router/cloverpier_router/src/peer_messages.rs
@@ -27,7 +27,8 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The load that the sender's own requests cause at one upstream. The token counts concern model engines only.
+/// The load that the sender's own requests cause at one upstream. The token counts concern model engines
+/// only.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The loaded upstream, by the hash of its name.
@@ -62,8 +63,8 @@
     }
 }
 
-/// The state that a router of a small fleet reports to its peers at each heartbeat interval. A receiver replaces the
-/// sender's previous state by it, so a lost heartbeat needs no retransmission.
+/// The state that a router of a small fleet reports to its peers at each heartbeat interval. A receiver
+/// replaces the sender's previous state by it, so a lost heartbeat needs no retransmission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender's address for peers, which identifies it.
@@ -78,16 +79,16 @@
     pub configuration_version: u64,
     /// Revision of the sender's list of upstreams; 0 before the first list.
     pub upstreams_revision: u64,
-    /// Milliseconds since the sender's last successful call to the store. While calls fail, at least the age at
-    /// which other routers replace the sender as a watcher. `None` if the sender does not watch the store.
+    /// Milliseconds since the sender's last successful call to the store. While calls fail, at least the age
+    /// at which other routers replace the sender as a watcher. `None` if the sender does not watch the store.
     pub store_age_ms: Option<u32>,
-    /// The sender's load at each upstream that has any of its requests, at most 64 upstreams. Empty in a large fleet,
-    /// where routers query the engines for their load.
+    /// The sender's load at each upstream that has any of its requests, at most 64 upstreams. Empty in a
+    /// large fleet, where routers query the engines for their load.
     pub load: Vec<LoadReport>,
     /// Upstreams that the sender suspects to be dead, at most 64.
     pub suspects: Vec<UpstreamKey>,
-    /// The prompts of the sender's running streams, each with the engine that reads or has read it; at most 64.
-    /// Empty in a large fleet.
+    /// The prompts of the sender's running streams, each with the engine that reads or has read it; at most
+    /// 64. Empty in a large fleet.
     pub prompt_locations: Vec<(PromptKey, UpstreamKey)>,
     /// Addresses of some random peers of the sender, by which routers discover each other.
     pub known_peers: Vec<SocketAddr>,
@@ -104,13 +105,13 @@
     pub load: Vec<LoadReport>,
     /// Upstreams that the sender suspects to be dead and whose load or suspicion changed.
     pub suspects: Vec<UpstreamKey>,
-    /// Prompts of streams that the sender has started, each with the engine that reads the prompt. Empty in a large
-    /// fleet.
+    /// Prompts of streams that the sender has started, each with the engine that reads the prompt. Empty in a
+    /// large fleet.
     pub prompt_locations: Vec<(PromptKey, UpstreamKey)>,
 }
 
-/// A process that responds at a dead upstream's address under another name, belongs to the same service, and is not
-/// on the platform's list of upstreams yet.
+/// A process that responds at a dead upstream's address under another name, belongs to the same service, and
+/// is not on the platform's list of upstreams yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Successor {
     /// The sender's address for peers.
@@ -122,8 +123,8 @@
     pub upstream: Upstream,
 }
 
-/// An upstream at whose address a process with another name responds. Unlike for a [`Successor`], that process may
-/// belong to another service.
+/// An upstream at whose address a process with another name responds. Unlike for a [`Successor`], that
+/// process may belong to another service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplacedUpstream {
     /// The sender's address for peers.
@@ -197,21 +198,21 @@
     pub reply: PermitReply,
 }
 
-/// A router's request counts, load and clock, for the router that holds the lease on singleton work (work that one
-/// router does at a time).
+/// A router's request counts, load and clock, for the router that holds the lease on singleton work (work
+/// that one router does at a time).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetReport {
     /// The sender's address for peers.
     pub sender: SocketAddr,
-    /// A random number that the sender's process chose at its start. It distinguishes the counts of this process from
-    /// those of earlier processes at the same address.
+    /// A random number that the sender's process chose at its start. It distinguishes the counts of this
+    /// process from those of earlier processes at the same address.
     pub incarnation: u64,
     /// When the sender's process started, in milliseconds since 1970 by the clock that routers agree on.
     pub started: u64,
     /// The time of sending in milliseconds since 1970, by the sender's own clock.
     pub wall_ms: u64,
-    /// Numbers of requests that started to run, by usage window and client account. Counts that do not fit into the
-    /// datagram are in further reports.
+    /// Numbers of requests that started to run, by usage window and client account. Counts that do not fit
+    /// into the datagram are in further reports.
     pub windows: Vec<ReportedWindow>,
     /// The load of the sender's streams on each service of model engines.
     pub loads: Vec<(ServiceKey, ServiceLoad)>,
@@ -226,8 +227,8 @@
     pub version: RecordVersion,
     /// The holder's fencing token, which orders the holders of the lease.
     pub token: u64,
-    /// Number of the first usage window whose usage is not decided yet; other routers discard their counts of earlier
-    /// windows.
+    /// Number of the first usage window whose usage is not decided yet; other routers discard their counts of
+    /// earlier windows.
     pub undecided: u64,
     /// The time of sending in milliseconds since 1970, by the clock that routers agree on.
     pub fleet_ms: u64,
@@ -238,7 +239,8 @@
 /// A router ignores datagrams with a variant that its release does not define, and logs the first of them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Sent at each heartbeat interval in a small fleet, and in a large fleet to routers that send heartbeats.
+    /// Sent at each heartbeat interval in a small fleet, and in a large fleet to routers that send
+    /// heartbeats.
     Heartbeat(Heartbeat),
     /// Sent between heartbeats when load or suspicions change.
     Change(Change),
@@ -248,40 +250,44 @@
     /// identified.
     #[serde(rename = "Replaced")]
     ReplacedUpstream(ReplacedUpstream),
-    /// Sent when an order is new or has advanced, and to a few random peers each second while it is in progress.
+    /// Sent when an order is new or has advanced, and to a few random peers each second while it is in
+    /// progress.
     #[serde(rename = "Rollouts")]
     RolloutReports(RolloutReports),
-    /// Sent to the routers that decide on roll-outs, which are the store's watchers, while an order is in progress.
+    /// Sent to the routers that decide on roll-outs, which are the store's watchers, while an order is in
+    /// progress.
     RolloutEvidence(RolloutEvidence),
-    /// Sent to all peers when an upstream has crashed while it executed a request that may be the cause, and to random
-    /// peers for 3 s after.
+    /// Sent to all peers when an upstream has crashed while it executed a request that may be the cause, and
+    /// to random peers for 3 s after.
     #[serde(rename = "Crashes")]
     CrashReports(CrashReports),
-    /// Sent to all peers when an upstream has announced in a response that it leaves, and to random peers for 3 s
-    /// after.
+    /// Sent to all peers when an upstream has announced in a response that it leaves, and to random peers for
+    /// 3 s after.
     #[serde(rename = "Leavings")]
     LeavingReports(LeavingReports),
-    /// Sent to the lease holder and to the store's watchers, which may take over the lease, if the settings enable
-    /// singleton work.
+    /// Sent to the lease holder and to the store's watchers, which may take over the lease, if the settings
+    /// enable singleton work.
     FleetReport(FleetReport),
     /// Sent by the lease holder in reply to a report, and to the store's watchers when the lease was renewed.
     LeaseUpdate(LeaseUpdate),
-    /// Sent at each gossip interval in a large fleet. A router of a release without gossip ignores it and sends
-    /// heartbeats, and so receives heartbeats instead.
+    /// Sent at each gossip interval in a large fleet. A router of a release without gossip ignores it and
+    /// sends heartbeats, and so receives heartbeats instead.
     Gossip(Gossip),
     /// Sent by a router to request a peer's member list; contains the requesting router's address for peers.
     #[serde(rename = "AskMembers")]
     MembersRequest(SocketAddr),
-    /// Sent in reply to a request for the member list, to report leaving and dead routers at once, and to a router that
-    /// is recorded as dead.
+    /// Sent in reply to a request for the member list, to report leaving and dead routers at once, and to a
+    /// router that is recorded as dead.
     Members(Members),
-    /// Sent in a large fleet by a watcher that read changes from the store, and forwarded by their recipients.
+    /// Sent in a large fleet by a watcher that read changes from the store, and forwarded by their
+    /// recipients.
     UpstreamUpdate(UpstreamUpdate),
-    /// Sent to all peers when an upstream advertises a rate limit or stops to, and to random peers for 3 s after.
+    /// Sent to all peers when an upstream advertises a rate limit or stops to, and to random peers for 3 s
+    /// after.
     #[serde(rename = "Limits")]
     LimitReports(LimitReports),
-    /// Sent to the limiter of an upstream. A router of a release without permits does not reply, and another router is
-    /// asked instead.
+    /// Sent to the limiter of an upstream. A router of a release without permits does not reply, and the
+    /// request goes to another router instead.
     #[serde(rename = "LimitAsk")]
     LimiterRequest(LimiterRequest),
     /// Sent in reply to a permit request.
@@ -320,18 +326,21 @@
         upstreams: Vec<Upstream>,
         /// The revision of the list.
         revision: u64,
-        /// The orders of roll-outs, so that a peer that receives upstreams with a new version also has the order.
-        /// Encoded only for a peer that accepts start times, and only if this router has received an order.
+        /// The orders of roll-outs, so that a peer that receives upstreams with a new version also has the
+        /// order. Encoded only for a peer that accepts start times, and only if this router has received an
+        /// order.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         rollouts: Vec<RolloutView>,
     },
     /// The changes since the revision in the peer's request.
     Changes {
-        /// The changes, in order.
+        /// The changes, in the order in which they apply.
         changes: Vec<UpstreamChange>,
         /// The revision of the list after these changes.
         revision: u64,
-        /// The orders of roll-outs, as in a whole list.
+        /// The orders of roll-outs, so that a peer that receives upstreams with a new version also has the
+        /// order. Encoded only for a peer that accepts start times, and only if this router has received an
+        /// order.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         rollouts: Vec<RolloutView>,
     },
--- a/crates/router/cloverpier_router/src/peer_messages/large_fleet.rs
+++ b/crates/router/cloverpier_router/src/peer_messages/large_fleet.rs
@@ -13,8 +13,8 @@
 pub struct Gossip {
     /// The state that the sender reports for itself.
     pub sender: MemberUpdate,
-    /// Whether the sender requires a gossip message as a reply, because it probes the recipient or sends to it for the
-    /// first time.
+    /// Whether the sender requires a gossip message as a reply, because it probes the recipient or sends to
+    /// it for the first time.
     pub wants_reply: bool,
     /// Number of live members in the sender's record, without the sender.
     pub members: u32,
@@ -24,7 +24,8 @@
     pub configuration_version: u64,
     /// Revision of the sender's list of upstreams; 0 before the first list.
     pub upstreams_revision: u64,
-    /// The last reports of the store's watchers that the sender has received, its own included if it is a watcher.
+    /// The last reports of the store's watchers that the sender has received, its own included if it is a
+    /// watcher.
     pub watchers: Vec<WatcherReport>,
     /// Upstreams that the sender suspects to be dead, at most 16.
     pub suspects: Vec<UpstreamKey>,
@@ -34,8 +35,8 @@
     pub updates: Vec<MemberUpdate>,
 }
 
-/// Updates about some members: a chunk of a member list, a report of leaving and dead routers, or the notice to a
-/// router that it is recorded as dead.
+/// Updates about some members: a chunk of a member list, a report of leaving and dead routers, or the notice
+/// to a router that it is recorded as dead.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
     /// The sender's address for peers.
@@ -49,8 +50,8 @@
 pub struct UpstreamUpdate {
     /// The sender's address for peers.
     pub sender: SocketAddr,
-    /// The revision of the list before these changes. A router with an older list can't apply them, and fetches all
-    /// changes that it lacks.
+    /// The revision of the list before these changes. A router with an older list can't apply them, and
+    /// fetches all changes that it lacks.
     pub after: u64,
     /// The revision of the list after these changes.
     pub revision: u64,
--- a/crates/router/cloverpier_router/src/peer_reports.rs
+++ b/crates/router/cloverpier_router/src/peer_reports.rs
@@ -1,4 +1,5 @@
-//! Receives peers' datagrams, dispatches them to the modules that handle them, and applies heartbeats and changes.
+//! Receives peers' datagrams, dispatches them to the modules that handle them, and applies heartbeats and
+//! changes.
 //!
 //! `cloverpier_router_policy::{heartbeat, suspicion}` decide the effect of a report and how long it is valid.
 //! [`crate::heartbeats`] sends this router's own messages. Owns no state.
@@ -14,7 +15,7 @@
 use crate::router::Router;
 use crate::singleton;
 use crate::store_events::decide_watcher_role;
-use crate::store_view::Watched;
+use crate::store_view::WatchedData;
 use crate::successors::{on_peer_replaced, on_peer_successor};
 use cloverpier_router_policy::heartbeat::MAX_DATAGRAM;
 use cloverpier_router_policy::prelude::*;
@@ -62,7 +63,7 @@
         PeerMessage::CrashReports(reports) => crash_reports::on_reports(router, reports, now),
         PeerMessage::LeavingReports(reports) => leaving_reports::on_reports(router, reports, now),
         PeerMessage::LimitReports(reports) => limit_reports::on_reports(router, reports),
-        PeerMessage::LimiterRequest(ask) => on_permit_request(router, &ask),
+        PeerMessage::LimiterRequest(message) => on_permit_request(router, &message),
         PeerMessage::LimiterReply(reply) => router.upstream_limits.on_reply(reply),
         PeerMessage::Gossip(message) => gossip::on_gossip(router, message, now),
         PeerMessage::MembersRequest(peer) => gossip::on_members_request(router, peer, now),
@@ -73,10 +74,10 @@
     }
 }
 
-fn on_permit_request(router: &Router, ask: &LimiterRequest) {
+fn on_permit_request(router: &Router, message: &LimiterRequest) {
     let table = router.upstreams.borrow();
-    let state = table.by_key(ask.request.upstream);
-    router.upstream_limits.on_ask(ask, state);
+    let state = table.by_key(message.request.upstream);
+    router.upstream_limits.on_ask(message, state);
 }
 
 fn on_change(router: &Router, change: Change, now: Instant) {
@@ -138,15 +139,17 @@
     };
     record_entry(router, heartbeat.sender, entry, now);
     if has_newer_configuration {
-        router.peers.notify_newer_version(Watched::Configuration);
+        router
+            .peers
+            .notify_newer_version(WatchedData::Configuration);
     }
     if has_newer_upstreams {
-        router.peers.notify_newer_version(Watched::Upstreams);
+        router.peers.notify_newer_version(WatchedData::Upstreams);
     }
 }
 
-/// Records a peer's heartbeat, sends the peer facts that it may have missed, and decides this router's watcher role
-/// again if the peer's store age requires that.
+/// Records a peer's heartbeat, sends the peer facts that it may have missed, and decides this router's
+/// watcher role again if the peer's store age requires that.
 fn record_entry(router: &Router, peer: SocketAddr, entry: PeerEntry, now: Instant) {
     let store_age = entry.store_age;
     let is_large = router.peers.is_large();
--- a/crates/router/cloverpier_router/src/peer_serve.rs
+++ b/crates/router/cloverpier_router/src/peer_serve.rs
@@ -1,9 +1,9 @@
 //! The HTTP endpoints from which other routers fetch the configuration and the upstreams.
 //!
-//! Owns the HTTP protocol between the endpoints and [`crate::peer_fetch`]: paths, media types, encodings, and the
-//! header with the time after which a refused peer sends its request again.
-//! `cloverpier_router_policy::version_serving` decides whether a copy is sent now, and [`crate::peer_messages`] defines
-//! the bodies.
+//! Owns the HTTP protocol between the endpoints and [`crate::peer_fetch`]: paths, media types, encodings, and
+//! the header with the time after which a refused peer sends its request again.
+//! `cloverpier_router_policy::version_serving` decides whether a copy is sent now, and
+//! [`crate::peer_messages`] defines the bodies.
 
 use crate::background::run_in_background;
 use crate::body::ReplyBody;
@@ -12,7 +12,7 @@
 use crate::peer_messages::{CodecError, UpstreamsReply, compress, encode};
 use crate::reply::{Reply, own_reply, set_retry_after};
 use crate::router::Router;
-use crate::store_view::Watched;
+use crate::store_view::WatchedData;
 use bytes::Bytes;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::version_serving::{CopyStep, LinkRate};
@@ -26,20 +26,21 @@
 
 /// The path of the configuration, part of the protocol between routers.
 pub(crate) const CONFIGURATION_PATH: &str = "/versions/catalog";
-/// The path of the list of upstreams, part of the protocol between routers. The query `after=REVISION` requests only
-/// the changes since that revision.
+/// The path of the list of upstreams, part of the protocol between routers. The query `after=REVISION`
+/// requests only the changes since that revision.
 pub(crate) const UPSTREAMS_PATH: &str = "/versions/fleet";
-/// The content encoding of compressed copies. A peer whose request does not accept it receives an uncompressed copy,
-/// and a peer may send one although the request accepts it. Releases without compression do both.
+/// The content encoding of compressed copies. A peer whose request does not accept it receives an
+/// uncompressed copy, and a peer may send one although the request accepts it. Releases without compression
+/// do both.
 pub(crate) const GZIP: &str = "gzip";
-/// The media type for upstreams with their software versions and start times. A peer whose request does not accept it
-/// is of a release that can't decode these fields, and receives upstreams without them.
+/// The media type for upstreams with their software versions and start times. A peer whose request does not
+/// accept it is of a release that can't decode these fields, and receives upstreams without them.
 pub(crate) const UPSTREAMS_WITH_STARTS: &str = "application/msgpack;starts=1";
 /// When a refused peer sends its request again if the refusal contains no readable time.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Serves a peer's request for the configuration or the upstreams. The status is 404 if this router has received none
-/// yet, if the path is unknown, or if the reply can't be encoded.
+/// Serves a peer's request for the configuration or the upstreams. The status is 404 if this router has
+/// received none yet, if the path is unknown, or if the reply can't be encoded.
 pub(crate) async fn serve_version(router: Rc<Router>, request: Request<Incoming>) -> Reply {
     let served = match request.uri().path() {
         CONFIGURATION_PATH => configuration_reply(&router, request.headers()).await,
@@ -56,8 +57,8 @@
         .unwrap_or_else(|| own_reply(StatusCode::NOT_FOUND, "no such version"))
 }
 
-/// The response with a copy of the configuration, or a refusal with the time after which the peer should send its
-/// request again. `None` if this router has no configuration yet.
+/// The response with a copy of the configuration, or a refusal with the time after which the peer should send
+/// its request again. `None` if this router has no configuration yet.
 async fn configuration_reply(
     router: &Router,
     headers: &HeaderMap,
@@ -71,7 +72,7 @@
         return Ok(Some(refusal));
     }
     let line = VersionServed {
-        what: Watched::Configuration.name(),
+        what: WatchedData::Configuration.name(),
         version: configuration.index().version(),
         bytes: bytes.len(),
     };
@@ -81,8 +82,8 @@
     Ok(Some(reply))
 }
 
-/// The response with changes of upstreams or with the whole list, or a refusal with the time after which the peer
-/// should send its request again. A few changes are sent at once, without compression and pacing.
+/// The response with changes of upstreams or with the whole list, or a refusal with the time after which the
+/// peer should send its request again. A few changes are sent at once, without compression and pacing.
 async fn upstreams_reply(
     router: &Router,
     request: &Request<Incoming>,
@@ -98,7 +99,7 @@
         }
         Some(changes) => {
             let reply = changes_reply(router, changes, form);
-            write_reply(reply, encoding).await?
+            encode_reply(reply, encoding).await?
         }
         None => list_copy(router, form, encoding).await?,
     };
@@ -111,7 +112,7 @@
 }
 
 /// Encodes a reply, on a background thread if it is long.
-async fn write_reply(reply: UpstreamsReply, encoding: CopyEncoding) -> Result<Bytes, CodecError> {
+async fn encode_reply(reply: UpstreamsReply, encoding: CopyEncoding) -> Result<Bytes, CodecError> {
     let entries = match &reply {
         UpstreamsReply::List { upstreams, .. } => upstreams.len(),
         UpstreamsReply::Changes { changes, .. } => changes.len(),
@@ -137,13 +138,13 @@
     if let Some(bytes) = router.list_copies.borrow().get(key, now) {
         return Ok(bytes);
     }
-    let bytes = write_reply(list_reply(router, form), encoding).await?;
+    let bytes = encode_reply(list_reply(router, form), encoding).await?;
     router.list_copies.borrow_mut().put(key, bytes.clone(), now);
     Ok(bytes)
 }
 
-/// The refusal of a copy of this many bytes if the link is still busy with earlier copies; `None` if the copy may be
-/// sent, which is then recorded.
+/// The refusal of a copy of this many bytes if the link is still busy with earlier copies; `None` if the copy
+/// may be sent, which is then recorded.
 fn pacing_refusal(router: &Router, bytes: usize) -> Option<Reply> {
     let link = LinkRate::from_mbps(router.settings().link_mbps);
     let mut pacing = router.copy_pacing.borrow_mut();
@@ -185,7 +186,7 @@
 
 /// The time after which a refused peer should send its request again, by the headers of the refusal.
 pub(crate) fn retry_delay(headers: &HeaderMap) -> Duration {
-    // A missing or unreadable time is no error.
+    // Without a readable time, the request is repeated after a default delay instead of failing.
     read_seconds(headers.get(RETRY_AFTER)).unwrap_or(DEFAULT_RETRY_DELAY)
 }
 
@@ -203,11 +204,11 @@
     query.strip_prefix("after=")?.parse().ok()
 }
 
-/// Approximate size in bytes of an upstream in a copy of the list, which decides whether a reply is encoded on a
-/// background thread.
+/// Approximate size in bytes of an upstream in a copy of the list, which decides whether a reply is encoded
+/// on a background thread.
 const ESTIMATED_UPSTREAM_BYTES: usize = 100;
-/// Maximum number of changes that are sent without compression and pacing. Compressing so few takes as long as sending
-/// them.
+/// Maximum number of changes that are sent without compression and pacing. Compressing so few takes as long
+/// as sending them.
 const MAX_UNPACED_CHANGES: usize = 20;
 
 /// Whether upstreams are encoded with software versions and start times.
--- a/crates/router/cloverpier_router/src/peers.rs
+++ b/crates/router/cloverpier_router/src/peers.rs
@@ -1,16 +1,16 @@
 //! This router's record of its peers, the other routers.
 //!
-//! [`Peers`] owns the table of peers, the members of a large fleet, the reports of the store's watchers, and the
-//! signals that a peer has a newer version; its [`Outbox`] owns the queued messages. [`crate::heartbeats`],
-//! [`crate::gossip`] and [`crate::peer_reports`] send and receive. `cloverpier_router_policy::{heartbeat, membership}`
-//! decide which peers are sent which messages.
+//! [`Peers`] owns the table of peers, the members of a large fleet, the reports of the store's watchers, and
+//! the signals that a peer has a newer version; its [`Outbox`] owns the queued messages.
+//! [`crate::heartbeats`], [`crate::gossip`] and [`crate::peer_reports`] send and receive.
+//! `cloverpier_router_policy::{heartbeat, membership}` decide which peers are sent which messages.
 //!
-//! In a small fleet, a peer counts as alive for a timeout after its last heartbeat. In a large one, a member counts as
-//! alive until a router reports that the member did not reply to probes.
+//! In a small fleet, a peer counts as alive for a timeout after its last heartbeat. In a large one, a member
+//! counts as alive until a router reports that the member did not reply to probes.
 
 use crate::outbox::{Outbox, Recipients};
 use crate::peer_messages::PeerMessage;
-use crate::store_view::Watched;
+use crate::store_view::WatchedData;
 use cloverpier_core::{DataCentre, ServiceName};
 use cloverpier_router_policy::heartbeat::{contacts_mentioned_peers, is_small_fleet};
 use cloverpier_router_policy::membership::{DEPARTURE_REPORT_INTERVAL, MemberUpdate, Membership};
@@ -26,8 +26,9 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// How long a large fleet's routers' reports about themselves are valid: their use of retry budgets, their versions,
-/// their number of members, and that they send heartbeats. It usually equals the window of retry budgets.
+/// How long a large fleet's routers' reports about themselves are valid: their use of retry budgets, their
+/// versions, their number of members, and that they send heartbeats. It usually equals the window of retry
+/// budgets.
 const LARGE_FLEET_REPORT_TTL: Duration = Duration::from_secs(10);
 
 /// The inputs to the limiter map of a large fleet. While they are unchanged, the map is, too.
@@ -37,7 +38,7 @@
     digest: u64,
     /// Number of members recorded as dead.
     lost: usize,
-    /// Whether this router receives no messages.
+    /// Whether this router has received no message for 2.5 s.
     is_isolated: bool,
     /// Whether this router is ready.
     serves: bool,
@@ -54,7 +55,8 @@
     pub(crate) watcher_reports: RefCell<WatcherReports>,
     /// The largest number of members that another router reported recently, and when it did.
     reported_size: Cell<Option<(usize, Instant)>>,
-    /// Peers that send heartbeats in a large fleet, because their release has no gossip, and when each last did.
+    /// Peers that send heartbeats in a large fleet, because their release has no gossip, and when each last
+    /// did.
     heartbeat_peers: RefCell<HashMap<SocketAddr, Instant>>,
     /// Sequence number of this router's last report as a watcher of the store.
     last_report_number: Cell<u64>,
@@ -71,10 +73,12 @@
 }
 
 impl Peers {
-    /// Creates the record of a router that has no peers yet. `own` is the state that the router reports for itself.
+    /// Creates the record of a router that has no peers yet. `own` is the state that the router reports for
+    /// itself.
     pub fn new(own: MemberUpdate) -> Self {
         Self {
-            // The stamp is the time of day, so these numbers exceed those of earlier processes at this address.
+            // The stamp is the time of day, so these numbers exceed those of earlier processes at this
+            // address.
             last_report_number: Cell::new(own.stamp),
             departures_sent_at: Cell::default(),
             last_limiter_inputs: Cell::default(),
@@ -89,22 +93,24 @@
         }
     }
 
-    /// Whether the fleet is too large for heartbeats to all peers, and uses gossip instead: more than 96 peers.
+    /// Whether the fleet is too large for heartbeats to all peers, and uses gossip instead: more than 96
+    /// peers.
     pub fn is_large(&self) -> bool {
         !is_small_fleet(self.count())
     }
 
-    /// Whether a member is recorded that is not dead. After a start, that is so from the first message of a peer on.
+    /// Whether a member is recorded that is not dead. After a start, that is so from the first message of a
+    /// peer on.
     pub fn has_live_members(&self) -> bool {
         self.members.borrow().count() > 0
     }
 
-    /// Number of peers: the highest of the recorded members, the table's peers, and the number that other routers
-    /// reported within 10 s.
+    /// Number of peers: the highest of the number of members, the number of peers in the table, and the
+    /// number that another router reported within 10 s.
     pub fn count(&self) -> usize {
-        let heard = self.reported_size.get().map_or(0, |(size, _)| size);
-        let known = self.members.borrow().count();
-        known.max(self.table.borrow().count()).max(heard)
+        let reported = self.reported_size.get().map_or(0, |(size, _)| size);
+        let members = self.members.borrow().count();
+        members.max(self.table.borrow().count()).max(reported)
     }
 
     /// Records the number of members that another router reported, unless a higher one is recorded.
@@ -112,7 +118,7 @@
         let is_higher = self
             .reported_size
             .get()
-            .is_none_or(|(known, _)| size >= known);
+            .is_none_or(|(recorded, _)| size >= recorded);
         if is_higher {
             self.reported_size.set(Some((size, now)));
         }
@@ -125,8 +131,8 @@
         next
     }
 
-    /// Whether to send an urgent report of leaving and dead routers now. If so, records `now` as the time of the report;
-    /// two reports are at least 100 ms apart.
+    /// Whether to send an urgent report of leaving and dead routers now. If so, records `now` as the time of
+    /// the report; two reports are at least 100 ms apart.
     pub fn start_departure_report(&self, now: Instant) -> bool {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < DEPARTURE_REPORT_INTERVAL;
         if !self.members.borrow().has_departures()
@@ -153,8 +159,8 @@
         self.heartbeat_peers.borrow().keys().copied().collect()
     }
 
-    /// Records a peer's heartbeat and returns the peer's previous one. In a small fleet, a new peer is sent a first
-    /// heartbeat.
+    /// Records a peer's heartbeat and returns the peer's previous one. In a small fleet, a new peer is sent a
+    /// first heartbeat.
     pub fn on_heartbeat(&self, peer: SocketAddr, entry: PeerEntry) -> Option<PeerEntry> {
         let is_new = !self.table.borrow().contains(peer);
         if is_new && !self.is_large() {
@@ -172,8 +178,8 @@
         }
     }
 
-    /// Records peers that another peer's heartbeat named, and sends new ones a first heartbeat. Does nothing in a large
-    /// fleet.
+    /// Records peers that another peer's heartbeat named, and sends new ones a first heartbeat. Does nothing
+    /// in a large fleet.
     pub fn on_mentioned(&self, peers: impl IntoIterator<Item = SocketAddr>, now: Instant) {
         for peer in peers {
             if contacts_mentioned_peers(self.count()) && self.record_mentioned(peer, now) {
@@ -182,7 +188,8 @@
         }
     }
 
-    /// Records a peer that was named by the settings or by another peer; returns whether it had no record so far.
+    /// Records a peer that was named by the settings or by another peer; returns whether it had no record so
+    /// far.
     fn record_mentioned(&self, peer: SocketAddr, now: Instant) -> bool {
         let is_new = self.table.borrow_mut().on_mentioned(peer, now);
         is_new && !self.members.borrow().contains(peer)
@@ -197,8 +204,8 @@
         self.heartbeat_peers
             .borrow_mut()
             .retain(|_, at| is_recent(*at));
-        let heard = self.reported_size.get().filter(|(_, at)| is_recent(*at));
-        self.reported_size.set(heard);
+        let reported = self.reported_size.get().filter(|(_, at)| is_recent(*at));
+        self.reported_size.set(reported);
     }
 
     /// The addresses of all recorded peers, dead ones included.
@@ -209,8 +216,8 @@
         self.table.borrow().addresses()
     }
 
-    /// The live and ready peers, with the age of each one's last successful call to the store. `timeout` is the silence
-    /// after which a peer of a small fleet no longer counts as alive.
+    /// The live and ready peers, with the age of each one's last successful call to the store. `timeout` is
+    /// the silence after which a peer of a small fleet no longer counts as alive.
     pub fn ready(&self, now: Instant, timeout: Duration) -> Vec<ReadyPeer> {
         if self.is_large() {
             return self.ready_members(now);
@@ -253,8 +260,9 @@
         live.map(|(peer, _)| *peer).collect()
     }
 
-    /// The live and ready routers by which the limiter of each upstream is chosen. `own` is included if this router
-    /// `serves`, that is, if it is ready. `None` in a large fleet if the map is the same as that of the last call.
+    /// The live and ready routers by which the limiter of each upstream is chosen. `own` is included if this
+    /// router `serves`, that is, if it is ready. `None` in a large fleet if the map is the same as that of
+    /// the last call.
     pub fn limiter_map(
         &self,
         own: RouterPlace,
@@ -269,8 +277,8 @@
             data_centre: place.data_centre.clone(),
         };
         if self.is_large() {
-            let seen = self.limiter_inputs(serves, now);
-            if self.last_limiter_inputs.replace(Some(seen)) == Some(seen) {
+            let inputs = self.limiter_inputs(serves, now);
+            if self.last_limiter_inputs.replace(Some(inputs)) == Some(inputs) {
                 return None;
             }
         }
@@ -295,8 +303,8 @@
         }
     }
 
-    /// The directory for callers: addresses of live and ready routers. `own` is this router's address for callers, or
-    /// `None` while it is not ready.
+    /// The directory for callers: addresses of live and ready routers. `own` is this router's address for
+    /// callers, or `None` while it is not ready.
     pub fn addresses_for_callers(
         &self,
         own: Option<SocketAddr>,
@@ -313,8 +321,8 @@
         directory_addresses(own, ready, || members.last_known_ready())
     }
 
-    /// The peers' use of a service's retry budget: the total of their reports in a small fleet, and an estimate from the
-    /// reports of some of them in a large one.
+    /// The peers' use of a service's retry budget: the total of their reports in a small fleet, and an
+    /// estimate from the reports of some of them in a large one.
     pub fn budget_use(
         &self,
         service: &ServiceName,
@@ -350,8 +358,8 @@
     }
 
     /// The live peers with the version that `version` selects from each one's last report. Peers that are
-    /// recorded as dead are left out. In a large fleet, so are peers without a report within 10 s, and only those of
-    /// `own_data_centre` count as local.
+    /// recorded as dead are left out. In a large fleet, so are peers without a report within 10 s, and only
+    /// those of `own_data_centre` count as local.
     pub fn versions(
         &self,
         version: impl Fn(&PeerEntry) -> u64,
@@ -378,8 +386,8 @@
         versions.collect()
     }
 
-    /// Forwards a message that this router received for the first time. In a small fleet that is not necessary, because
-    /// the sender sent it to all peers.
+    /// Forwards a message that this router received for the first time. In a small fleet that is not
+    /// necessary, because the sender sent it to all peers.
     pub fn forward(&self, message: PeerMessage) {
         if self.is_large() {
             self.outbox.send(message, Recipients::ForwardTargets);
@@ -387,19 +395,19 @@
     }
 
     /// Wakes the loop that fetches this kind of data, because a peer has a newer version.
-    pub fn notify_newer_version(&self, watched: Watched) {
+    pub fn notify_newer_version(&self, watched: WatchedData) {
         self.newer_version_notify(watched).notify_one();
     }
 
     /// Waits until a peer reports a newer version of this kind of data.
-    pub async fn wait_for_newer_version(&self, watched: Watched) {
+    pub async fn wait_for_newer_version(&self, watched: WatchedData) {
         self.newer_version_notify(watched).notified().await;
     }
 
-    fn newer_version_notify(&self, watched: Watched) -> &Notify {
+    fn newer_version_notify(&self, watched: WatchedData) -> &Notify {
         match watched {
-            Watched::Configuration => &self.newer_configuration,
-            Watched::Upstreams => &self.newer_upstreams,
+            WatchedData::Configuration => &self.newer_configuration,
+            WatchedData::Upstreams => &self.newer_upstreams,
         }
     }
 }
--- a/crates/router/cloverpier_router/src/start.rs
+++ b/crates/router/cloverpier_router/src/start.rs
@@ -17,7 +17,7 @@
 use crate::source::ConfigurationSource;
 use crate::stop;
 use crate::store_sync;
-use crate::store_view::Watched;
+use crate::store_view::WatchedData;
 use crate::web::{bind, on_caller, on_directory, on_metrics, on_ready, serve};
 use cloverpier_observe::{LogProgress, NoFields};
 use cloverpier_router_policy::connection_reuse::IDLE_SWEEP_PERIOD;
@@ -69,7 +69,7 @@
     listen(&router).await?;
     start_store_loops(&router, Rc::new(source));
     singleton::start(&router, platform);
-    for watched in [Watched::Configuration, Watched::Upstreams] {
+    for watched in [WatchedData::Configuration, WatchedData::Upstreams] {
         spawn_local(peer_fetch::fetch_newer(Rc::clone(&router), watched));
     }
     spawn_local(resume::watch_resumes(Rc::clone(&router)));
--- a/crates/router/cloverpier_router/src/statements.rs
+++ b/crates/router/cloverpier_router/src/statements.rs
@@ -1,8 +1,9 @@
 //! Applies the statements that upstreams make about themselves in responses to any kind of call.
 //!
 //! Modules that receive responses pass them to [`Router::apply_query_statement`] or
-//! [`Router::apply_response_statement`], and do not depend on the effects. The platform's adapter decodes a statement,
-//! and `cloverpier_router_policy::statement` decides to which upstream it is attributed. Owns no state.
+//! [`Router::apply_response_statement`], and do not depend on the effects. The platform's adapter decodes a
+//! statement, and `cloverpier_router_policy::statement` decides to which upstream it is attributed. Owns no
+//! state.
 
 use crate::decision_log::log_dependency;
 use crate::leaving_reports;
@@ -37,8 +38,8 @@
 pub(crate) struct AppliedStatement {
     /// The decoded statement.
     pub statement: UpstreamStatement,
-    /// How the start time in the response compares with the newest known start time of the sender. `Same` if the sender
-    /// is unknown.
+    /// How the start time in the response compares with the newest known start time of the sender. `Same` if
+    /// the sender is unknown.
     pub start_order: StartOrder,
 }
 
@@ -58,27 +59,28 @@
         }
     }
 
-    /// Applies the statement in the head of the response to a caller's request. `verdict` is whether the response counts
-    /// as the response to this request.
+    /// Applies the statement in the head of the response to a caller's request. `validity` is whether the
+    /// response counts as the response to this request.
     pub(crate) fn apply_response_statement(
         &self,
         call: Call<'_>,
         head: &Parts,
-        verdict: &Result<(), AttemptFailure>,
+        validity: &Result<(), AttemptFailure>,
     ) -> UpstreamStatement {
         let statement = (self.wire_names.statement)(&AnswerParts {
             status: head.status,
             headers: &head.headers,
             body: None,
         });
-        let sender = sender_of_request_response(&call.upstream.name, &statement, verdict);
-        apply_statement(self, call, &statement, sender, verdict.is_ok());
+        let sender = sender_of_request_response(&call.upstream.name, &statement, validity);
+        apply_statement(self, call, &statement, sender, validity.is_ok());
         statement
     }
 }
 
-/// Applies a statement to its sender. `was_executed` is whether the sender executed a request, so that its response would
-/// contain a rate limit if there were one. A statement of an earlier process than the newest known one is ignored.
+/// Applies a statement to its sender. `was_executed` is whether the sender executed a request, so that its
+/// response would contain a rate limit if there were one. A statement of an earlier process than the newest
+/// known one is ignored.
 fn apply_statement(
     router: &Router,
     call: Call<'_>,
@@ -108,7 +110,8 @@
     order
 }
 
-/// The upstream that made a statement; `None` if the sender can't be determined or is not in the table of upstreams.
+/// The upstream that made a statement; `None` if the sender can't be determined or is not in the table of
+/// upstreams.
 fn sender_upstream(router: &Router, call: Call<'_>, sender: Sender) -> Option<Upstream> {
     match sender {
         Sender::Addressee => Some(call.upstream.clone()),
--- a/crates/router/cloverpier_router/src/store_events.rs
+++ b/crates/router/cloverpier_router/src/store_events.rs
@@ -1,18 +1,18 @@
-//! The consequences of new configurations, of failed and successful calls to the store, and of changed watcher roles:
-//! data is applied, peers are notified, and changes are logged.
+//! The consequences of new configurations, of failed and successful calls to the store, and of changed
+//! watcher roles: data is applied, peers are notified, and changes are logged.
 //!
-//! Owns no state; [`crate::store_view`] holds it. `cloverpier_router_policy::store_watch` decides which routers watch the
-//! store.
+//! Owns no state; [`crate::store_view`] holds it. `cloverpier_router_policy::store_watch` decides which
+//! routers watch the store.
 
 use crate::configuration_copies::ConfigurationWithCopies;
 use crate::decision_log::{VersionTaken, WatcherRoleChanged, log_dependency};
 use crate::router::Router;
-use crate::store_view::{StoreLoop, Watched};
+use crate::store_view::{StoreLoop, WatchedData};
 use cloverpier_router_policy::store_watch::{OwnWatcherState, max_backoff, watcher_role};
 use std::time::{Duration, Instant};
 
-/// Applies a configuration if it is newer than the one in force. Peers are notified at once, as they can fetch it from any
-/// router that has it. `from` is its source in the log line.
+/// Applies a configuration if it is newer than the one in force. Peers are notified at once, as they can
+/// fetch it from any router that has it. `from` is its source in the log line.
 pub(crate) fn apply_configuration(
     router: &Router,
     configuration: ConfigurationWithCopies,
@@ -25,12 +25,13 @@
         router.upstreams.borrow_mut().set_services(services);
         router.store.on_data_received(router.now());
         router.peers.outbox.schedule_heartbeat();
-        log_version(router, Watched::Configuration, version, from);
+        log_version(router, WatchedData::Configuration, version, from);
     }
 }
 
-/// Logs that a version of the configuration or of the upstreams was applied. `from` is its source: the store or a peer.
-pub(crate) fn log_version(router: &Router, watched: Watched, version: u64, from: &str) {
+/// Logs that a version of the configuration or of the upstreams was applied. `from` is its source: the store
+/// or a peer.
+pub(crate) fn log_version(router: &Router, watched: WatchedData, version: u64, from: &str) {
     let line = VersionTaken {
         what: watched.name(),
         version,
@@ -39,8 +40,8 @@
     router.log.info("version.taken", &line);
 }
 
-/// Records a failed call of a loop. The first of consecutive failures is logged, and peers are notified if no other call
-/// failed before.
+/// Records a failed call of a loop. The first of consecutive failures is logged, and peers are notified if no
+/// other call failed before.
 pub(crate) fn on_store_call_failed(router: &Router, store_loop: StoreLoop, reason: &str) {
     let was_failing = router.store.is_failing();
     if !router.store.set_failing(store_loop, true) {
@@ -49,8 +50,8 @@
     report_call_status_change(router, was_failing);
 }
 
-/// Records a successful call of a loop. The first success after failures is logged, and peers are notified if no other
-/// call fails.
+/// Records a successful call of a loop. The first success after failures is logged, and peers are notified if
+/// no other call fails.
 pub(crate) fn on_store_call_succeeded(router: &Router, store_loop: StoreLoop) {
     let was_failing = router.store.is_failing();
     if router.store.set_failing(store_loop, false) {
@@ -65,9 +66,9 @@
 }
 
 /// Records whether the store responds to pings. Peers are notified if that changes whether any call fails.
-pub(crate) fn on_ping_result(router: &Router, is_answered: bool) {
+pub(crate) fn on_ping_result(router: &Router, has_succeeded: bool) {
     let was_failing = router.store.is_failing();
-    router.store.set_pings_failing(!is_answered);
+    router.store.set_pings_failing(!has_succeeded);
     report_call_status_change(router, was_failing);
 }
 
@@ -78,7 +79,8 @@
     }
 }
 
-/// Decides this router's role as a watcher of the store again, and logs when this router starts or stops to watch.
+/// Decides this router's role as a watcher of the store again, and logs when this router starts or stops to
+/// watch.
 pub(crate) fn decide_watcher_role(router: &Router, now: Instant) {
     let peers = router.peers.ready(now, router.peer_timeout());
     let settings = router.settings();
--- a/crates/router/cloverpier_router/src/store_list.rs
+++ b/crates/router/cloverpier_router/src/store_list.rs
@@ -1,8 +1,9 @@
 //! Reads the whole list of upstreams from the platform's store, page by page.
 //!
-//! A read of a later page that fails because the store is unavailable is repeated for this page. A store under load, as when a whole
-//! fleet starts, rejects some of its calls; if each rejection restarted the list, a list of many pages would never be
-//! complete. [`crate::store_sync`] decides when this router reads. Owns no state.
+//! A read of a later page that fails because the store is unavailable is repeated for this page only. A store
+//! under load, as when a whole fleet starts, rejects some of its calls; if each rejection restarted the list,
+//! a list of many pages would never be complete. [`crate::store_sync`] decides when this router reads. Owns
+//! no state.
 
 use crate::router::Router;
 use crate::source::{
@@ -10,8 +11,8 @@
 };
 use crate::store_sync::Backoff;
 
-/// Reads the list. Returns `None` if `is_wanted` becomes false before the last page, as when a peer has delivered the
-/// list.
+/// Reads the list. Returns `None` if `is_wanted` becomes false before the last page, as when a peer has
+/// delivered the list.
 ///
 /// # Errors
 ///
@@ -52,7 +53,7 @@
     list: &mut UpstreamList,
     page: UpstreamPage,
 ) -> Result<Option<PagePosition>, SourceError> {
-    // The store was restored from an older state while the list was read.
+    // A page with an older revision shows that the store was restored from an older state.
     if page.revision < list.revision {
         return Err(SourceError::HistoryLost);
     }
--- a/crates/router/cloverpier_router/src/store_sync.rs
+++ b/crates/router/cloverpier_router/src/store_sync.rs
@@ -1,13 +1,14 @@
 //! The loops that watch the platform's store and keep this router's data up to date.
 //!
-//! There are four loops: one each for the configuration, the upstreams and the orders of roll-outs, and one that pings
-//! the store while the watches wait for changes. Each watching loop owns the revision up to which it has read.
-//! `cloverpier_router_policy::{store_watch, store_ping, first_read}` decide when to call the store, and how long to wait
-//! after a failure.
+//! There are four loops: one each for the configuration, the upstreams and the orders of roll-outs, and one
+//! that pings the store while the watches wait for changes. Each watching loop owns the revision up to which
+//! it has read. `cloverpier_router_policy::{store_watch, store_ping, first_read}` decide when to call the
+//! store, and how long to wait after a failure.
 //!
-//! After any failed call a loop reads all of its data again, and not only when the store reports that it has lost its
-//! history. A store that drops its history first ends all watches. A watch that is started between the two events, from
-//! the last known revision, can receive nothing for 5 s, so that a change and the shutdown of an upstream go unnoticed.
+//! After any failed call a loop reads all of its data again, and not only when the store reports that it has
+//! lost its history. A store that drops its history first ends all watches. A watch that is started between
+//! the two events, from the last known revision, can receive nothing for 5 s, so that a change and the
+//! shutdown of an upstream go unnoticed.
 
 use crate::configuration_copies::ConfigurationWithCopies;
 use crate::decision_log::log_dependency;
@@ -20,7 +21,7 @@
     on_store_call_succeeded,
 };
 use crate::store_list::read_list;
-use crate::store_view::{StoreLoop, StoreView, Watched};
+use crate::store_view::{StoreLoop, StoreView, WatchedData};
 use crate::upstream_updates::{apply_upstream_changes, apply_upstream_list, readable_changes};
 use cloverpier_core::jitter;
 use cloverpier_router_policy::first_read::{FirstRead, StartupState, first_read};
@@ -59,8 +60,8 @@
         on_store_call_succeeded(router, self.store_loop);
     }
 
-    /// Records a failed call. Then waits for a random time between half the pause and the whole, or until the loops are
-    /// woken, and doubles the next pause.
+    /// Records a failed call. Then waits for a random time between half the pause and the whole, or until the
+    /// loops are woken, and doubles the next pause.
     pub(crate) async fn after_failure(&mut self, router: &Router, error: &SourceError) {
         router.metrics.store_calls.count("failed");
         on_store_call_failed(router, self.store_loop, &error.to_string());
@@ -74,8 +75,8 @@
     }
 }
 
-/// Waits until this router may watch the store: it has served for long enough to have received other watchers' reports,
-/// and its role includes calls to the store.
+/// Waits until this router may watch the store: it has served for long enough to have received other
+/// watchers' reports, and its role includes calls to the store.
 async fn wait_until_may_watch(router: &Router) {
     loop {
         let woken = router.store.loops_woken();
@@ -89,11 +90,12 @@
     }
 }
 
-/// Interval at which a starting router that waits for data from a peer checks whether to read from the store instead.
+/// Interval at which a starting router that waits for data from a peer checks whether to read from the store
+/// instead.
 const FIRST_READ_PERIOD: Duration = Duration::from_millis(5);
 
-/// Waits until a peer has delivered the data (`has_data`), or this router should read the data from the store. `random`
-/// is [`StartupState::random`].
+/// Waits until a peer has delivered the data (`has_data`), or this router should read the data from the
+/// store. `random` is [`StartupState::random`].
 async fn wait_for_first_read(router: &Router, random: f64, has_data: impl Fn(&StoreView) -> bool) {
     while !has_data(&router.store) && !is_first_read_due(router, random) {
         router.timers.sleep(FIRST_READ_PERIOD).await;
@@ -121,7 +123,7 @@
 
 /// Reads and watches the configuration until the process ends.
 pub(crate) async fn watch_configuration(router: Rc<Router>, source: Rc<impl ConfigurationSource>) {
-    let mut backoff = Backoff::new(StoreLoop::Of(Watched::Configuration));
+    let mut backoff = Backoff::new(StoreLoop::Data(WatchedData::Configuration));
     let mut revision: Option<u64> = None;
     let random = router.rng.borrow_mut().f64();
     loop {
@@ -165,7 +167,7 @@
 
 /// Reads and watches the list of upstreams until the process ends.
 pub(crate) async fn watch_upstreams(router: Rc<Router>, source: Rc<impl ConfigurationSource>) {
-    let mut backoff = Backoff::new(StoreLoop::Of(Watched::Upstreams));
+    let mut backoff = Backoff::new(StoreLoop::Data(WatchedData::Upstreams));
     let mut revision: Option<u64> = None;
     let random = router.rng.borrow_mut().f64();
     loop {
@@ -173,8 +175,8 @@
         if router.store.has_upstreams() {
             wait_until_may_watch(&router).await;
             // Peers may have delivered newer changes than the last watch.
-            let known = router.upstreams.borrow().revision();
-            revision = revision.map(|at| at.max(known));
+            let current_revision = router.upstreams.borrow().revision();
+            revision = revision.map(|at| at.max(current_revision));
         }
         let result = match revision {
             None => read_upstreams(&router, &*source, &mut backoff, random).await,
@@ -201,8 +203,8 @@
     }
 }
 
-/// Reads and watches the orders of roll-outs until the process ends. Returns at once if the settings don't enable
-/// roll-outs.
+/// Reads and watches the orders of roll-outs until the process ends. Returns at once if the settings don't
+/// enable roll-outs.
 pub(crate) async fn watch_rollouts(router: Rc<Router>, source: Rc<impl ConfigurationSource>) {
     let mut backoff = Backoff::new(StoreLoop::Rollouts);
     let mut revision: Option<u64> = None;
@@ -238,15 +240,15 @@
     }
 }
 
-/// Reads and applies the whole list of upstreams. Returns its revision, or `None` if the read was abandoned because the
-/// list is no longer needed.
+/// Reads and applies the whole list of upstreams. Returns its revision, or `None` if the read was abandoned
+/// because the list is no longer needed.
 ///
-/// After the start, the orders of roll-outs are read first, because a router that has a new version's upstreams must
-/// already limit the requests that go there.
+/// After the start, the orders of roll-outs are read first, because a router that has a new version's
+/// upstreams must already limit the requests that go there.
 ///
-/// After the start, the list may be out of date: such a read costs a tenth of an up-to-date one, and peers and the watch
-/// deliver later changes. After a failed call the list replaces a watch that may have missed changes, so the list must be
-/// up to date.
+/// After the start, the list may be out of date: such a read costs a tenth of an up-to-date one, and peers
+/// and the watch deliver later changes. After a failed call the list replaces a watch that may have missed
+/// changes, so the list must be up to date.
 async fn read_upstreams(
     router: &Router,
     source: &impl ConfigurationSource,
@@ -294,11 +296,11 @@
     let count = changes.changes.len();
     if count > 0 {
         let from = format!("{FROM_STORE}, {count} changes");
-        let known = router.upstreams.borrow().revision();
+        let current_revision = router.upstreams.borrow().revision();
         let readable = readable_changes(&changes);
         apply_upstream_changes(router, changes, &from);
         // If peers can't be sent the changes, they are notified of the revision and fetch the changes.
-        if !broadcast_upstream_changes(router, known, revision, readable) {
+        if !broadcast_upstream_changes(router, current_revision, revision, readable) {
             router.peers.outbox.schedule_heartbeat();
         }
     }
@@ -330,14 +332,14 @@
         let result = ping(&router, &*source).await;
         pacing.on_result(result.is_ok(), role, live_routers(&router));
         match result {
-            Ok(()) => on_ping_answered(&router, &mut is_unresponsive),
+            Ok(()) => on_ping_succeeded(&router, &mut is_unresponsive),
             Err(error) => on_ping_failed(&router, &error, &mut is_unresponsive),
         }
     }
 }
 
-/// Pings the store once. Without a response within 150 ms, peers are notified that pings fail, before the ping's timeout
-/// of 500 ms.
+/// Pings the store once. Without a response within 150 ms, peers are notified that pings fail, before the
+/// ping's timeout of 500 ms.
 async fn ping(router: &Router, source: &impl ConfigurationSource) -> Result<(), SourceError> {
     let mut ping = pin!(source.ping(PING_TIMEOUT));
     if let Ok(result) = router
@@ -359,7 +361,7 @@
     }
 }
 
-fn on_ping_answered(router: &Router, is_unresponsive: &mut bool) {
+fn on_ping_succeeded(router: &Router, is_unresponsive: &mut bool) {
     router.metrics.store_calls.count("ping-answered");
     if std::mem::take(is_unresponsive) {
         // A store that did not respond may also have dropped the pending watches.
@@ -368,8 +370,8 @@
     let was_fresh = router.store.is_fresh(router.now());
     router.store.on_success(router.now());
     on_ping_result(router, true);
-    on_store_call_succeeded(router, StoreLoop::Of(Watched::Configuration));
-    on_store_call_succeeded(router, StoreLoop::Of(Watched::Upstreams));
+    on_store_call_succeeded(router, StoreLoop::Data(WatchedData::Configuration));
+    on_store_call_succeeded(router, StoreLoop::Data(WatchedData::Upstreams));
     on_store_call_succeeded(router, StoreLoop::Rollouts);
     if !was_fresh {
         router.store.wake_loops();
--- a/crates/router/cloverpier_router/src/store_view.rs
+++ b/crates/router/cloverpier_router/src/store_view.rs
@@ -1,9 +1,9 @@
 //! The data that this router has from the platform's store, and the state of its calls to the store.
 //!
-//! [`StoreView`] owns the configuration in force, whether a list of upstreams has been received since the start, this
-//! router's role as a watcher of the store, and whether its calls fail at present. Only a newer version replaces the
-//! configuration. [`crate::store_events`] carries out the consequences of changes, and [`crate::store_sync`] runs the
-//! loops that call the store.
+//! [`StoreView`] owns the configuration in force, whether a list of upstreams has been received since the
+//! start, this router's role as a watcher of the store, and whether its calls fail at present. Only a newer
+//! version replaces the configuration. [`crate::store_events`] carries out the consequences of changes, and
+//! [`crate::store_sync`] runs the loops that call the store.
 
 use crate::configuration_copies::ConfigurationWithCopies;
 use cloverpier_router_policy::prelude::*;
@@ -16,14 +16,14 @@
 
 /// A kind of data that routers read from the store, watch there, and fetch from each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Watched {
-    /// The configuration.
+pub(crate) enum WatchedData {
+    /// The routes, services, client accounts and limits, which have one common version.
     Configuration,
     /// The list of upstreams.
     Upstreams,
 }
 
-impl Watched {
+impl WatchedData {
     /// The name of the data in log lines.
     pub fn name(self) -> &'static str {
         match self {
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StoreLoop {
     /// The loop for data that routers also fetch from each other.
-    Of(Watched),
+    Data(WatchedData),
     /// The loop for orders of roll-outs, which routers send each other in datagrams.
     Rollouts,
 }
@@ -46,7 +46,7 @@
     /// The name of the watched data in log lines.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Of(watched) => watched.name(),
+            Self::Data(watched) => watched.name(),
             Self::Rollouts => "rollouts",
         }
     }
@@ -64,18 +64,21 @@
     role: Cell<WatcherRole>,
     /// When a call to the store last succeeded; `None` before the first.
     last_success: Cell<Option<Instant>>,
-    /// Whether the last call of the loop for the configuration failed; the next two are the same for the other loops.
+    /// Whether the last call for the configuration failed, and no ping succeeded since.
     configuration_fails: Cell<bool>,
+    /// Whether the last call for the upstreams failed, and no ping succeeded since.
     upstreams_fail: Cell<bool>,
+    /// Whether the last call for the orders of roll-outs failed, and no ping succeeded since.
     rollouts_fail: Cell<bool>,
+    /// Whether the last ping failed, or is without a response for 150 ms.
     pings_fail: Cell<bool>,
     /// Cancels pending watches, which a store that did not respond may have dropped.
     watch_restart: Notify,
-    /// Wakes the loops that call the store when the role has changed, when this router starts to serve, or when the
-    /// store responds again.
+    /// Wakes the loops that call the store when the role has changed, when this router starts to serve, or
+    /// when the store responds again.
     loop_wake: Notify,
-    /// Wakes the requests that are held during the start, when this router starts to serve or a loop's calls begin to
-    /// fail.
+    /// Wakes the requests that are held during the start, when this router starts to serve or a loop's calls
+    /// begin to fail.
     held_requests_woken: Notify,
 }
 
@@ -142,8 +145,8 @@
         self.on_data_received(now);
     }
 
-    /// Records the start of serving, once configuration and upstreams have both been received, and wakes what waits for
-    /// it.
+    /// Records the start of serving, once configuration and upstreams have both been received, and wakes what
+    /// waits for it.
     pub fn on_data_received(&self, now: Instant) {
         if self.is_serving() && self.serving_since.get().is_none() {
             self.serving_since.set(Some(now));
@@ -167,7 +170,7 @@
         self.last_success.get()
     }
 
-    /// Whether calls or pings fail at present.
+    /// Whether the last call of any loop or the last ping failed.
     pub fn is_failing(&self) -> bool {
         let watches = [
             &self.configuration_fails,
@@ -182,7 +185,7 @@
         !self.is_failing() && self.last_success.get().is_some_and(|at| is_fresh(now, at))
     }
 
-    /// Records a successful call.
+    /// Records the time of a successful call or ping.
     pub fn on_success(&self, now: Instant) {
         self.last_success.set(Some(now));
     }
@@ -218,8 +221,8 @@
         true
     }
 
-    /// Records whether the calls of a loop fail, and returns whether they failed before. Wakes held requests when the calls
-    /// begin to fail.
+    /// Records whether the calls of a loop fail, and returns whether they failed before. Wakes held requests
+    /// when the calls begin to fail.
     pub fn set_failing(&self, store_loop: StoreLoop, fails: bool) -> bool {
         let was_failing = self.failing_cell(store_loop).replace(fails);
         if fails && !was_failing {
@@ -240,8 +243,8 @@
 
     fn failing_cell(&self, store_loop: StoreLoop) -> &Cell<bool> {
         match store_loop {
-            StoreLoop::Of(Watched::Configuration) => &self.configuration_fails,
-            StoreLoop::Of(Watched::Upstreams) => &self.upstreams_fail,
+            StoreLoop::Data(WatchedData::Configuration) => &self.configuration_fails,
+            StoreLoop::Data(WatchedData::Upstreams) => &self.upstreams_fail,
             StoreLoop::Rollouts => &self.rollouts_fail,
         }
     }
--- a/crates/router/cloverpier_router/src/successors.rs
+++ b/crates/router/cloverpier_router/src/successors.rs
@@ -1,9 +1,9 @@
 //! Adds the successors of dead upstreams, and notifies peers of them.
 //!
-//! A successor is a process that responds under another name at the address of a dead upstream, its predecessor.
-//! `cloverpier_router_policy::successor` decides whether it must belong to the same service. This module adds such a
-//! process to the table of upstreams and applies the reports of peers. Relies on [`crate::health`] for the time of the
-//! predecessor's last response. Owns no state.
+//! A successor is a process that responds under another name at the address of a dead upstream, its
+//! predecessor. `cloverpier_router_policy::successor` decides whether it must belong to the same service.
+//! This module adds such a process to the table of upstreams and applies the reports of peers. Relies on
+//! [`crate::health`] for the time of the predecessor's last response. Owns no state.
 
 use crate::crashes::record;
 use crate::outbox::Recipients;
@@ -15,8 +15,8 @@
 use cloverpier_router_policy::successor::{must_be_same_service, successor_deadline};
 use std::time::Instant;
 
-/// Makes the checks of a dead upstream more frequent while its successor can still be accepted. Does nothing if no
-/// response of the upstream to a request has arrived here.
+/// Makes the checks of a dead upstream more frequent while its successor can still be accepted. Does nothing
+/// if no response of the upstream to a request has arrived here.
 pub(crate) fn schedule_successor_checks(router: &Router, upstream: &Upstream) {
     let Some(last_response) = last_response(router, upstream, router.now()) else {
         return;
@@ -31,12 +31,12 @@
     router.health.of(upstream, now).last_own_answer.get()
 }
 
-/// Records that a process responds at an upstream's address under another name, and adds it as the successor if it must
-/// belong to the same service.
+/// Records that a process responds at an upstream's address under another name, and adds it as the successor
+/// if it must belong to the same service.
 ///
-/// Peers are notified, as each of them would otherwise have to send a request to the dead upstream to detect this. Without
-/// the notice, 74 routers send 540 requests to a wrong process in 9 s, while the engines of two data centres have
-/// restarted and the store is unreachable.
+/// Peers are notified, as each of them would otherwise have to send a request to the dead upstream to detect
+/// this. Without the notice, 74 routers send 540 requests to a wrong process in 9 s, while the engines of two
+/// data centres have restarted and the store is unreachable.
 pub(crate) fn on_name_mismatch(
     router: &Router,
     predecessor: &Upstream,
@@ -78,8 +78,8 @@
     router.peers.outbox.send(message, Recipients::All);
 }
 
-/// The assumed entry of the process that responds at the predecessor's address; `None` if it need not belong to the same
-/// service, or if its name is unknown.
+/// The assumed entry of the process that responds at the predecessor's address; `None` if it need not belong
+/// to the same service, or if its name is unknown.
 fn successor(
     router: &Router,
     predecessor: &Upstream,
@@ -109,7 +109,7 @@
         router,
         &successor.predecessor,
         &upstream,
-        "responds to a peer",
+        "process responds to a peer",
     ) {
         router.peers.forward(PeerMessage::Successor(successor));
     }
@@ -129,14 +129,14 @@
     }
 }
 
-/// Adds a successor that is not on the platform's list yet; returns false if it was added or listed before. `how` is the
-/// evidence for the log line.
-fn add(router: &Router, predecessor: &UpstreamName, upstream: &Upstream, how: &str) -> bool {
+/// Adds a successor that is not on the platform's list yet; returns false if it was added or listed before.
+/// `evidence` describes in the log line how the successor was found.
+fn add(router: &Router, predecessor: &UpstreamName, upstream: &Upstream, evidence: &str) -> bool {
     let mut table = router.upstreams.borrow_mut();
     let is_new = table.add_successor(predecessor, upstream.clone());
     drop(table);
     if is_new {
-        let reason = format!("{how} in place of {predecessor}");
+        let reason = format!("{evidence} in place of {predecessor}");
         log_upstream_change(&router.log, "server.restarted", upstream, &reason, 0);
     }
     is_new
--- a/crates/router/cloverpier_router/src/upstream_log.rs
+++ b/crates/router/cloverpier_router/src/upstream_log.rs
@@ -1,4 +1,5 @@
-//! Log lines for changes of an upstream's recorded state: suspected dead, replaced, leaving, or paused for a time.
+//! Log lines for changes of an upstream's recorded state: suspected dead, replaced, leaving, or paused for a
+//! time.
 //!
 //! Relies on [`crate::decision_log`] for the fields of the lines. Owns no state.
 
@@ -9,8 +10,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Logs a change of an upstream's state with its reason. `silent_ms` is for how many milliseconds the upstream had been
-/// silent or suspected, or 0 where that does not apply.
+/// Logs a change of an upstream's state with its reason. `silent_ms` is for how many milliseconds the
+/// upstream had been silent or suspected, or 0 where that does not apply.
 pub(crate) fn log_upstream_change(
     log: &Log,
     event: &'static str,
@@ -30,16 +31,16 @@
 /// The source of the announcement that an upstream leaves.
 pub(crate) enum LeavingSource<'a> {
     /// The upstream's response to this call.
-    Answer(Via<'a>),
+    Response(Via<'a>),
     /// The report of the peer with this address.
     Peer(SocketAddr),
 }
 
-/// Logs that an upstream leaves, with the source of the announcement. `age_ms` is the time since the announcement reached
-/// the first router.
+/// Logs that an upstream leaves, with the source of the announcement. `age_ms` is the time since the
+/// announcement reached the first router.
 pub(crate) fn log_leaving(log: &Log, upstream: &Upstream, source: &LeavingSource<'_>, age_ms: u64) {
     let (via, request, peer) = match source {
-        LeavingSource::Answer(via) => (via.word(), via.request(), None),
+        LeavingSource::Response(via) => (via.word(), via.request(), None),
         LeavingSource::Peer(peer) => ("peer", None, Some(peer.to_string())),
     };
     let line = LeavingLearned {
--- a/crates/router/cloverpier_router/src/upstream_updates.rs
+++ b/crates/router/cloverpier_router/src/upstream_updates.rs
@@ -1,7 +1,8 @@
 //! Applies lists and changes of upstreams from the store or from peers.
 //!
-//! The table of upstreams (`cloverpier_router_policy::upstream_table`) decides their effect on upstreams. This module
-//! carries out the consequences for restarted upstreams, roll-outs and the revision in force. Owns no state.
+//! The table of upstreams (`cloverpier_router_policy::upstream_table`) decides their effect on upstreams.
+//! This module carries out the consequences for restarted upstreams, roll-outs and the revision in force.
+//! Owns no state.
 
 use crate::decision_log::log_dependency;
 use crate::restart;
@@ -9,11 +10,11 @@
 use crate::router::Router;
 use crate::source::{ReadChange, UnreadableEntry, UpstreamChanges, UpstreamList};
 use crate::store_events::log_version;
-use crate::store_view::Watched;
+use crate::store_view::WatchedData;
 use cloverpier_router_policy::prelude::*;
 
-/// Applies a whole list of upstreams unless it is older than the one in force. Unreadable entries are logged and count as
-/// missing. `from` is the source of the list in the log line.
+/// Applies a whole list of upstreams unless it is older than the one in force. Unreadable entries are logged
+/// and count as missing. `from` is the source of the list in the log line.
 pub(crate) fn apply_upstream_list(router: &Router, list: UpstreamList, from: &str) {
     log_unreadable(router, &list.unreadable);
     let now = router.now();
@@ -24,12 +25,12 @@
     rollouts::on_listed(router, &applied, now);
     if applied.is_new {
         router.store.on_upstreams_received(now);
-        log_version(router, Watched::Upstreams, list.revision, from);
+        log_version(router, WatchedData::Upstreams, list.revision, from);
     }
 }
 
-/// The changes as the table of upstreams takes them. An entry that became unreadable counts as removed, or is left out if
-/// its name is unreadable, too.
+/// The changes as the table of upstreams takes them. An entry that became unreadable counts as removed, or is
+/// left out if its name is unreadable, too.
 pub(crate) fn readable_changes(changes: &UpstreamChanges) -> Vec<UpstreamChange> {
     let readable = changes.changes.iter().filter_map(|change| match change {
         ReadChange::Readable(change) => Some(change.clone()),
@@ -38,8 +39,8 @@
     readable.collect()
 }
 
-/// Applies changes of upstreams if their revision is newer than the one in force. Does not notify peers, whom the next
-/// heartbeat informs of the revision.
+/// Applies changes of upstreams if their revision is newer than the one in force. Does not notify peers, whom
+/// the next heartbeat informs of the revision.
 pub(crate) fn apply_upstream_changes(router: &Router, changes: UpstreamChanges, from: &str) {
     let readable = readable_changes(&changes);
     let unreadable = changes
@@ -57,7 +58,7 @@
     restart::on_restarted(router, &applied.restarted, now);
     rollouts::on_listed(router, &applied, now);
     if applied.is_new {
-        log_version(router, Watched::Upstreams, changes.revision, from);
+        log_version(router, WatchedData::Upstreams, changes.revision, from);
     }
 }
 
--- a/crates/router/cloverpier_router/tests/gossip_messages.rs
+++ b/crates/router/cloverpier_router/tests/gossip_messages.rs
@@ -1,7 +1,8 @@
 //! The encoding of messages in large fleets, and their maximum size.
 //!
-//! Each golden file has to decode to the value in its test, and the value has to encode to the same bytes. Otherwise
-//! routers of different releases can't decode each other's messages. The longest messages have to fit into a datagram.
+//! Each golden file has to decode to the value in its test, and the value has to encode to the same bytes.
+//! Otherwise routers of different releases can't decode each other's messages. The longest messages have to
+//! fit into a datagram.
 
 use cloverpier_core::DataCentre;
 use cloverpier_router::peer_messages::{
--- a/crates/router/cloverpier_router/tests/peer_messages.rs
+++ b/crates/router/cloverpier_router/tests/peer_messages.rs
@@ -1,7 +1,7 @@
 //! The encoding of messages between routers in small and large fleets.
 //!
-//! Each golden file has to decode to the value in its test, and the value has to encode to the same bytes. Otherwise
-//! routers of different releases can't decode each other's messages.
+//! Each golden file has to decode to the value in its test, and the value has to encode to the same bytes.
+//! Otherwise routers of different releases can't decode each other's messages.
 
 use cloverpier_core::{DataCentre, ServiceName, SoftwareVersion, UpstreamName};
 use cloverpier_crashes::prelude::*;
--- a/tools/src/crash_play/reports.rs
+++ b/tools/src/crash_play/reports.rs
@@ -75,7 +75,7 @@
     fn tell(&mut self, from: usize, reports: Vec<ContentReport>, to: &[usize]) {
         let sender = SocketAddr::from(([10, 0, 0, 1], 7_104));
         for contents in split_into_messages(reports) {
-            let message = PeerMessage::Crashes(CrashReports {
+            let message = PeerMessage::CrashReports(CrashReports {
                 sender,
                 contents: contents.clone(),
             });
--- a/tools/src/gossip_play/world.rs
+++ b/tools/src/gossip_play/world.rs
@@ -317,7 +317,7 @@
         let now = self.moment();
         match message {
             PeerMessage::Gossip(gossip) => self.on_gossip(index, gossip),
-            PeerMessage::AskMembers(peer) => {
+            PeerMessage::MembersRequest(peer) => {
                 for members in self.routers[index].members.on_members_request(now) {
                     let sender = address(index);
                     let message = PeerMessage::Members(Members { sender, members });
@@ -373,7 +373,7 @@
             self.send(index, PeerMessage::Gossip(message), vec![sender]);
         }
         if reply.request_members {
-            let ask = PeerMessage::AskMembers(address(index));
+            let ask = PeerMessage::MembersRequest(address(index));
             self.send(index, ask, vec![sender]);
         }
     }
--- a/tools/src/statement_play/reports.rs
+++ b/tools/src/statement_play/reports.rs
@@ -29,7 +29,7 @@
     fn tell(&mut self, from: usize, reports: &[LeavingReport], to: &[usize]) {
         let sender = SocketAddr::from(([10, 0, 0, 1], 7_104));
         for upstreams in split_into_messages(reports) {
-            let message = PeerMessage::Leavings(LeavingReports {
+            let message = PeerMessage::LeavingReports(LeavingReports {
                 sender,
                 upstreams: upstreams.clone(),
             });
