--- a/crates/router/cloverpier_router/src/datagrams.rs
+++ b/crates/router/cloverpier_router/src/datagrams.rs
@@ -38,7 +38,7 @@
 
     /// Sets the socket to send from.
     pub fn attach(&self, socket: Rc<UdpSocket>) {
-        // A router binds its port once. If it did twice, the first socket would stay in use.
+        // A router binds its port once. With a second call, the first socket stays in use.
         let _ = self.socket.set(socket);
     }
 
--- a/crates/router/cloverpier_router/src/gossip.rs
+++ b/crates/router/cloverpier_router/src/gossip.rs
@@ -90,7 +90,7 @@
     send_gossip(router, &targets, false, now);
 }
 
-/// Sends new peers a first gossip message, to which they reply.
+/// Sends new peers a first gossip message, to which they reply if their release has gossip.
 pub(crate) fn send_first_gossip(router: &Router, to: &[SocketAddr], now: Instant) {
     send_gossip(router, to, true, now);
 }
--- a/crates/router/cloverpier_router/src/limit_reports.rs
+++ b/crates/router/cloverpier_router/src/limit_reports.rs
@@ -48,7 +48,8 @@
     }
 }
 
-/// Sends reports of all limits to a peer that may have missed some. Of all routers, about 16 random ones do.
+/// Sends reports of all limits to a peer that may have missed some, if this router is one of the about 16
+/// routers that are selected at random to do so.
 pub(crate) fn send_missed_if_selected(router: &Router, peer: SocketAddr) {
     let reports = reports(router);
     if !reports.is_empty() && sends_missed_facts(router.peers.count(), &mut router.rng.borrow_mut())
--- a/crates/router/cloverpier_router/src/peers.rs
+++ b/crates/router/cloverpier_router/src/peers.rs
@@ -26,9 +26,8 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// How long a large fleet's routers' reports about themselves are valid: their use of retry budgets, their
-/// versions, their number of members, and that they send heartbeats. It usually equals the window of retry
-/// budgets.
+/// How long a router's report about itself is valid in a large fleet: its use of retry budgets, its versions,
+/// its number of members, and that it sends heartbeats. This time usually equals the window of retry budgets.
 const LARGE_FLEET_REPORT_TTL: Duration = Duration::from_secs(10);
 
 /// The inputs to the limiter map of a large fleet. While they are unchanged, the map is, too.
--- a/crates/router/cloverpier_router/src/store_view.rs
+++ b/crates/router/cloverpier_router/src/store_view.rs
@@ -210,7 +210,7 @@
         self.loop_wake.notified().await;
     }
 
-    /// Replaces the configuration; returns false, and changes nothing, if the one in force is as new.
+    /// Replaces the configuration; returns false, and changes nothing, if the one in force is at least as new.
     pub fn set_configuration(&self, configuration: ConfigurationWithCopies) -> bool {
         if self.configuration.borrow().is_some()
             && self.configuration_version() >= configuration.index().version()
