--- a/crates/router/cloverpier_router/src/configuration_copies.rs
+++ b/crates/router/cloverpier_router/src/configuration_copies.rs
@@ -1,9 +1,9 @@
-//! The configuration in force, and the bytes in which peers get it.
+//! The configuration in force, with its encoded copies for peers.
 //!
-//! Owns both. The bytes are written once for each version, however many peers ask, or are
-//! those that a peer sent; they are written beside the thread that serves
-//! ([`crate::background`]). A peer of a release that does not ask for compressed bytes gets
-//! plain ones.
+//! [`ConfigurationWithCopies`] owns both. Each version is encoded once, for all peers that request it, or not
+//! at all if this router received its encoded bytes from a peer. Large configurations are encoded and decoded
+//! on a background thread ([`crate::background`]), so that they don't delay requests. Peers whose requests
+//! don't accept compression, as those of old releases, receive an uncompressed copy.
 
 use crate::background::run_in_background;
 use crate::peer_messages::{CodecError, compress, decode, decompress, encode};
@@ -12,29 +12,31 @@
 use std::sync::Arc;
 use tokio::sync::OnceCell;
 
-/// Bytes that a route takes in a plain copy, about: more where its names are longer.
-const ROUTE_BYTES: usize = 100;
+/// Approximate size in bytes of a route in an uncompressed copy; routes with long names take more.
+const ESTIMATED_ROUTE_BYTES: usize = 100;
 
-/// How the bytes are encoded.
+/// The content encoding of a copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum CopyEncoding {
-    /// As the codec writes them.
+    /// Uncompressed `MessagePack`.
     Plain,
-    /// Compressed with `gzip`.
+    /// `MessagePack` compressed with `gzip`.
     Compressed,
 }
 
-/// A configuration, indexed, with the bytes of its copies.
+/// An indexed configuration, with its encoded copies for peers.
 #[derive(Debug)]
-pub(crate) struct HeldConfiguration {
+pub(crate) struct ConfigurationWithCopies {
     index: Arc<ConfigurationIndex>,
+    /// The uncompressed copy; empty until a peer sent or requested it.
     plain: OnceCell<Bytes>,
+    /// The compressed copy; empty until a peer sent or requested it.
     compressed: OnceCell<Bytes>,
 }
 
-impl HeldConfiguration {
-    /// Indexes a configuration that was read elsewhere.
-    pub async fn index(configuration: Configuration) -> Self {
+impl ConfigurationWithCopies {
+    /// Indexes a configuration, as read from the store, without any copy.
+    pub async fn from_configuration(configuration: Configuration) -> Self {
         let size = estimated_bytes(&configuration);
         let index = move || Arc::new(ConfigurationIndex::new(configuration));
         Self {
@@ -44,14 +46,14 @@
         }
     }
 
-    /// Reads a copy, and keeps its bytes for other peers.
+    /// Decodes and indexes a copy from a peer, and keeps its bytes for other peers.
     ///
     /// # Errors
     ///
-    /// [`CodecError`] for bytes that are no copy.
-    pub async fn read(bytes: Bytes, encoding: CopyEncoding) -> Result<Self, CodecError> {
+    /// [`CodecError`] if the bytes are not a configuration in this encoding.
+    pub async fn from_copy(bytes: Bytes, encoding: CopyEncoding) -> Result<Self, CodecError> {
         let copy = bytes.clone();
-        let index = run_in_background(bytes.len(), move || read_index(&copy, encoding));
+        let index = run_in_background(bytes.len(), move || decode_index(&copy, encoding));
         let index = index.await?;
         let kept = OnceCell::new_with(Some(bytes));
         let (plain, compressed) = match encoding {
@@ -65,16 +67,16 @@
         })
     }
 
-    /// The configuration, for requests.
-    pub fn configuration(&self) -> &Arc<ConfigurationIndex> {
+    /// The indexed configuration, by which requests are routed.
+    pub fn index(&self) -> &Arc<ConfigurationIndex> {
         &self.index
     }
 
-    /// The bytes for a peer; written by the first call.
+    /// The copy in this encoding, which the first call encodes.
     ///
     /// # Errors
     ///
-    /// [`CodecError`] if they cannot be written.
+    /// [`CodecError`] if the configuration can't be encoded or compressed.
     pub async fn copy(&self, encoding: CopyEncoding) -> Result<Bytes, CodecError> {
         let cell = match encoding {
             CopyEncoding::Plain => &self.plain,
@@ -83,18 +85,21 @@
         let write = || {
             let index = Arc::clone(&self.index);
             let size = estimated_bytes(index.unindexed());
-            run_in_background(size, move || write_copy(index.unindexed(), encoding))
+            run_in_background(size, move || encode_copy(index.unindexed(), encoding))
         };
         cell.get_or_try_init(write).await.cloned()
     }
 }
 
-/// Bytes of a plain copy, about; what is not a route is small.
+/// Approximate size in bytes of an uncompressed copy. Only routes are counted, as the rest is small.
 fn estimated_bytes(configuration: &Configuration) -> usize {
-    configuration.routes.len() * ROUTE_BYTES
+    configuration.routes.len() * ESTIMATED_ROUTE_BYTES
 }
 
-fn read_index(bytes: &[u8], encoding: CopyEncoding) -> Result<Arc<ConfigurationIndex>, CodecError> {
+fn decode_index(
+    bytes: &[u8],
+    encoding: CopyEncoding,
+) -> Result<Arc<ConfigurationIndex>, CodecError> {
     let configuration: Configuration = match encoding {
         CopyEncoding::Plain => decode(bytes)?,
         CopyEncoding::Compressed => decode(&decompress(bytes)?)?,
@@ -102,8 +107,8 @@
     Ok(Arc::new(ConfigurationIndex::new(configuration)))
 }
 
-fn write_copy(parts: &Configuration, encoding: CopyEncoding) -> Result<Bytes, CodecError> {
-    let plain = encode(parts)?;
+fn encode_copy(configuration: &Configuration, encoding: CopyEncoding) -> Result<Bytes, CodecError> {
+    let plain = encode(configuration)?;
     match encoding {
         CopyEncoding::Plain => Ok(plain.into()),
         CopyEncoding::Compressed => compress(&plain),
--- a/crates/router/cloverpier_router/src/engine_query.rs
+++ b/crates/router/cloverpier_router/src/engine_query.rs
@@ -64,7 +64,9 @@
             via,
             sent: sent_at,
         };
-        let start = router.hear(call, http_response.parts()).start;
+        let start = router
+            .apply_query_statement(call, http_response.parts())
+            .start_order;
         return Ok(EngineResponse {
             response: http_response,
             is_of_previous_incarnation: start == StartOrder::Older,
--- a/crates/router/cloverpier_router/src/gossip.rs
+++ b/crates/router/cloverpier_router/src/gossip.rs
@@ -1,8 +1,8 @@
-//! Gossip of a large fleet: sends and receives what replaces heartbeats there.
+//! Sending and receiving of gossip, which replaces heartbeats in a large fleet.
 //!
-//! Who is sent what, who is probed and who lives is decided in
-//! `cloverpier_router_policy::{membership, watcher_reports}`; [`crate::heartbeats`] has the loop that
-//! sends. Owns no state: [`crate::peers`] does.
+//! `cloverpier_router_policy::{membership, watcher_reports}` decide the recipients and contents of messages,
+//! which routers are probed and which are alive. [`crate::heartbeats`] runs the loop that sends. Owns no
+//! state; [`crate::peers`] holds the members and the reports of watchers.
 
 use crate::crashes::reports as crash_reports;
 use crate::decision_log::log_dependency;
@@ -15,7 +15,7 @@
 use crate::router::Router;
 use crate::source::{EntryChange, UpstreamChanges};
 use crate::store_events::decide_watcher_role;
-use crate::store_view::Watched;
+use crate::store_view::WatchedData;
 use crate::upstream_updates::apply_upstream_changes;
 use cloverpier_router_policy::heartbeat::MAX_DATAGRAM;
 use cloverpier_router_policy::membership::{
@@ -27,45 +27,48 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Suspects in one message: suspicions count for a second only.
+/// Maximum number of suspected upstreams in one gossip message. A peer's suspicion is valid for a second
+/// only.
 const MAX_SUSPECTS: usize = 16;
-/// Bytes that a datagram's envelope and the sender's address take at most.
-const ENVELOPE: usize = 64;
+/// Maximum number of bytes that a message's envelope and its sender's address take. Routers that forward a
+/// message replace the address by their own, which may be longer.
+const MAX_ENVELOPE_BYTES: usize = 64;
 
-/// Sends what is due in each period: gossip, and probes of silent predecessors.
+/// Does the work of one gossip interval: sends gossip, probes silent predecessors on the ring, and declares
+/// those dead that did not reply. `was_paused` is whether this process was paused before.
 pub(crate) fn send_period(router: &Router, was_paused: bool, now: Instant) {
     let peers = &router.peers;
     peers.members.borrow_mut().set_own_state(router.state());
-    let step = peers
+    let check = peers
         .members
         .borrow_mut()
         .check_predecessors(was_paused, now);
-    for dead in &step.dead {
+    for dead in &check.dead {
         log_dependency(
             &router.log,
             "peer.dead",
             &dead.to_string(),
-            "no answer to probes",
+            "no reply to probes",
         );
     }
-    note_own_beat(router, now);
+    record_own_report(router, now);
     let targets = {
         let mut rng = router.rng.borrow_mut();
         peers.members.borrow_mut().targets(&mut rng)
     };
     send_gossip(router, &targets, false, now);
-    if !step.probe.is_empty() {
-        send_gossip(router, &step.probe, true, now);
+    if !check.probe.is_empty() {
+        send_gossip(router, &check.probe, true, now);
     }
 }
 
-/// Sends at once that routers end.
-pub(crate) fn send_ended(router: &Router) {
+/// Sends an urgent report of leaving and dead routers.
+pub(crate) fn send_departures(router: &Router) {
     let (members, targets) = {
-        let mut known = router.peers.members.borrow_mut();
-        let ended = known.take_departures();
-        let targets = known.urgent_targets(&mut router.rng.borrow_mut());
-        (ended, targets)
+        let mut membership = router.peers.members.borrow_mut();
+        let departures = membership.take_departures();
+        let targets = membership.urgent_targets(&mut router.rng.borrow_mut());
+        (departures, targets)
     };
     let message = Members {
         sender: router.settings().listen.peers,
@@ -76,9 +79,10 @@
         .send(&PeerMessage::Members(message), &targets);
 }
 
-/// Sends something urgent at once: a version, or that the store is not reached any more.
+/// Sends gossip outside of the interval, because a version has changed or this watcher's calls to the store
+/// fail or succeed again.
 pub(crate) fn send_urgent(router: &Router, now: Instant) {
-    note_own_beat(router, now);
+    record_own_report(router, now);
     let targets = {
         let members = router.peers.members.borrow();
         members.urgent_targets(&mut router.rng.borrow_mut())
@@ -86,30 +90,35 @@
     send_gossip(router, &targets, false, now);
 }
 
-/// Sends a router that has just begun, or was not known, a first message.
-pub(crate) fn send_greeting(router: &Router, to: &[SocketAddr], now: Instant) {
+/// Sends new peers a first gossip message, to which they reply if their release has gossip.
+pub(crate) fn send_first_gossip(router: &Router, to: &[SocketAddr], now: Instant) {
     send_gossip(router, to, true, now);
 }
 
-/// Records what this router says of itself as a watcher, if it is one.
-fn note_own_beat(router: &Router, now: Instant) {
+/// Records this router's own report as a watcher of the store, if it is one, so that gossip messages contain
+/// it.
+fn record_own_report(router: &Router, now: Instant) {
     let Some(store_age_ms) = store_age_ms(router, now) else {
         return;
     };
-    let beat = WatcherReport {
+    let report = WatcherReport {
         router: router.settings().listen.peers,
-        number: router.peers.next_beat(),
+        number: router.peers.next_report_number(),
         store_age_ms,
     };
-    router.peers.beats.borrow_mut().on_report(beat, now);
+    router
+        .peers
+        .watcher_reports
+        .borrow_mut()
+        .on_report(report, now);
 }
 
 fn send_gossip(router: &Router, to: &[SocketAddr], wants_reply: bool, now: Instant) {
-    let message = gossip(router, wants_reply, now);
+    let message = gossip_message(router, wants_reply, now);
     router.datagrams.send(&PeerMessage::Gossip(message), to);
 }
 
-fn gossip(router: &Router, wants_reply: bool, now: Instant) -> Gossip {
+fn gossip_message(router: &Router, wants_reply: bool, now: Instant) -> Gossip {
     let table = router.upstreams.borrow();
     let mut suspects = table.suspects();
     suspects.truncate(MAX_SUSPECTS);
@@ -122,21 +131,21 @@
         digest: members.digest(),
         configuration_version: router.store.configuration_version(),
         upstreams_revision: table.revision(),
-        watchers: router.peers.beats.borrow().for_message(now),
+        watchers: router.peers.watcher_reports.borrow().for_message(now),
         suspects,
         budget_use: router.budget_use(now),
         updates,
     }
 }
 
-/// Applies a router's message.
+/// Applies a gossip message and replies to it.
 pub(crate) fn on_gossip(router: &Router, gossip: Gossip, now: Instant) {
     let sender = gossip.sender.router;
     if sender == router.settings().listen.peers {
         return;
     }
-    router.peers.on_gossip(sender);
-    router.peers.on_heard_size(gossip.members as usize, now);
+    router.peers.remove_heartbeat_peer(sender);
+    router.peers.on_reported_size(gossip.members as usize, now);
     on_suspects(router, &gossip.suspects, now);
     let has_newer_upstreams = gossip.upstreams_revision > router.upstreams.borrow().revision();
     let has_newer_configuration =
@@ -145,21 +154,23 @@
     record_entry(router, &gossip, now);
     if reply.is_new_or_changed {
         crash_reports::send_missed_if_selected(router, sender);
-        leaving_reports::greet_newcomer(router, sender);
-        limit_reports::greet_newcomer(router, sender);
+        leaving_reports::send_missed_if_selected(router, sender);
+        limit_reports::send_missed_if_selected(router, sender);
     }
     send_reply(router, sender, reply, now);
-    apply_beats(router, &gossip.watchers, now);
+    apply_watcher_reports(router, &gossip.watchers, now);
     if has_newer_configuration {
-        router.peers.on_newer_version(Watched::Configuration);
+        router
+            .peers
+            .notify_newer_version(WatchedData::Configuration);
     }
     if has_newer_upstreams {
-        router.peers.on_newer_version(Watched::Upstreams);
+        router.peers.notify_newer_version(WatchedData::Upstreams);
     }
 }
 
 fn apply_members(router: &Router, gossip: &Gossip, now: Instant) -> GossipReply {
-    let seen = ReceivedGossip {
+    let received = ReceivedGossip {
         sender: &gossip.sender,
         wants_reply: gossip.wants_reply,
         members: gossip.members as usize,
@@ -167,14 +178,14 @@
         updates: &gossip.updates,
     };
     let mut members = router.peers.members.borrow_mut();
-    let reply = members.on_gossip(seen, &mut router.rng.borrow_mut(), now);
+    let reply = members.on_gossip(received, &mut router.rng.borrow_mut(), now);
     if members.has_departures() {
         router.peers.outbox.wake();
     }
     reply
 }
 
-/// Records the sender's versions and its use of the budget, as of a heartbeat.
+/// Records the sender's versions and its use of retry budgets, as if they came in a heartbeat.
 fn record_entry(router: &Router, gossip: &Gossip, now: Instant) {
     let MemberState::Alive(state) = gossip.sender.state else {
         return;
@@ -186,7 +197,7 @@
         last_heartbeat: now,
         configuration_version: gossip.configuration_version,
         upstreams_revision: gossip.upstreams_revision,
-        // What it says of the store is among the beats.
+        // The sender's store age is in its watcher report.
         store_age: None,
         budget_use: gossip.budget_use.clone(),
     };
@@ -196,7 +207,7 @@
 fn send_reply(router: &Router, to: SocketAddr, reply: GossipReply, now: Instant) {
     let own = router.settings().listen.peers;
     let outbox = &router.peers.outbox;
-    let send = |message| outbox.send(message, Recipients::These(vec![to]));
+    let send = |message| outbox.send(message, Recipients::Only(vec![to]));
     if let Some(update) = reply.dead_update {
         send(PeerMessage::Members(Members {
             sender: own,
@@ -204,29 +215,30 @@
         }));
     }
     if reply.send_gossip {
-        let mut message = gossip(router, false, now);
+        let mut message = gossip_message(router, false, now);
         message.updates.extend(reply.sample);
         send(PeerMessage::Gossip(message));
     }
     if reply.request_members {
-        send(PeerMessage::AskMembers(own));
+        send(PeerMessage::MembersRequest(own));
     }
 }
 
-/// Sends a router that knows fewer all members.
-pub(crate) fn on_ask_members(router: &Router, asking: SocketAddr, now: Instant) {
+/// Sends the member list to a router that requested it, unless a list was sent to any router within 200 ms.
+pub(crate) fn on_members_request(router: &Router, requester: SocketAddr, now: Instant) {
     let sender = router.settings().listen.peers;
-    let parts = router.peers.members.borrow_mut().on_members_request(now);
-    for members in parts {
+    let messages = router.peers.members.borrow_mut().on_members_request(now);
+    for members in messages {
         let message = PeerMessage::Members(Members { sender, members });
         router
             .peers
             .outbox
-            .send(message, Recipients::These(vec![asking]));
+            .send(message, Recipients::Only(vec![requester]));
     }
 }
 
-/// Takes members that a router was asked for, or what it says of this one.
+/// Applies member updates: a list that this router requested, a report of leaving and dead routers, or the
+/// notice that this router is recorded as dead.
 pub(crate) fn on_members(router: &Router, message: Members, now: Instant) {
     let mut members = router.peers.members.borrow_mut();
     members.on_members(message.members, now);
@@ -235,28 +247,30 @@
     }
 }
 
-/// Takes what watchers of the store said; the roles are decided anew where it says something else.
-fn apply_beats(router: &Router, beats: &[WatcherReport], now: Instant) {
+/// Applies reports of watchers. If one of them changes whether a watcher reaches the store, decides this
+/// router's role again and sends gossip at once.
+fn apply_watcher_reports(router: &Router, watcher_reports: &[WatcherReport], now: Instant) {
     let mut is_urgent = false;
     let peers = router.peers.count();
-    for beat in beats {
-        let mut known = router.peers.beats.borrow_mut();
-        let former = known.store_age(beat.router, now);
-        if known.on_report(*beat, now) {
-            let present = known.store_age(beat.router, now);
-            is_urgent |= affects_watcher_roles(former, present, peers);
+    for report in watcher_reports {
+        let mut recorded = router.peers.watcher_reports.borrow_mut();
+        let previous = recorded.store_age(report.router, now);
+        if recorded.on_report(*report, now) {
+            let present = recorded.store_age(report.router, now);
+            is_urgent |= affects_watcher_roles(previous, present, peers);
         }
     }
     if is_urgent {
         decide_watcher_role(router, now);
-        // Others learn it from this router without waiting for its next period.
-        router.peers.outbox.report_version();
+        // Forwards the report without waiting for the next gossip interval.
+        router.peers.outbox.schedule_heartbeat();
     }
 }
 
-/// Has changes that this router read from the store sent to all; false where they are too many, or
-/// orders of roll-outs have to come with them.
-pub(crate) fn spread_upstreams(
+/// Queues changes that this router read from the store for all peers. Returns false without queueing them in
+/// a small fleet, if they don't fit into one datagram, or if there are orders of roll-outs: these have to
+/// arrive together with new upstreams, which only a fetch ensures.
+pub(crate) fn broadcast_upstream_changes(
     router: &Router,
     after: u64,
     revision: u64,
@@ -273,11 +287,11 @@
     };
     let message = PeerMessage::UpstreamUpdate(update);
     match encode(&message) {
-        Ok(bytes) if bytes.len() + ENVELOPE <= MAX_DATAGRAM => {
+        Ok(bytes) if bytes.len() + MAX_ENVELOPE_BYTES <= MAX_DATAGRAM => {
             router.peers.outbox.send(message, Recipients::All);
             true
         }
-        // Whoever learns of the revision fetches them.
+        // Peers fetch these changes when this router reports the new revision.
         Ok(_) => false,
         Err(error) => {
             log_dependency(&router.log, "peer.unsent", "peers", &error.to_string());
@@ -286,15 +300,15 @@
     }
 }
 
-/// Applies changes that a router passed on, and passes them on.
+/// Applies changes that a router sent or forwarded, and forwards them.
 pub(crate) fn on_upstream_update(router: &Router, update: UpstreamUpdate) {
-    let known = router.upstreams.borrow().revision();
-    if update.revision <= known || !router.store.knows_upstreams() {
+    let current_revision = router.upstreams.borrow().revision();
+    if update.revision <= current_revision || !router.store.has_upstreams() {
         return;
     }
-    if update.after > known {
-        // Something before it was missed.
-        router.peers.on_newer_version(Watched::Upstreams);
+    if update.after > current_revision {
+        // This router lacks earlier changes, and fetches all of them.
+        router.peers.notify_newer_version(WatchedData::Upstreams);
         return;
     }
     let changes = UpstreamChanges {
@@ -310,10 +324,10 @@
     apply_upstream_changes(router, changes, &from);
     let sender = router.settings().listen.peers;
     let message = UpstreamUpdate { sender, ..update };
-    router.peers.pass_on(PeerMessage::UpstreamUpdate(message));
+    router.peers.forward(PeerMessage::UpstreamUpdate(message));
 }
 
-/// What a heartbeat of a release that knows no gossip says of its sender.
+/// The member update for the sender of a heartbeat, which contains no stamp.
 pub(crate) fn member_of(entry: &PeerEntry, peer: SocketAddr) -> MemberUpdate {
     MemberUpdate {
         router: peer,
--- a/crates/router/cloverpier_router/src/heartbeats.rs
+++ b/crates/router/cloverpier_router/src/heartbeats.rs
@@ -1,8 +1,12 @@
-//! Sends heartbeats and changes to peers; [`crate::peer_reports`] receives theirs.
+//! The loop that sends this router's messages to its peers: heartbeats, changes and queued messages.
 //!
-//! Datagrams, as a lost one costs little: the next heartbeat repeats everything. Who is sent
-//! what, and how much of it, is decided in `cloverpier_router_policy::heartbeat`; the shapes
-//! are [`crate::peer_messages`]'s. Owns when what is due next, and the turn among peers.
+//! Messages are datagrams; the loss of a heartbeat needs no retransmission, because the next one repeats the
+//! whole state. `cloverpier_router_policy::heartbeat` decides the recipients and the bounds on the contents,
+//! and [`crate::peer_messages`] defines the messages. In a large fleet, [`crate::gossip`] replaces
+//! heartbeats. [`crate::peer_reports`] receives peers' messages.
+//!
+//! Owns the times of the next heartbeat and of the next decision on watcher roles, and the rotation of
+//! heartbeats among peers.
 
 use crate::crashes::reports as crash_reports;
 use crate::gossip;
@@ -26,18 +30,18 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A period that begins so late means that this process was paused, so that others' silence says
-/// nothing.
-const PAUSED: Duration = Duration::from_millis(300);
-/// After this time a router knows most members of a large fleet.
-const SETTLED_AFTER: Duration = Duration::from_secs(4);
-/// How often roles are decided in a large fleet from then on.
-const LARGE_ROLE_PERIOD: Duration = Duration::from_secs(1);
+/// If a sending interval starts later than planned by more than this, the process was paused, and the silence
+/// of other routers is no evidence that they have failed.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(300);
+/// How long after its start a router has received most members of a large fleet.
+const MEMBER_DISCOVERY_TIME: Duration = Duration::from_secs(4);
+/// Interval at which a router of a large fleet decides its watcher role after [`MEMBER_DISCOVERY_TIME`].
+const LARGE_FLEET_ROLE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Sends heartbeats and changes until the process ends.
+/// Sends heartbeats, changes and queued messages until the process ends.
 pub(crate) async fn send_messages(router: Rc<Router>) {
     router.datagrams.ready().await;
-    let mut sender = Sender::new(router);
+    let mut sender = MessageSender::new(router);
     loop {
         sender.send_due();
         sender.send_pending();
@@ -45,69 +49,72 @@
     }
 }
 
-/// Sends what is due and what waits.
-struct Sender {
+/// The state of the loop that sends.
+struct MessageSender {
     router: Rc<Router>,
-    turn: HeartbeatRotation,
-    roles: RoleTurn,
+    rotation: HeartbeatRotation,
+    roles: RoleDecisionTimer,
+    /// When the next heartbeat or gossip message is due.
     next_period: Instant,
+    /// When the seeds from the settings are added to the peers again.
     next_seeds: Instant,
 }
 
-impl Sender {
-    /// A sender for which everything is due.
+impl MessageSender {
+    /// Creates a sender whose periodic work is due at once.
     fn new(router: Rc<Router>) -> Self {
         let now = router.now();
         Self {
             router,
-            turn: HeartbeatRotation::default(),
-            roles: RoleTurn::default(),
+            rotation: HeartbeatRotation::default(),
+            roles: RoleDecisionTimer::default(),
             next_period: now,
             next_seeds: now,
         }
     }
 
-    /// Sends what is due by the time, or since a version has changed.
+    /// Does the periodic work that is due. If none is, and a version or the reported store age has changed,
+    /// sends heartbeats to some peers.
     fn send_due(&mut self) {
         let now = self.router.now();
         if now >= self.next_seeds {
-            mention_seeds(&self.router, now);
+            add_seeds(&self.router, now);
             self.next_seeds = now + SEED_PERIOD;
         }
         if now >= self.next_period {
             self.begin_period(now);
             self.next_period = now + period(&self.router);
         } else if self.router.peers.outbox.take_heartbeat_due() {
-            send_versions(&self.router, now);
+            send_early_heartbeats(&self.router, now);
         }
     }
 
     fn begin_period(&mut self, now: Instant) {
         let router = &self.router;
-        forget_old(router, now);
+        remove_expired(router, now);
         if self.roles.is_due(router, now) {
             decide_watcher_role(router, now);
         }
-        let was_paused = now.saturating_duration_since(self.next_period) > PAUSED;
-        send_period(router, &mut self.turn, was_paused, now);
+        let was_paused = now.saturating_duration_since(self.next_period) > PAUSE_THRESHOLD;
+        send_period(router, &mut self.rotation, was_paused, now);
         crash_reports::repeat(router, now);
         leaving_reports::repeat(router, now);
         limit_reports::repeat(router, now);
-        note_live_routers(router, now);
+        update_limiters(router, now);
     }
 
-    /// Sends what waits for the next round.
+    /// Sends the queued messages and reports.
     fn send_pending(&self) {
         let router = &self.router;
         let now = router.now();
-        if router.peers.is_large() && router.peers.may_send_ended(now) {
-            gossip::send_ended(router);
+        if router.peers.is_large() && router.peers.start_departure_report(now) {
+            gossip::send_departures(router);
         }
-        let new_peers = router.peers.outbox.take_new(MAX_NEW_PEERS_PER_ROUND);
+        let new_peers = router.peers.outbox.take_new_peers(MAX_NEW_PEERS_PER_ROUND);
         if !new_peers.is_empty() {
             send_heartbeat(router, &new_peers, MENTIONED_TO_NEW_PEER, now);
-            // One that belongs to a large fleet answers this.
-            gossip::send_greeting(router, &new_peers, now);
+            // A router of a large fleet replies to gossip, not to heartbeats.
+            gossip::send_first_gossip(router, &new_peers, now);
         }
         for (message, to) in router.peers.outbox.drain_outgoing() {
             router.datagrams.send(&message, &recipients(router, to));
@@ -119,8 +126,8 @@
     }
 }
 
-/// Tells the part that hands out permits which routers live.
-fn note_live_routers(router: &Router, now: Instant) {
+/// Updates the routers by which the limiter of each rate-limited upstream is chosen.
+fn update_limiters(router: &Router, now: Instant) {
     let settings = router.settings();
     let own = RouterLocation {
         router: settings.listen.peers,
@@ -133,7 +140,7 @@
     router.upstream_limits.on_period(map, timeout, &table);
 }
 
-/// How often heartbeats or gossip are sent.
+/// Interval between heartbeats, a setting, or between gossip messages in a large fleet.
 fn period(router: &Router) -> Duration {
     if router.peers.is_large() {
         GOSSIP_PERIOD
@@ -142,20 +149,24 @@
     }
 }
 
-/// When the roles of watchers are decided anew.
+/// Limits how often this router decides its role as a watcher of the store.
 #[derive(Default)]
-struct RoleTurn {
+struct RoleDecisionTimer {
+    /// When [`RoleDecisionTimer::is_due`] last returned true; `None` before.
     last: Option<Instant>,
 }
 
-impl RoleTurn {
-    /// With each heartbeat; in a large fleet, where that takes a look at each member, less often once
-    /// most members are known: what watchers say of themselves has them decided at once, too.
+impl RoleDecisionTimer {
+    /// Whether a decision is due; called at each sending interval. In a small fleet it always is. In a large
+    /// fleet, a decision goes over all members, so it is due once a second after the first 4 s. That is
+    /// enough, because reports of watchers that change the roles cause a decision at once.
     fn is_due(&mut self, router: &Router, now: Instant) -> bool {
         let passed = |at: Instant| now.saturating_duration_since(at);
-        let is_recent = self.last.is_some_and(|at| passed(at) < LARGE_ROLE_PERIOD);
-        let is_settled = passed(router.lifecycle.started()) > SETTLED_AFTER;
-        if router.peers.is_large() && is_recent && is_settled {
+        let is_recent = self
+            .last
+            .is_some_and(|at| passed(at) < LARGE_FLEET_ROLE_PERIOD);
+        let has_discovered_members = passed(router.lifecycle.started()) > MEMBER_DISCOVERY_TIME;
+        if router.peers.is_large() && is_recent && has_discovered_members {
             return false;
         }
         self.last = Some(now);
@@ -163,28 +174,29 @@
     }
 }
 
-/// Sends what is due in each period: heartbeats, or gossip in a large fleet.
-fn send_period(router: &Router, turn: &mut HeartbeatRotation, was_paused: bool, now: Instant) {
+/// Sends the heartbeats of one interval. In a large fleet, sends gossip, and heartbeats to the peers without
+/// gossip.
+fn send_period(router: &Router, rotation: &mut HeartbeatRotation, was_paused: bool, now: Instant) {
     let serves_peers = serves_peers(router, now);
     let is_large = router.peers.is_large();
     let peers = if is_large {
         gossip::send_period(router, was_paused, now);
-        router.peers.plain_peers()
+        router.peers.heartbeat_peers()
     } else {
         router.peers.addresses()
     };
     if !peers.is_empty() {
-        let peers = turn.next_peers(peers, serves_peers);
+        let peers = rotation.next_peers(peers, serves_peers);
         send_heartbeat(router, &peers, MENTIONED_PEERS, now);
     }
 }
 
-/// Tells some peers at once that a version has changed.
-fn send_versions(router: &Router, now: Instant) {
+/// Sends heartbeats or gossip to some peers at once, because a version or the reported store age has changed.
+fn send_early_heartbeats(router: &Router, now: Instant) {
     let serves_peers = serves_peers(router, now);
     let peers = if router.peers.is_large() {
         gossip::send_urgent(router, now);
-        router.peers.plain_peers()
+        router.peers.heartbeat_peers()
     } else {
         router.peers.addresses()
     };
@@ -194,16 +206,16 @@
     }
 }
 
-/// Waits for the next period, or for a change that peers are to be sent at once.
+/// Waits for the next sending interval, or until a message is queued.
 async fn wait_for_change(router: &Router, next_period: Instant) {
     let sent = router.now();
-    if !router.peers.outbox.has_new() {
+    if !router.peers.outbox.has_new_peers() {
         tokio::select! {
-            () = router.peers.outbox.state_changed() => {}
+            () = router.peers.outbox.sender_woken() => {}
             () = router.timers.sleep_until(next_period) => return,
         }
     }
-    // What comes close together goes in one round.
+    // Messages that are queued within 10 ms are sent in one round.
     router.timers.sleep_until(sent + MIN_SEND_PAUSE).await;
 }
 
@@ -211,17 +223,17 @@
     let peers = &router.peers;
     let mut rng = router.rng.borrow_mut();
     match to {
-        // Whoever gets it passes it on.
+        // The recipients forward the message.
         Recipients::All if peers.is_large() => peers.members.borrow().flood_roots(&mut rng),
         Recipients::All => peers.addresses(),
-        Recipients::Many => change_recipients(peers.addresses(), &mut rng),
-        Recipients::Few => version_recipients(peers.addresses(), false, &mut rng),
-        Recipients::Next => peers.members.borrow().flood_targets(&mut rng),
-        Recipients::These(peers) => peers,
+        Recipients::LargeSample => change_recipients(peers.addresses(), &mut rng),
+        Recipients::SmallSample => version_recipients(peers.addresses(), false, &mut rng),
+        Recipients::ForwardTargets => peers.members.borrow().flood_targets(&mut rng),
+        Recipients::Only(peers) => peers,
     }
 }
 
-fn mention_seeds(router: &Router, now: Instant) {
+fn add_seeds(router: &Router, now: Instant) {
     let settings = router.settings();
     let own = settings.listen.peers;
     let seeds = settings.seeds.iter().copied();
@@ -229,12 +241,12 @@
     router.peers.on_seeds(others, now);
 }
 
-fn forget_old(router: &Router, now: Instant) {
+fn remove_expired(router: &Router, now: Instant) {
     let ttl = load_ttl(router.peer_timeout());
     let mut table = router.upstreams.borrow_mut();
     table.peer_load.remove_expired(now, ttl);
-    router.peers.forget_old(now);
-    router.list_copies.borrow_mut().forget_old(now);
+    router.peers.remove_expired(now);
+    router.list_copies.borrow_mut().remove_expired(now);
 }
 
 fn serves_peers(router: &Router, now: Instant) -> bool {
@@ -242,25 +254,25 @@
     store.role().serves_peers(store.last_success(), now)
 }
 
-fn send_heartbeat(router: &Router, peers: &[SocketAddr], mentions: usize, now: Instant) {
-    let message = PeerMessage::Heartbeat(heartbeat(router, mentions, now));
+fn send_heartbeat(router: &Router, peers: &[SocketAddr], mention_count: usize, now: Instant) {
+    let message = PeerMessage::Heartbeat(heartbeat(router, mention_count, now));
     router.datagrams.send(&message, peers);
 }
 
-/// Load and prompts of this router's streams, for peers. It is empty unless each change of it
-/// reaches all peers: otherwise engines are asked ([`cloverpier_router_policy::load_query`]).
+/// The load and prompts of this router's streams, for heartbeats. Empty in a large fleet, in which changes
+/// don't reach all peers, and routers query the engines instead ([`cloverpier_router_policy::load_query`]).
 #[derive(Default)]
 struct StreamReport {
     load: Vec<(UpstreamKey, Load)>,
     prompt_locations: Vec<(PromptKey, UpstreamKey)>,
 }
 
-/// As many entries as one message may hold.
+/// The first 64 entries, the maximum in one message, converted by `entry`.
 fn first_entries<T, R>(entries: Vec<T>, entry: impl Fn(T) -> R) -> Vec<R> {
     entries.into_iter().take(MAX_ENTRIES).map(entry).collect()
 }
 
-fn heartbeat(router: &Router, mentions: usize, now: Instant) -> Heartbeat {
+fn heartbeat(router: &Router, mention_count: usize, now: Instant) -> Heartbeat {
     let settings = router.settings();
     let table = router.upstreams.borrow();
     let peers = router.peers.addresses();
@@ -286,23 +298,25 @@
         load: first_entries(streams.load, LoadReport::new),
         suspects,
         prompt_locations: first_entries(streams.prompt_locations, |location| location),
-        known_peers: rng.choose_multiple(peers, mentions),
+        known_peers: rng.choose_multiple(peers, mention_count),
         budget_use: router.budget_use(now),
     }
 }
 
-/// The age of the last successful call to the store, as it is reported to peers.
+/// The age of the last successful call to the store in milliseconds, as it is reported to peers; `None` if
+/// this router does not watch the store.
 pub(crate) fn store_age_ms(router: &Router, now: Instant) -> Option<u32> {
     let store = &router.store;
     let peers = router.peers.count();
     let (role, last) = (store.role(), store.last_success());
-    let age = reported_store_age(role, last, store.fails(), peers, now);
-    // An age beyond 49 days is as good as 49 days.
+    let age = reported_store_age(role, last, store.is_failing(), peers, now);
+    // u32 milliseconds hold 49 days; a longer age has the same consequences.
     age.map(|age| u32::try_from(age.as_millis()).unwrap_or(u32::MAX))
 }
 
-/// What peers are to be sent at once, if anything: suspicions, and while that reaches all of them,
-/// changes of load and new locations of prompts.
+/// The change to send in this round: suspicions, and in a small fleet also changed load and new prompt
+/// locations. `None` if no upstream has changed, or in a large fleet if none of the changed ones is
+/// suspected.
 fn next_change(router: &Router) -> Option<Change> {
     let changed = changed_upstreams(router);
     let prompt_locations = router.peers.outbox.drain_prompt_locations();
@@ -327,7 +341,7 @@
     })
 }
 
-/// The upstreams of which something is to be reported, each once.
+/// Removes and returns the upstreams to report, without duplicates and at most 64.
 fn changed_upstreams(router: &Router) -> Vec<UpstreamName> {
     let mut changed = router.peers.outbox.drain_changed_upstreams();
     changed.sort_unstable();
--- a/crates/router/cloverpier_router/src/peer_fetch.rs
+++ b/crates/router/cloverpier_router/src/peer_fetch.rs
@@ -1,21 +1,22 @@
-//! Newer configurations and upstreams, fetched from other routers over HTTP.
+//! Fetches of newer configurations and lists of upstreams from other routers over HTTP.
 //!
-//! Two loops, one for each, so that neither waits for the other. Each owns how its fetches
-//! went. Whom to ask, and when, is decided in `cloverpier_router_policy::version_fetch`; the
-//! shapes are [`crate::peer_messages`]'s, and [`crate::peer_serve`] is the other side.
+//! One loop fetches configurations and another one upstreams, so that neither waits for the other. Each loop
+//! owns its connections to peers and the results of its last fetches.
+//! `cloverpier_router_policy::version_fetch` decides from which peer to fetch, and when;
+//! [`crate::peer_serve`] serves the requests, and [`crate::peer_messages`] defines the replies.
 
-use crate::configuration_copies::{CopyEncoding, HeldConfiguration};
+use crate::configuration_copies::{ConfigurationWithCopies, CopyEncoding};
 use crate::decision_log::{FetchFailed, VersionFetched, ms};
 use crate::http_client::{CallError, HttpAnswer, HttpClient, LargeBounds};
 use crate::peer_messages::{CodecError, UpstreamsReply, decode, decompress};
 use crate::peer_serve::{
-    CONFIGURATION_PATH, GZIP, UPSTREAMS_PATH, UPSTREAMS_WITH_STARTS, encoding_of, wait_of,
+    CONFIGURATION_PATH, GZIP, UPSTREAMS_PATH, UPSTREAMS_WITH_STARTS, encoding_of, retry_delay,
 };
 use crate::rollouts;
 use crate::router::Router;
 use crate::source::{EntryChange, UpstreamChanges, UpstreamList};
 use crate::store_events::apply_configuration;
-use crate::store_view::Watched;
+use crate::store_view::WatchedData;
 use crate::upstream_updates::{apply_upstream_changes, apply_upstream_list};
 use cloverpier_core::jitter;
 use cloverpier_router_policy::prelude::*;
@@ -31,34 +32,35 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A peer did not hand out a version.
+/// The fetch of a newer version from a peer failed.
 #[derive(Debug, Snafu)]
 enum FetchError {
-    /// The call failed.
+    /// The HTTP call failed.
     #[snafu(display("{source}"))]
     Call { source: CallError },
-    /// The answer cannot be read.
+    /// The body of the peer's reply can't be decoded.
     #[snafu(display("{source}"))]
     Codec { source: CodecError },
-    /// The peer hands out other copies at present.
-    #[snafu(display("busy for {wait:?}"))]
+    /// The peer refused the request, because its link is busy with other copies, and accepts requests again
+    /// after `wait`.
+    #[snafu(display("the peer is busy for {wait:?}"))]
     Busy { wait: Duration },
-    /// The peer does not hand out a version.
-    #[snafu(display("the peer answered {status}"))]
+    /// The peer replied with an unexpected status, such as 404 from a router that has no version yet.
+    #[snafu(display("the peer replied with status {status}"))]
     Status { status: StatusCode },
-    /// What came is not newer than what is in force here.
-    #[snafu(display("what the peer sent is not newer"))]
+    /// The fetched version is not newer than the version in force here.
+    #[snafu(display("the version from the peer is not newer"))]
     NotNewer,
 }
 
-/// Fetches newer versions of one kind from peers, until the process ends.
-pub(crate) async fn fetch_newer(router: Rc<Router>, watched: Watched) {
+/// Fetches newer configurations or upstreams, as `watched` selects, from peers until the process ends.
+pub(crate) async fn fetch_newer(router: Rc<Router>, watched: WatchedData) {
     let mut fetcher = Fetcher {
         router,
         watched,
         sources: match watched {
-            Watched::Configuration => FetchSources::default(),
-            Watched::Upstreams => FetchSources::with_remote_delay(REMOTE_FETCH_DELAY),
+            WatchedData::Configuration => FetchSources::default(),
+            WatchedData::Upstreams => FetchSources::with_remote_delay(REMOTE_FETCH_DELAY),
         },
         clients: HashMap::new(),
         is_failing: false,
@@ -66,17 +68,17 @@
     loop {
         let router = &fetcher.router;
         tokio::select! {
-            () = router.peers.newer_version_seen(watched) => {}
+            () = router.peers.wait_for_newer_version(watched) => {}
             () = router.timers.sleep(compare_period(router)) => {}
         }
         if router.store.role().watches() && router.store.is_serving() {
             router.timers.sleep(STORE_HEAD_START).await;
         }
-        fetcher.catch_up().await;
+        fetcher.fetch_until_current().await;
     }
 }
 
-/// How often versions are compared without a sign of a newer one.
+/// Interval at which versions are compared with those of peers even if no peer has reported a newer one.
 fn compare_period(router: &Router) -> Duration {
     if router.peers.is_large() {
         LARGE_FLEET_COMPARE_PERIOD
@@ -85,35 +87,38 @@
     }
 }
 
-/// One of the two loops.
+/// The state of the loop that fetches one kind of data.
 struct Fetcher {
     router: Rc<Router>,
-    watched: Watched,
+    /// The kind of data that this loop fetches.
+    watched: WatchedData,
+    /// The peers that are avoided after a failed fetch or a refusal.
     sources: FetchSources,
-    /// Connections to peers, one each, kept until a fetch fails.
+    /// One client for each peer, removed when a fetch from the peer fails.
     clients: HashMap<SocketAddr, Rc<HttpClient>>,
-    /// Whether the last fetch failed.
+    /// Whether the last fetch failed; a refusal does not count.
     is_failing: bool,
 }
 
 impl Fetcher {
     /// Fetches until no live peer has a newer version.
-    async fn catch_up(&mut self) {
+    async fn fetch_until_current(&mut self) {
         loop {
             match self.next_step() {
                 FetchStep::UpToDate => return,
                 FetchStep::Wait(wait) => self.pause(wait).await,
                 FetchStep::Fetch(peer) => {
                     self.fetch_from(peer).await;
-                    self.gather().await;
+                    self.pause_after_fetch().await;
                 }
             }
         }
     }
 
-    /// Has the next changes of upstreams come together, in a large fleet.
-    async fn gather(&self) {
-        if self.watched == Watched::Upstreams && self.router.peers.is_large() {
+    /// Pauses after a fetch of upstreams in a large fleet, so that the next fetch returns all changes of that
+    /// time.
+    async fn pause_after_fetch(&self) {
+        if self.watched == WatchedData::Upstreams && self.router.peers.is_large() {
             self.router.timers.sleep(UPSTREAM_FETCH_PAUSE).await;
         }
     }
@@ -122,24 +127,28 @@
         let router = &self.router;
         let (now, timeout) = (router.now(), router.peer_timeout());
         let version = |peer: &PeerEntry| match self.watched {
-            Watched::Configuration => peer.configuration_version,
-            Watched::Upstreams => peer.upstreams_revision,
+            WatchedData::Configuration => peer.configuration_version,
+            WatchedData::Upstreams => peer.upstreams_revision,
         };
-        let home = &router.settings().data_centre;
-        let peers = router.peers.versions(version, home, now, timeout);
+        let own_data_centre = &router.settings().data_centre;
+        let peers = router
+            .peers
+            .versions(version, own_data_centre, now, timeout);
         let mut rng = router.rng.borrow_mut();
-        self.sources.step(self.known(), peers, now, &mut rng)
+        self.sources
+            .step(self.current_version(), peers, now, &mut rng)
     }
 
-    fn known(&self) -> u64 {
+    /// The version of the configuration, or the revision of the upstreams, in force at this router.
+    fn current_version(&self) -> u64 {
         match self.watched {
-            Watched::Configuration => self.router.store.configuration_version(),
-            Watched::Upstreams => self.router.upstreams.borrow().revision(),
+            WatchedData::Configuration => self.router.store.configuration_version(),
+            WatchedData::Upstreams => self.router.upstreams.borrow().revision(),
         }
     }
 
-    /// Waits as long as peers are busy, and up to as long again: whoever else was refused
-    /// waits for the same moment.
+    /// Waits for a random time between `wait` and twice as long, because all routers that the busy peers
+    /// refused wait for the same moment.
     async fn pause(&self, wait: Duration) {
         let spread = jitter(&mut self.router.rng.borrow_mut(), wait * 2);
         self.router.timers.sleep(spread).await;
@@ -147,13 +156,13 @@
 
     async fn fetch_from(&mut self, peer: SocketAddr) {
         let began = self.router.now();
-        let known = self.known();
+        let current_version = self.current_version();
         let fetched = match self.watched {
-            Watched::Configuration => self.fetch_configuration(peer).await,
-            Watched::Upstreams => self.fetch_upstreams(peer).await,
+            WatchedData::Configuration => self.fetch_configuration(peer).await,
+            WatchedData::Upstreams => self.fetch_upstreams(peer).await,
         };
         let fetched = fetched.and_then(|bytes| {
-            let is_newer = self.known() > known;
+            let is_newer = self.current_version() > current_version;
             is_newer.then_some(bytes).ok_or(FetchError::NotNewer)
         });
         let now = self.router.now();
@@ -186,7 +195,8 @@
         self.router.log.info("version.fetched", &line);
     }
 
-    /// Of failures in a row, as while a peer is dead and not missed yet, one is logged.
+    /// Logs the first of consecutive failures. There are many, for example, until a dead peer no longer
+    /// counts as alive.
     fn on_failed(&mut self, peer: SocketAddr, error: &FetchError, took: Duration) {
         self.router.metrics.version_fetches.count("failed");
         if std::mem::replace(&mut self.is_failing, true) {
@@ -202,23 +212,24 @@
         self.router.log.info("peer.fetch_failed", &line);
     }
 
-    /// Fetches the configuration; returns the bytes that it took.
+    /// Fetches and applies the configuration; returns the size of the reply's body in bytes.
     async fn fetch_configuration(&mut self, peer: SocketAddr) -> Result<usize, FetchError> {
         let mut headers = HeaderMap::new();
         headers.insert(ACCEPT_ENCODING, HeaderValue::from_static(GZIP));
-        let answer = self.get(peer, CONFIGURATION_PATH, headers).await?;
-        let bytes = answer.body.len();
-        let encoding = encoding_of(&answer.headers);
-        let held = HeldConfiguration::read(answer.body, encoding).await;
-        let held = held.context(CodecSnafu)?;
-        apply_configuration(&self.router, held, &format!("peer {peer}"));
+        let response = self.get(peer, CONFIGURATION_PATH, headers).await?;
+        let bytes = response.body.len();
+        let encoding = encoding_of(&response.headers);
+        let configuration = ConfigurationWithCopies::from_copy(response.body, encoding).await;
+        let configuration = configuration.context(CodecSnafu)?;
+        apply_configuration(&self.router, configuration, &format!("peer {peer}"));
         Ok(bytes)
     }
 
-    /// Fetches upstreams; returns the bytes that it took.
+    /// Fetches and applies changes of upstreams, or the whole list if this router has none; returns the size
+    /// of the reply's body in bytes.
     async fn fetch_upstreams(&mut self, peer: SocketAddr) -> Result<usize, FetchError> {
-        let path = if self.router.store.knows_upstreams() {
-            format!("{UPSTREAMS_PATH}?after={}", self.known())
+        let path = if self.router.store.has_upstreams() {
+            format!("{UPSTREAMS_PATH}?after={}", self.current_version())
         } else {
             UPSTREAMS_PATH.to_owned()
         };
@@ -226,14 +237,14 @@
         let form = HeaderValue::from_static(UPSTREAMS_WITH_STARTS);
         headers.insert(ACCEPT, form);
         headers.insert(ACCEPT_ENCODING, HeaderValue::from_static(GZIP));
-        let answer = self.get(peer, &path, headers).await?;
-        let reply = match encoding_of(&answer.headers) {
-            CopyEncoding::Plain => decode(&answer.body),
-            CopyEncoding::Compressed => decompress(&answer.body).and_then(|b| decode(&b)),
+        let response = self.get(peer, &path, headers).await?;
+        let reply = match encoding_of(&response.headers) {
+            CopyEncoding::Plain => decode(&response.body),
+            CopyEncoding::Compressed => decompress(&response.body).and_then(|b| decode(&b)),
         };
         let reply = reply.context(CodecSnafu)?;
         apply_upstreams_reply(&self.router, reply, &format!("peer {peer}"));
-        Ok(answer.body.len())
+        Ok(response.body.len())
     }
 
     async fn get(
@@ -251,12 +262,12 @@
             stall: STALL_TIMEOUT,
         };
         let never = std::future::pending();
-        let answer = client.get_large(path, headers, bounds, never).await;
-        let answer = answer.context(CallSnafu)?;
-        match answer.status {
-            StatusCode::OK => Ok(answer),
+        let response = client.get_large(path, headers, bounds, never).await;
+        let response = response.context(CallSnafu)?;
+        match response.status {
+            StatusCode::OK => Ok(response),
             StatusCode::SERVICE_UNAVAILABLE => BusySnafu {
-                wait: wait_of(&answer.headers),
+                wait: retry_delay(&response.headers),
             }
             .fail(),
             status => StatusSnafu { status }.fail(),
--- a/crates/router/cloverpier_router/src/peer_reports.rs
+++ b/crates/router/cloverpier_router/src/peer_reports.rs
@@ -1,8 +1,8 @@
-//! Receives peers' heartbeats and changes, and applies them.
+//! Receives peers' datagrams, dispatches them to the modules that handle them, and applies heartbeats and
+//! changes.
 //!
-//! What a report counts for, and how long, is decided in
-//! `cloverpier_router_policy::{heartbeat, suspicion}`; [`crate::heartbeats`] is the sending side.
-//! Owns no state.
+//! `cloverpier_router_policy::{heartbeat, suspicion}` decide the effect of a report and how long it is valid.
+//! [`crate::heartbeats`] sends this router's own messages. Owns no state.
 
 use crate::crashes::record;
 use crate::crashes::reports as crash_reports;
@@ -10,12 +10,12 @@
 use crate::gossip::{self, member_of};
 use crate::leaving_reports;
 use crate::limit_reports;
-use crate::peer_messages::{Change, Heartbeat, LimitAsk, LoadReport, PeerMessage, decode};
+use crate::peer_messages::{Change, Heartbeat, LimiterRequest, LoadReport, PeerMessage, decode};
 use crate::rollouts;
 use crate::router::Router;
 use crate::singleton;
 use crate::store_events::decide_watcher_role;
-use crate::store_view::Watched;
+use crate::store_view::WatchedData;
 use crate::successors::{on_peer_replaced, on_peer_successor};
 use cloverpier_router_policy::heartbeat::MAX_DATAGRAM;
 use cloverpier_router_policy::prelude::*;
@@ -28,17 +28,17 @@
 /// Receives messages until the process ends.
 pub(crate) async fn receive_messages(router: Rc<Router>, socket: Rc<UdpSocket>) {
     let mut buf = vec![0; MAX_DATAGRAM];
-    let mut is_reported = false;
+    let mut has_logged_unreadable = false;
     loop {
         let Ok((length, sender)) = socket.recv_from(&mut buf).await else {
-            // The system reports here that a peer's port is closed; the peer's silence says so.
+            // The operating system reports closed ports of peers here; a peer's silence is detected anyway.
             continue;
         };
         match decode(&buf[..length]) {
             Ok(message) => on_message(&router, message, router.now()),
-            // Cut off, or of another release, as during an upgrade: logged once a process.
+            // Truncated, or of another release, as during an upgrade. Only the first is logged.
             Err(error) => {
-                if !std::mem::replace(&mut is_reported, true) {
+                if !std::mem::replace(&mut has_logged_unreadable, true) {
                     let name = sender.to_string();
                     log_dependency(&router.log, "peer.unreadable", &name, &error.to_string());
                 }
@@ -52,21 +52,21 @@
         PeerMessage::Heartbeat(heartbeat) => on_heartbeat(router, heartbeat, now),
         PeerMessage::Change(change) => on_change(router, change, now),
         PeerMessage::Successor(successor) => on_peer_successor(router, successor),
-        PeerMessage::Replaced(replaced) => on_peer_replaced(router, replaced),
-        PeerMessage::Rollouts(reports) => {
+        PeerMessage::ReplacedUpstream(replaced) => on_peer_replaced(router, replaced),
+        PeerMessage::RolloutReports(reports) => {
             let from = format!("peer {}", reports.sender);
             rollouts::apply_views(router, reports.views, &from, now);
         }
         PeerMessage::RolloutEvidence(evidence) => {
             rollouts::on_evidence(router, evidence.sender, evidence.report);
         }
-        PeerMessage::Crashes(reports) => crash_reports::on_reports(router, reports, now),
-        PeerMessage::Leavings(reports) => leaving_reports::on_reports(router, reports, now),
-        PeerMessage::Limits(reports) => limit_reports::on_reports(router, reports),
-        PeerMessage::LimitAsk(ask) => on_limit_ask(router, &ask),
-        PeerMessage::LimitReply(reply) => router.upstream_limits.on_reply(reply),
+        PeerMessage::CrashReports(reports) => crash_reports::on_reports(router, reports, now),
+        PeerMessage::LeavingReports(reports) => leaving_reports::on_reports(router, reports, now),
+        PeerMessage::LimitReports(reports) => limit_reports::on_reports(router, reports),
+        PeerMessage::LimiterRequest(message) => on_permit_request(router, &message),
+        PeerMessage::LimiterReply(reply) => router.upstream_limits.on_reply(reply),
         PeerMessage::Gossip(message) => gossip::on_gossip(router, message, now),
-        PeerMessage::AskMembers(peer) => gossip::on_ask_members(router, peer, now),
+        PeerMessage::MembersRequest(peer) => gossip::on_members_request(router, peer, now),
         PeerMessage::Members(members) => gossip::on_members(router, members, now),
         PeerMessage::UpstreamUpdate(update) => gossip::on_upstream_update(router, update),
         PeerMessage::FleetReport(report) => singleton::on_report(router, report, now),
@@ -74,10 +74,10 @@
     }
 }
 
-fn on_limit_ask(router: &Router, ask: &LimitAsk) {
+fn on_permit_request(router: &Router, message: &LimiterRequest) {
     let table = router.upstreams.borrow();
-    let state = table.by_key(ask.request.upstream);
-    router.upstream_limits.on_limiter_request(ask, state);
+    let state = table.by_key(message.request.upstream);
+    router.upstream_limits.on_limiter_request(message, state);
 }
 
 fn on_change(router: &Router, change: Change, now: Instant) {
@@ -93,16 +93,16 @@
     on_suspects(router, &change.suspects, now);
 }
 
-/// Records upstreams that a peer suspects.
+/// Records that a peer suspects these upstreams to be dead.
 pub(crate) fn on_suspects(router: &Router, suspects: &[UpstreamKey], now: Instant) {
     for key in suspects {
         let mut table = router.upstreams.borrow_mut();
         let state = table.by_key(*key);
         let is_new = state.filter(|s| !s.is_suspected() && !s.is_suspected_by_peer(now));
-        let died = is_new.map(|s| s.upstream.clone());
+        let newly_suspected = is_new.map(|s| s.upstream.clone());
         table.on_peer_suspicion(*key, now);
         drop(table);
-        if let Some(upstream) = died {
+        if let Some(upstream) = newly_suspected {
             record::on_suspicion(router, &upstream, now, now);
         }
     }
@@ -139,15 +139,17 @@
     };
     record_entry(router, heartbeat.sender, entry, now);
     if has_newer_configuration {
-        router.peers.on_newer_version(Watched::Configuration);
+        router
+            .peers
+            .notify_newer_version(WatchedData::Configuration);
     }
     if has_newer_upstreams {
-        router.peers.on_newer_version(Watched::Upstreams);
+        router.peers.notify_newer_version(WatchedData::Upstreams);
     }
 }
 
-/// Records a peer's state; the watchers are decided anew where it says something else of the
-/// store.
+/// Records a peer's heartbeat, sends the peer facts that it may have missed, and decides this router's
+/// watcher role again if the peer's store age requires that.
 fn record_entry(router: &Router, peer: SocketAddr, entry: PeerEntry, now: Instant) {
     let store_age = entry.store_age;
     let is_large = router.peers.is_large();
@@ -156,19 +158,19 @@
     members.on_unstamped_message(member, now);
     drop(members);
     if is_large {
-        router.peers.on_plain_heartbeat(peer, now);
+        router.peers.add_heartbeat_peer(peer, now);
     }
-    let former = router.peers.on_heartbeat(peer, entry.clone());
-    crash_reports::send_if_missed(router, peer, former.as_ref(), &entry);
-    leaving_reports::send_if_missed(router, peer, former.as_ref(), &entry);
-    limit_reports::send_if_missed(router, peer, former.as_ref(), &entry);
-    let former_age = former.and_then(|entry| entry.store_age);
-    if affects_watcher_roles(former_age, store_age, router.peers.count()) {
+    let previous = router.peers.on_heartbeat(peer, entry.clone());
+    crash_reports::send_if_missed(router, peer, previous.as_ref(), &entry);
+    leaving_reports::send_if_missed(router, peer, previous.as_ref(), &entry);
+    limit_reports::send_if_missed(router, peer, previous.as_ref(), &entry);
+    let previous_age = previous.and_then(|entry| entry.store_age);
+    if affects_watcher_roles(previous_age, store_age, router.peers.count()) {
         decide_watcher_role(router, now);
     }
 }
 
-/// Applies what a heartbeat reports of upstreams.
+/// Applies the load and the suspicions in a heartbeat.
 fn apply_reports(router: &Router, heartbeat: &Heartbeat, now: Instant) {
     let mut table = router.upstreams.borrow_mut();
     let load = heartbeat.load.iter().cloned().map(LoadReport::into_load);
--- a/crates/router/cloverpier_router/src/probe.rs
+++ b/crates/router/cloverpier_router/src/probe.rs
@@ -6,7 +6,6 @@
 //! `cloverpier_router_policy::{liveness, suspicion}` decide when probes and checks are sent and what a response
 //! means. Owns no state.
 
-use crate::beliefs::log_belief;
 use crate::crashes::record;
 use crate::decision_log::{ms, ms_since};
 use crate::health::UpstreamHealth;
@@ -15,6 +14,7 @@
 use crate::statements::Call;
 use crate::successors;
 use crate::upstream_limits::Permission;
+use crate::upstream_log::log_upstream_change;
 use crate::via::Via;
 use cloverpier_core::UpstreamName;
 use cloverpier_router_policy::permit::PROBE_PERMIT_TIMEOUT;
@@ -125,7 +125,9 @@
             };
             // If the response is from a newer incarnation, the attempts at the previous one fail here, although
             // the address responds.
-            let said = router.hear(call, response.parts()).said;
+            let said = router
+                .apply_query_statement(call, response.parts())
+                .statement;
             on_probe_response(router, upstream, health, said.name.as_ref(), sent);
         }
         Err(error) if error.is_refused() => {
@@ -170,7 +172,7 @@
             router.metrics.probes.count("replaced");
             let reason = "another process responds at its address";
             declare_dead(router, upstream, FailureEvidence::NoProcess, reason, now);
-            successors::on_other_name(router, upstream, responder);
+            successors::on_name_mismatch(router, upstream, responder);
         }
     }
 }
@@ -199,7 +201,7 @@
     }
     let silence = now.saturating_duration_since(last_activity);
     router.metrics.detection.observe(silence);
-    log_belief(
+    log_upstream_change(
         &router.log,
         "server.suspected",
         upstream,
@@ -212,7 +214,7 @@
     new_health
         .is_for_next_incarnation
         .set(evidence == FailureEvidence::NoProcess);
-    successors::await_successor(router, upstream);
+    successors::schedule_successor_checks(router, upstream);
 }
 
 /// Checks the suspected upstreams whose checks are due. Runs until the process ends.
@@ -263,11 +265,13 @@
         via: Via::Check,
         sent: sent_at,
     };
-    let said = router.hear(call, response.parts()).said;
+    let said = router
+        .apply_query_statement(call, response.parts())
+        .statement;
     match check_result(&upstream.name, said.name.as_ref()) {
         CheckResult::Replaced => {
             router.metrics.probes.count("suspect-replaced");
-            successors::on_other_name(&router, &upstream, said.name.as_ref());
+            successors::on_name_mismatch(&router, &upstream, said.name.as_ref());
         }
         CheckResult::Alive => clear_suspicion(&router, &upstream, sent_at),
     }
@@ -282,7 +286,7 @@
     if let Some(suspected_for) = suspected_for {
         let took = ms_since(check_sent_at, now);
         let reason = format!("responded to a check in {took} ms");
-        log_belief(
+        log_upstream_change(
             &router.log,
             "server.trusted",
             upstream,
--- a/crates/router/cloverpier_router/src/prompts.rs
+++ b/crates/router/cloverpier_router/src/prompts.rs
@@ -74,7 +74,7 @@
             .running_locations
             .borrow_mut()
             .insert(prompt, engine);
-        outbox.report_prompt(prompt, engine);
+        outbox.report_prompt_location(prompt, engine);
         Self {
             running_locations: Rc::clone(&prompts.running_locations),
             prompt,
--- a/crates/router/cloverpier_router/src/restart.rs
+++ b/crates/router/cloverpier_router/src/restart.rs
@@ -4,9 +4,9 @@
 //! incarnation: connections, attempts in flight, the request limit, and the prompts that were read. The table of
 //! upstreams resets its own observations (`cloverpier_router_policy::upstream`). Owns no state.
 
-use crate::beliefs::log_belief;
 use crate::crashes::record;
 use crate::router::Router;
+use crate::upstream_log::log_upstream_change;
 use cloverpier_core::UpstreamName;
 use cloverpier_router_policy::prelude::*;
 use std::time::Instant;
@@ -52,7 +52,7 @@
     let mut locations = router.prompts.locations.borrow_mut();
     locations.remove_upstream(UpstreamKey::of(name));
     drop(locations);
-    log_belief(
+    log_upstream_change(
         &router.log,
         "server.restarted",
         upstream,
--- a/crates/router/cloverpier_router/src/rollout_steps.rs
+++ b/crates/router/cloverpier_router/src/rollout_steps.rs
@@ -47,7 +47,7 @@
             send_reports(&router, now);
         }
         if timers.is_view_resend_due(now) {
-            send_views(&router, Recipients::Few, now);
+            send_views(&router, Recipients::SmallSample, now);
         }
         if router.store.role().watches() {
             decide_all(&router, now);
@@ -92,7 +92,7 @@
             sender,
             report: report.clone(),
         };
-        let to = Recipients::These(watchers.clone());
+        let to = Recipients::Only(watchers.clone());
         router
             .peers
             .outbox
--- a/crates/router/cloverpier_router/src/rollouts.rs
+++ b/crates/router/cloverpier_router/src/rollouts.rs
@@ -56,7 +56,7 @@
         }
     }
     if has_update {
-        send_views(router, Recipients::Many, now);
+        send_views(router, Recipients::LargeSample, now);
         router.rollouts.registry_changed.notify_one();
     }
 }
@@ -75,7 +75,7 @@
     drop(registry);
     if is_new {
         log_progress(router, service, "this router", regression);
-        send_views(router, Recipients::Many, now);
+        send_views(router, Recipients::LargeSample, now);
         router.rollouts.registry_changed.notify_one();
     }
 }
@@ -88,7 +88,10 @@
     }
     let sender = router.settings().listen.peers;
     let reports = RolloutReports { sender, views };
-    router.peers.outbox.send(PeerMessage::Rollouts(reports), to);
+    router
+        .peers
+        .outbox
+        .send(PeerMessage::RolloutReports(reports), to);
 }
 
 /// Records the counts that a router reported for an order; the sender may be this router.
--- a/crates/router/cloverpier_router/src/singleton/reports.rs
+++ b/crates/router/cloverpier_router/src/singleton/reports.rs
@@ -58,7 +58,7 @@
         router
             .peers
             .outbox
-            .send(message, Recipients::These(to.clone()));
+            .send(message, Recipients::Only(to.clone()));
         record_report(singleton, report, now);
     }
 }
@@ -134,7 +134,7 @@
         fleet_ms: singleton.fleet_ms(router.now()),
     };
     let message = PeerMessage::LeaseUpdate(update);
-    router.peers.outbox.send(message, Recipients::These(to));
+    router.peers.outbox.send(message, Recipients::Only(to));
 }
 
 /// Applies a lease update of the holder: the record's version, the fleet's time of day, and the first undecided usage
--- a/crates/router/cloverpier_router/src/start.rs
+++ b/crates/router/cloverpier_router/src/start.rs
@@ -16,7 +16,7 @@
 use crate::source::ConfigurationSource;
 use crate::stop;
 use crate::store_sync;
-use crate::store_view::Watched;
+use crate::store_view::WatchedData;
 use crate::suspension;
 use crate::web::{bind, on_caller, on_directory, on_metrics, on_ready, serve};
 use cloverpier_observe::{LogProgress, NoFields};
@@ -69,7 +69,7 @@
     listen(&router).await?;
     start_store_loops(&router, Rc::new(source));
     singleton::start(&router, platform);
-    for watched in [Watched::Configuration, Watched::Upstreams] {
+    for watched in [WatchedData::Configuration, WatchedData::Upstreams] {
         spawn_local(peer_fetch::fetch_newer(Rc::clone(&router), watched));
     }
     spawn_local(suspension::watch_resumes(Rc::clone(&router)));
@@ -108,7 +108,11 @@
     router.datagrams.attach(Rc::clone(&socket));
     spawn_local(peer_reports::receive_messages(cx(), socket));
     spawn_local(heartbeats::send_messages(cx()));
-    spawn_local(serve(cx(), at(router, address).await?, peer_serve::on_peer));
+    spawn_local(serve(
+        cx(),
+        at(router, address).await?,
+        peer_serve::serve_version,
+    ));
     spawn_local(serve(cx(), at(router, listen.ready).await?, on_ready));
     spawn_local(serve(
         cx(),
--- a/crates/router/cloverpier_router/src/statements.rs
+++ b/crates/router/cloverpier_router/src/statements.rs
@@ -1,16 +1,17 @@
-//! Applies what upstreams state about themselves in answers, of whatever kind of call.
+//! Applies the statements that upstreams make about themselves in responses to any kind of call.
 //!
-//! Modules that receive answers pass them to [`Router::hear`] and do not depend on the effects. The
-//! platform's adapter decodes a statement; `cloverpier_router_policy::statement` decides which
-//! upstream it is about. Owns no state.
+//! Modules that receive responses pass them to [`Router::apply_query_statement`] or
+//! [`Router::apply_response_statement`], and do not depend on the effects. The platform's adapter decodes a
+//! statement, and `cloverpier_router_policy::statement` decides to which upstream it is attributed. Owns no
+//! state.
 
-use crate::beliefs::log_wait;
 use crate::decision_log::log_dependency;
 use crate::leaving_reports;
 use crate::limit_reports;
 use crate::restart::on_reported_start;
 use crate::router::Router;
 use crate::upstream_limits::LimitResponse;
+use crate::upstream_log::log_wait_period;
 use crate::via::Via;
 use crate::wire_names::AnswerParts;
 use cloverpier_router_policy::limit::ResponseInterval;
@@ -21,87 +22,97 @@
 use hyper::http::response::Parts;
 use std::time::{Duration, Instant};
 
-/// A call to an upstream.
+/// A call to an upstream, whose response contains a statement.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Call<'a> {
-    /// The upstream.
+    /// The upstream to which the call was sent.
     pub upstream: &'a Upstream,
-    /// What kind of call.
+    /// The kind of call, for log lines.
     pub via: Via<'a>,
-    /// When it was sent.
+    /// When the call was sent.
     pub sent: Instant,
 }
 
-/// What an answer to a question said.
+/// The statement in the response to a query, after it was applied.
 #[derive(Debug)]
-pub(crate) struct Heard {
-    /// The statement.
-    pub said: UpstreamStatement,
-    /// How the start that it names compares with the newest that is known.
-    pub start: StartOrder,
+pub(crate) struct AppliedStatement {
+    /// The decoded statement.
+    pub statement: UpstreamStatement,
+    /// How the start time in the response compares with the newest known start time of the sender. `Same` if
+    /// the sender is unknown.
+    pub start_order: StartOrder,
 }
 
 impl Router {
-    /// Applies what the answer to a question states about its sender.
-    pub(crate) fn hear(&self, call: Call<'_>, answer: AnswerParts<'_>) -> Heard {
-        let said = (self.wire_names.statement)(&answer);
-        let sender = sender_of_query_response(&call.upstream.name, &said);
-        let start = take(self, call, &said, sender, false);
-        Heard { said, start }
+    /// Applies the statement in the response to a probe, check or query.
+    pub(crate) fn apply_query_statement(
+        &self,
+        call: Call<'_>,
+        response: AnswerParts<'_>,
+    ) -> AppliedStatement {
+        let statement = (self.wire_names.statement)(&response);
+        let sender = sender_of_query_response(&call.upstream.name, &statement);
+        let start_order = apply_statement(self, call, &statement, sender, false);
+        AppliedStatement {
+            statement,
+            start_order,
+        }
     }
 
-    /// Applies what the head of the answer to a request states about its sender, given whether the
-    /// answer counts.
-    pub(crate) fn hear_reply(
+    /// Applies the statement in the head of the response to a caller's request. `validity` is whether the
+    /// response counts as the response to this request.
+    pub(crate) fn apply_response_statement(
         &self,
         call: Call<'_>,
         head: &Parts,
-        verdict: &Result<(), AttemptFailure>,
+        validity: &Result<(), AttemptFailure>,
     ) -> UpstreamStatement {
-        let said = (self.wire_names.statement)(&AnswerParts {
+        let statement = (self.wire_names.statement)(&AnswerParts {
             status: head.status,
             headers: &head.headers,
             body: None,
         });
-        let sender = sender_of_request_response(&call.upstream.name, &said, verdict);
-        take(self, call, &said, sender, verdict.is_ok());
-        said
+        let sender = sender_of_request_response(&call.upstream.name, &statement, validity);
+        apply_statement(self, call, &statement, sender, validity.is_ok());
+        statement
     }
 }
 
-/// Applies a statement to the upstream that made it, given whether it ran a request.
-fn take(
+/// Applies a statement to its sender. `was_executed` is whether the sender executed a request, so that its
+/// response would contain a rate limit if there were one. A statement of an earlier process than the newest
+/// known one is ignored.
+fn apply_statement(
     router: &Router,
     call: Call<'_>,
-    said: &UpstreamStatement,
+    statement: &UpstreamStatement,
     sender: Sender,
-    has_run: bool,
+    was_executed: bool,
 ) -> StartOrder {
-    let Some(upstream) = known_sender(router, call, sender) else {
+    let Some(upstream) = sender_upstream(router, call, sender) else {
         return StartOrder::Same;
     };
     let now = router.now();
-    let order = on_reported_start(router, &upstream, said.start_time_ms, now);
+    let order = on_reported_start(router, &upstream, statement.start_time_ms, now);
     if order == StartOrder::Older {
         return order;
     }
-    if said.is_leaving {
-        leaving_reports::on_leaving(router, &upstream, said.start_time_ms, call.via, now);
+    if statement.is_leaving {
+        leaving_reports::on_leaving(router, &upstream, statement.start_time_ms, call.via, now);
     }
-    if let Some(time) = said.wait {
-        take_wait(router, call.via, &upstream, time);
+    if let Some(time) = statement.wait {
+        apply_wait_period(router, call.via, &upstream, time);
     }
-    take_limit(router, call, &upstream, said, has_run);
-    if let Some(reason) = &said.unreadable {
+    apply_limit(router, call, &upstream, statement, was_executed);
+    if let Some(reason) = &statement.unreadable {
         let name = upstream.name.as_str();
         log_dependency(&router.log, "server.unreadable", name, reason);
     }
     order
 }
 
-/// The upstream that made a statement; `None` where nothing can be concluded from it, as its sender is
-/// not known.
-fn known_sender(router: &Router, call: Call<'_>, sender: Sender) -> Option<Upstream> {
+/// The upstream that made a statement; `None` if the sender can't be determined or is not in the table of
+/// upstreams.
+fn sender_upstream(router: &Router, call: Call<'_>, sender: Sender) -> Option<Upstream> {
     match sender {
         Sender::Addressee => Some(call.upstream.clone()),
         Sender::Other(name) => {
@@ -112,35 +123,35 @@
     }
 }
 
-fn take_wait(router: &Router, via: Via<'_>, upstream: &Upstream, time: Duration) {
+fn apply_wait_period(router: &Router, via: Via<'_>, upstream: &Upstream, time: Duration) {
     let is_new = router
         .upstreams
         .borrow_mut()
         .on_wait(&upstream.name, time, router.now());
     if is_new {
         router.metrics.waits.inc();
-        log_wait(&router.log, upstream, time, via);
+        log_wait_period(&router.log, upstream, time, via);
     }
 }
 
-fn take_limit(
+fn apply_limit(
     router: &Router,
     call: Call<'_>,
     upstream: &Upstream,
-    said: &UpstreamStatement,
-    has_run: bool,
+    statement: &UpstreamStatement,
+    was_executed: bool,
 ) {
-    let told = router.upstream_limits.on_response(&LimitResponse {
+    let report = router.upstream_limits.on_response(&LimitResponse {
         upstream,
-        statement: said.limit,
-        would_advertise: has_run,
+        statement: statement.limit,
+        would_advertise: was_executed,
         interval: ResponseInterval {
             request_sent_at: call.sent,
             response_received_at: router.now(),
         },
         via: call.via,
     });
-    if let Some(report) = told {
+    if let Some(report) = report {
         limit_reports::send_to_all(router, report);
     }
 }
--- a/crates/router/cloverpier_router/src/successors.rs
+++ b/crates/router/cloverpier_router/src/successors.rs
@@ -1,113 +1,143 @@
-//! Learns which process has taken the place of a dead upstream, and notifies peers.
+//! Adds the successors of dead upstreams, and notifies peers of them.
 //!
-//! Whether it belongs to the same service is decided in
-//! `cloverpier_router_policy::successor`; this module reads its name off answers, adds it to
-//! the table of upstreams and applies what peers have found. Relies on
-//! [`crate::health`] for the former process's last sign of life.
+//! A successor is a process that responds under another name at the address of a dead upstream, its
+//! predecessor. `cloverpier_router_policy::successor` decides whether it must belong to the same service.
+//! This module adds such a process to the table of upstreams and applies the reports of peers. Relies on
+//! [`crate::health`] for the time of the predecessor's last response. Owns no state.
 
-use crate::beliefs::log_belief;
 use crate::crashes::record;
 use crate::outbox::Recipients;
-use crate::peer_messages::{PeerMessage, Replaced, Successor};
+use crate::peer_messages::{PeerMessage, ReplacedUpstream, Successor};
 use crate::router::Router;
+use crate::upstream_log::log_upstream_change;
 use cloverpier_core::UpstreamName;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::successor::{must_be_same_service, successor_deadline};
 use std::time::Instant;
 
-/// Has a dead upstream checked closely while its successor would be recognized.
-pub(crate) fn await_successor(router: &Router, upstream: &Upstream) {
-    let Some(last_sign) = last_sign(router, upstream, router.now()) else {
+/// Makes the checks of a dead upstream more frequent while its successor can still be accepted. Does nothing
+/// if no response of the upstream to a request has arrived here.
+pub(crate) fn schedule_successor_checks(router: &Router, upstream: &Upstream) {
+    let Some(last_response) = last_response(router, upstream, router.now()) else {
         return;
     };
-    let until = successor_deadline(last_sign, router.settings().address_reuse);
+    let until = successor_deadline(last_response, router.settings().address_reuse);
     let mut table = router.upstreams.borrow_mut();
     table.check_frequently_until(&upstream.name, until);
 }
 
-fn last_sign(router: &Router, upstream: &Upstream, now: Instant) -> Option<Instant> {
+/// When data of a response of the upstream itself last arrived; `None` if none has.
+fn last_response(router: &Router, upstream: &Upstream, now: Instant) -> Option<Instant> {
     router.health.of(upstream, now).last_own_response.get()
 }
 
-/// Records that a process answers at an upstream's address under another name, takes it if it
-/// must belong to the same service, and notifies peers: each of them would have to try the dead
-/// upstream to find out. With 74 routers, 540 requests met the next process in 9 s in which
-/// two data centres' engines had restarted and the store was away.
-pub(crate) fn on_other_name(router: &Router, former: &Upstream, answering: Option<&UpstreamName>) {
+/// Records that a process responds at an upstream's address under another name, and adds it as the successor
+/// if it must belong to the same service.
+///
+/// Peers are notified, as each of them would otherwise have to send a request to the dead upstream to detect
+/// this. Without the notice, 74 routers send 540 requests to a wrong process in 9 s, while the engines of two
+/// data centres have restarted and the store is unreachable.
+pub(crate) fn on_name_mismatch(
+    router: &Router,
+    predecessor: &Upstream,
+    responding_name: Option<&UpstreamName>,
+) {
     let sender = router.settings().listen.peers;
-    if let Some(name) = answering {
+    if let Some(name) = responding_name {
         let mut table = router.upstreams.borrow_mut();
-        table.on_identified_at(name, former.address);
+        table.on_identified_at(name, predecessor.address);
     }
-    let successor = successor(router, former, answering);
-    let successor = successor.filter(|upstream| add(router, &former.name, upstream, "answers"));
-    record::on_process_replaced(router, former);
-    let is_new = router.upstreams.borrow_mut().on_replaced(&former.name);
+    let successor = successor(router, predecessor, responding_name);
+    let successor =
+        successor.filter(|upstream| add(router, &predecessor.name, upstream, "process responds"));
+    record::on_process_replaced(router, predecessor);
+    let is_new = router.upstreams.borrow_mut().on_replaced(&predecessor.name);
     if !is_new && successor.is_none() {
         return;
     }
-    log_belief(&router.log, "server.replaced", former, "another answers", 0);
-    let former = former.name.clone();
+    log_upstream_change(
+        &router.log,
+        "server.replaced",
+        predecessor,
+        "another process responds",
+        0,
+    );
+    let predecessor = predecessor.name.clone();
     let message = match successor {
         Some(upstream) => PeerMessage::Successor(Successor {
             sender,
-            former,
-            // Routers of the last release read it, too; what it runs is what the former ran.
+            predecessor,
+            // Routers of an older release can't decode the start. Others assume the predecessor's version.
             upstream: upstream.without_start(),
         }),
-        None => PeerMessage::Replaced(Replaced { sender, former }),
+        None => PeerMessage::ReplacedUpstream(ReplacedUpstream {
+            sender,
+            predecessor,
+        }),
     };
     router.peers.outbox.send(message, Recipients::All);
 }
 
-/// The process that answers in place of an upstream, if it must belong to the same service.
+/// The assumed entry of the process that responds at the predecessor's address; `None` if it need not belong
+/// to the same service, or if its name is unknown.
 fn successor(
     router: &Router,
-    former: &Upstream,
-    answering: Option<&UpstreamName>,
+    predecessor: &Upstream,
+    responding_name: Option<&UpstreamName>,
 ) -> Option<Upstream> {
     let now = router.now();
-    let last_sign = last_sign(router, former, now)?;
-    let name = answering?;
-    must_be_same_service(last_sign, now, router.settings().address_reuse).then(|| Upstream {
+    let last_response = last_response(router, predecessor, now)?;
+    let name = responding_name?;
+    must_be_same_service(last_response, now, router.settings().address_reuse).then(|| Upstream {
         name: name.clone(),
         draining: false,
-        start: UpstreamStart::of_successor(former),
-        ..former.clone()
+        start: UpstreamStart::of_successor(predecessor),
+        ..predecessor.clone()
     })
 }
 
-/// Takes an upstream that a peer has found.
+/// Adds a successor that a peer has reported, with the version of the predecessor if that is known here.
 pub(crate) fn on_peer_successor(router: &Router, successor: Successor) {
     let table = router.upstreams.borrow();
-    let former = table.get(&successor.former).map(|s| &s.upstream);
+    let predecessor = table.get(&successor.predecessor).map(|s| &s.upstream);
     let upstream = Upstream {
-        start: former.and_then(UpstreamStart::of_successor),
+        start: predecessor.and_then(UpstreamStart::of_successor),
         ..successor.upstream.clone()
     };
     drop(table);
-    if add(router, &successor.former, &upstream, "a peer saw it") {
-        router.peers.pass_on(PeerMessage::Successor(successor));
+    if add(
+        router,
+        &successor.predecessor,
+        &upstream,
+        "process responds to a peer",
+    ) {
+        router.peers.forward(PeerMessage::Successor(successor));
     }
 }
 
-/// Records that a peer has found another process at an upstream's address.
-pub(crate) fn on_peer_replaced(router: &Router, replaced: Replaced) {
-    let is_new = router.upstreams.borrow_mut().on_replaced(&replaced.former);
+/// Records a peer's report that another process responds at an upstream's address.
+pub(crate) fn on_peer_replaced(router: &Router, replaced: ReplacedUpstream) {
+    let is_new = router
+        .upstreams
+        .borrow_mut()
+        .on_replaced(&replaced.predecessor);
     if is_new {
-        router.pool.borrow_mut().close_all(&replaced.former);
-        router.peers.pass_on(PeerMessage::Replaced(replaced));
+        router.pool.borrow_mut().close_all(&replaced.predecessor);
+        router
+            .peers
+            .forward(PeerMessage::ReplacedUpstream(replaced));
     }
 }
 
-/// Adds an upstream that is not listed yet; false where that is not new.
-fn add(router: &Router, former: &UpstreamName, upstream: &Upstream, how: &str) -> bool {
+/// Adds a successor that is not on the platform's list yet; returns false if it was added or listed before.
+/// `evidence` describes in the log line how the successor was found.
+fn add(router: &Router, predecessor: &UpstreamName, upstream: &Upstream, evidence: &str) -> bool {
     let mut table = router.upstreams.borrow_mut();
-    let is_new = table.add_successor(former, upstream.clone());
+    let is_new = table.add_successor(predecessor, upstream.clone());
     drop(table);
     if is_new {
-        let reason = format!("{how} in place of {former}");
-        log_belief(&router.log, "server.restarted", upstream, &reason, 0);
+        let reason = format!("{evidence} in place of {predecessor}");
+        log_upstream_change(&router.log, "server.restarted", upstream, &reason, 0);
     }
     is_new
 }
--- a/crates/router/cloverpier_router/src/upstream_limits/acquire.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/acquire.rs
@@ -5,7 +5,7 @@
 //! no state of its own: [`UpstreamLimits`] owns the pending permit requests.
 
 use super::{UpstreamLimits, limited_upstream};
-use crate::peer_messages::{LimitAsk, LimitReply, PeerMessage};
+use crate::peer_messages::{LimiterReply, LimiterRequest, PeerMessage};
 use cloverpier_router_policy::permit::{
     PermitDecision, PermitRequest, REPLY_TIMEOUT, is_permit_usable,
 };
@@ -31,7 +31,7 @@
 pub(super) struct PendingRequest {
     limiter: SocketAddr,
     sent_at: Instant,
-    reply_sender: oneshot::Sender<LimitReply>,
+    reply_sender: oneshot::Sender<LimiterReply>,
 }
 
 /// Removes a permit request from the pending ones when dropped: after the reply or timeout, or when the caller's
@@ -144,7 +144,7 @@
         &self,
         request: PermitRequest,
         limiter: SocketAddr,
-    ) -> Option<LimitReply> {
+    ) -> Option<LimiterReply> {
         let number = request.number;
         let (tx, rx) = oneshot::channel();
         let sent_at = self.deps.timers.now();
@@ -158,11 +158,11 @@
             limits: self,
             number,
         };
-        let limiter_request = LimitAsk {
+        let limiter_request = LimiterRequest {
             sender: self.deps.own_address,
             request,
         };
-        let message = PeerMessage::LimitAsk(limiter_request);
+        let message = PeerMessage::LimiterRequest(limiter_request);
         self.deps.datagrams.send(&message, &[limiter]);
         let reply = self.deps.timers.timeout(REPLY_TIMEOUT, rx).await;
         // `None` for a timeout, and for a reply that `on_reply` rejected and so dropped the channel.
@@ -171,7 +171,7 @@
 
     /// Passes a limiter's reply to the task that waits for it. Replies that arrive after the timeout, as when this
     /// process was paused, and replies of another router than the requested one are rejected.
-    pub fn on_reply(&self, reply: LimitReply) {
+    pub fn on_reply(&self, reply: LimiterReply) {
         let now = self.deps.timers.now();
         let pending = self.pending.borrow_mut().remove(&reply.reply.number);
         let Some(pending) = pending else { return };
--- a/crates/router/cloverpier_router/src/upstream_limits/limiter.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/limiter.rs
@@ -4,7 +4,7 @@
 //! grants. Relies on [`UpstreamLimits::on_period`] being called once per heartbeat interval. Owns no state of its own.
 
 use super::{UpstreamLimits, limited_upstream};
-use crate::peer_messages::{LimitAsk, LimitReply, PeerMessage};
+use crate::peer_messages::{LimiterReply, LimiterRequest, PeerMessage};
 use cloverpier_router_policy::permit::{LimitedUpstream, LimiterMap, PermitReply};
 use cloverpier_router_policy::prelude::{UpstreamKey, UpstreamState, UpstreamTable};
 use std::net::SocketAddr;
@@ -16,7 +16,11 @@
     ///
     /// If another router is the limiter, this router probes that one: the sender may have passed it over as
     /// unresponsive, and this router becomes the limiter only after it has found so, too.
-    pub fn on_limiter_request(self: &Rc<Self>, request: &LimitAsk, state: Option<&UpstreamState>) {
+    pub fn on_limiter_request(
+        self: &Rc<Self>,
+        request: &LimiterRequest,
+        state: Option<&UpstreamState>,
+    ) {
         if let Some(report) = &request.request.limit {
             self.on_report(report, state, request.sender);
         }
@@ -31,11 +35,11 @@
         drop(permits);
         self.count_allocation(&reply);
         let is_misdirected = reply.allocation.is_none() && request.request.count > 0;
-        let reply = LimitReply {
+        let reply = LimiterReply {
             sender: self.deps.own_address,
             reply,
         };
-        let message = PeerMessage::LimitReply(reply);
+        let message = PeerMessage::LimiterReply(reply);
         self.deps.datagrams.send(&message, &[request.sender]);
         if let Some(limiter) = limiter.filter(|l| is_misdirected && *l != self.deps.own_address) {
             self.probe_in_background(limiter);
