--- a/crates/router/cloverpier_router/src/beliefs.rs
+++ b/crates/router/cloverpier_router/src/beliefs.rs
@@ -1,8 +1,8 @@
 //! Logs changes of what this router believes of an upstream: that it is dead, that it leaves, that it
 //! wants nothing for a time. Relies on [`crate::decision_log`] for the lines. Owns nothing.
 
-use crate::decision_log::{LeavingLearned, UpstreamBelief, WaitLearned, ms};
-use crate::via::Via;
+use crate::call_kind::CallKind;
+use crate::decision_log::{UpstreamLeaving, UpstreamPaused, UpstreamStateChanged, ms};
 use cloverpier_observe::Log;
 use cloverpier_router_policy::prelude::Upstream;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
     reason: &str,
     silent_ms: u64,
 ) {
-    let line = UpstreamBelief {
+    let line = UpstreamStateChanged {
         upstream: upstream.name.as_str(),
         address: upstream.address.to_string(),
         reason,
@@ -28,7 +28,7 @@
 /// By whom this router learned that an upstream leaves.
 pub(crate) enum LeavingSource<'a> {
     /// By the upstream itself.
-    Answer(Via<'a>),
+    Answer(CallKind<'a>),
     /// By a peer.
     Peer(SocketAddr),
 }
@@ -36,10 +36,10 @@
 /// Logs that an upstream leaves, and by whom that is known.
 pub(crate) fn log_leaving(log: &Log, upstream: &Upstream, source: &LeavingSource<'_>, age_ms: u64) {
     let (via, request, peer) = match source {
-        LeavingSource::Answer(via) => (via.word(), via.request(), None),
+        LeavingSource::Answer(via) => (via.log_name(), via.request(), None),
         LeavingSource::Peer(peer) => ("peer", None, Some(peer.to_string())),
     };
-    let line = LeavingLearned {
+    let line = UpstreamLeaving {
         upstream: upstream.name.as_str(),
         address: upstream.address.to_string(),
         via,
@@ -51,11 +51,11 @@
 }
 
 /// Logs that an upstream has begun to want nothing for a time.
-pub(crate) fn log_wait(log: &Log, upstream: &Upstream, time: Duration, via: Via<'_>) {
-    let line = WaitLearned {
+pub(crate) fn log_wait(log: &Log, upstream: &Upstream, time: Duration, via: CallKind<'_>) {
+    let line = UpstreamPaused {
         upstream: upstream.name.as_str(),
         wait_ms: ms(time),
-        via: via.word(),
+        via: via.log_name(),
         request: via.request(),
     };
     log.info("server.waits", &line);
--- a/crates/router/cloverpier_router/src/body.rs
+++ b/crates/router/cloverpier_router/src/body.rs
@@ -1,9 +1,9 @@
 //! Bodies of replies to callers: whole, or piece by piece.
 //!
-//! A body that cannot be completed ends with [`AnswerBroken`], on which `hyper` breaks the
+//! A body that cannot be completed ends with [`IncompleteResponse`], on which `hyper` breaks the
 //! connection off: a caller must never take a torn answer for a whole one.
 
-use crate::held_bytes::HeldBytes;
+use crate::buffer_reservation::BufferReservation;
 use bytes::Bytes;
 use futures_util::{Stream, StreamExt};
 use hyper::body::{Frame, SizeHint};
@@ -13,17 +13,17 @@
 
 /// An answer could not be completed; its connection is broken off.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AnswerBroken;
+pub(crate) struct IncompleteResponse;
 
-impl fmt::Display for AnswerBroken {
+impl fmt::Display for IncompleteResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the answer could not be completed")
     }
 }
 
-impl std::error::Error for AnswerBroken {}
+impl std::error::Error for IncompleteResponse {}
 
-type LocalStream = Pin<Box<dyn Stream<Item = Result<Bytes, AnswerBroken>>>>;
+type LocalStream = Pin<Box<dyn Stream<Item = Result<Bytes, IncompleteResponse>>>>;
 
 /// A whole body is handed to its connection in pieces of this length, each when the caller has read
 /// most of those before.
@@ -33,7 +33,7 @@
 pub(crate) struct WholeBody {
     rest: Bytes,
     /// What it takes of the router's memory, until it is handed to the connection.
-    _held: Option<HeldBytes>,
+    _held: Option<BufferReservation>,
 }
 
 impl WholeBody {
@@ -44,14 +44,14 @@
 }
 
 /// The body of a reply.
-pub(crate) enum ReplyBody {
+pub(crate) enum ResponseBody {
     /// All of it is at hand.
     Whole(WholeBody),
     /// It arrives piece by piece.
     Pieces(LocalStream),
 }
 
-impl ReplyBody {
+impl ResponseBody {
     /// A body that is at hand.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(WholeBody {
@@ -61,7 +61,7 @@
     }
 
     /// The same body; one that is at hand counts as held until it is handed to its connection.
-    pub fn counted(self, mut held: HeldBytes) -> Self {
+    pub fn counted(self, mut held: BufferReservation) -> Self {
         match self {
             Self::Whole(body) if body.rest.len() > PIECE => {
                 // It is held already, so it counts whatever others hold.
@@ -76,19 +76,19 @@
     }
 
     /// A body that arrives piece by piece.
-    pub fn pieces(stream: impl Stream<Item = Result<Bytes, AnswerBroken>> + 'static) -> Self {
+    pub fn pieces(stream: impl Stream<Item = Result<Bytes, IncompleteResponse>> + 'static) -> Self {
         Self::Pieces(Box::pin(stream))
     }
 }
 
-impl hyper::body::Body for ReplyBody {
+impl hyper::body::Body for ResponseBody {
     type Data = Bytes;
-    type Error = AnswerBroken;
+    type Error = IncompleteResponse;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerBroken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteResponse>>> {
         match self.get_mut() {
             Self::Whole(body) => Poll::Ready(body.next_piece().map(|p| Ok(Frame::data(p)))),
             Self::Pieces(stream) => {
--- a/crates/router/cloverpier_router/src/held_bytes.rs
+++ b/crates/router/cloverpier_router/src/buffer_reservation.rs
@@ -1,6 +1,6 @@
 //! Bytes of bodies and answers that are held, counted until they are let go.
 //!
-//! [`HeldBytes`] owns the count of one body or answer; what all may hold is decided in
+//! [`BufferReservation`] owns the count of one body or answer; what all may hold is decided in
 //! `cloverpier_router_policy::buffer_memory`.
 
 use cloverpier_router_policy::buffer_memory::{BufferKind, BufferMemory};
@@ -9,13 +9,13 @@
 
 /// The bytes that one body or answer holds.
 #[derive(Debug)]
-pub(crate) struct HeldBytes {
+pub(crate) struct BufferReservation {
     memory: Rc<RefCell<BufferMemory>>,
     held_for: BufferKind,
     bytes: u64,
 }
 
-impl HeldBytes {
+impl BufferReservation {
     /// Nothing held yet.
     pub fn new(memory: &Rc<RefCell<BufferMemory>>, held_for: BufferKind) -> Self {
         Self {
@@ -44,7 +44,7 @@
     }
 }
 
-impl Drop for HeldBytes {
+impl Drop for BufferReservation {
     fn drop(&mut self) {
         let mut held = self.memory.borrow_mut();
         held.release(self.bytes);
--- a/crates/router/cloverpier_router/src/via.rs
+++ b/crates/router/cloverpier_router/src/call_kind.rs
@@ -5,7 +5,7 @@
 
 /// The call whose answer said something of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Via<'a> {
+pub(crate) enum CallKind<'a> {
     /// A request of a caller, by its id.
     Request(&'a str),
     /// A probe of a silent upstream.
@@ -13,20 +13,20 @@
     /// A check of a suspected one.
     Check,
     /// A question about its load.
-    LoadQuestion,
+    LoadQuery,
     /// A question about the prompts that it has read.
-    CacheQuestion,
+    CacheQuery,
 }
 
-impl<'a> Via<'a> {
+impl<'a> CallKind<'a> {
     /// Its word in log lines.
-    pub fn word(self) -> &'static str {
+    pub fn log_name(self) -> &'static str {
         match self {
             Self::Request(_) => "request",
             Self::Probe => "probe",
             Self::Check => "check",
-            Self::LoadQuestion => "load",
-            Self::CacheQuestion => "cache",
+            Self::LoadQuery => "load",
+            Self::CacheQuery => "cache",
         }
     }
 
--- a/crates/router/cloverpier_router/src/stop_signal.rs
+++ b/crates/router/cloverpier_router/src/cancel_signal.rs
@@ -8,12 +8,12 @@
 
 /// Set once when the request's content is stopped while an attempt is under way.
 #[derive(Debug, Default)]
-pub(crate) struct StopSignal {
+pub(crate) struct CancelSignal {
     is_set: Cell<bool>,
     changed: Notify,
 }
 
-impl StopSignal {
+impl CancelSignal {
     /// Calls the attempts back.
     pub fn set(&self) {
         self.is_set.set(true);
@@ -33,7 +33,7 @@
     }
 
     /// Runs `work` unless they are called back before it ends, or were before: `None` then.
-    pub async fn unless_set<T>(&self, work: impl Future<Output = T>) -> Option<T> {
+    pub async fn run_unless_cancelled<T>(&self, work: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
             () = self.wait() => None,
--- a/crates/router/cloverpier_router/src/connection.rs
+++ b/crates/router/cloverpier_router/src/connection.rs
@@ -30,11 +30,11 @@
 const READ_BUFFER: usize = 32 * 1024;
 
 /// A request with its whole body.
-pub(crate) type WholeRequest = Request<Full<Bytes>>;
+pub(crate) type BufferedRequest = Request<Full<Bytes>>;
 
 /// Sending over a connection failed.
 #[derive(Debug)]
-pub(crate) struct SendBroke {
+pub(crate) struct SendError {
     /// Whether no byte of the request was written.
     pub was_unsent: bool,
     /// What happened.
@@ -49,7 +49,7 @@
     /// Requests that it has carried.
     pub requests: u32,
     /// How long the other side keeps it when it is idle.
-    pub idle_limit: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Drop for Connection {
@@ -67,7 +67,7 @@
     pub async fn open(
         address: SocketAddr,
         timeout: Duration,
-        idle_limit: Duration,
+        idle_timeout: Duration,
         timers: &Timers,
     ) -> io::Result<Self> {
         let connecting = timers.timeout(timeout, TcpStream::connect(address));
@@ -88,7 +88,7 @@
             sender,
             driver: driver.abort_handle(),
             requests: 0,
-            idle_limit,
+            idle_timeout,
         })
     }
 
@@ -104,7 +104,7 @@
 
     /// Waits until the connection has ended its last exchange; false when it cannot be used
     /// again.
-    pub async fn settle(&mut self) -> bool {
+    pub async fn wait_until_ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
@@ -112,11 +112,14 @@
     ///
     /// # Errors
     ///
-    /// [`SendBroke`], which says whether anything was written.
-    pub async fn send(&mut self, request: WholeRequest) -> Result<Response<Incoming>, SendBroke> {
+    /// [`SendError`], which says whether anything was written.
+    pub async fn send(
+        &mut self,
+        request: BufferedRequest,
+    ) -> Result<Response<Incoming>, SendError> {
         self.requests += 1;
         let sent = self.sender.try_send_request(request).await;
-        sent.map_err(|mut failure| SendBroke {
+        sent.map_err(|mut failure| SendError {
             was_unsent: failure.take_message().is_some(),
             error: failure.into_error(),
         })
@@ -124,7 +127,7 @@
 }
 
 /// An error with its causes, in one line for people.
-pub(crate) fn describe(error: &dyn Error) -> String {
+pub(crate) fn describe_error(error: &dyn Error) -> String {
     let mut text = error.to_string();
     for cause in causes(error) {
         text.push_str(": ");
@@ -134,7 +137,7 @@
 }
 
 /// The kind of the system's error among the causes of an error, if there is one.
-pub(crate) fn io_error_kind(error: &dyn Error) -> Option<io::ErrorKind> {
+pub(crate) fn find_io_error_kind(error: &dyn Error) -> Option<io::ErrorKind> {
     let mut found = causes(error).filter_map(|cause| cause.downcast_ref::<io::Error>());
     found.next().map(io::Error::kind)
 }
--- a/crates/router/cloverpier_router/src/crashes/hold.rs
+++ b/crates/router/cloverpier_router/src/crashes/hold.rs
@@ -36,7 +36,7 @@
             .turn
             .get_or_insert_with(|| Turn::begin(router, request));
         let cases = router.crashes.cases.borrow();
-        let (content, now) = (request.content(), router.now());
+        let (content, now) = (request.content_key(), router.now());
         let neighbours = |end: &UpstreamEvent| neighbours(router, end);
         let hold = cases.hold_admitted(content, turn.number, now, neighbours);
         let has_to_wait = hold.until(now, request.deadline, now).is_some();
@@ -58,7 +58,7 @@
     if crashes.cases.borrow().is_empty() {
         return Admitted::NEW;
     }
-    let content = request.content();
+    let content = request.content_key();
     let since = router.now();
     let mut is_held = false;
     while let Some(until) = held_until(router, request, since) {
@@ -89,12 +89,12 @@
 fn held_until(router: &Router, request: &RelayRequest, since: Instant) -> Option<Instant> {
     let now = router.now();
     let cases = router.crashes.cases.borrow();
-    let hold = cases.hold(request.content(), now, |end| neighbours(router, end));
+    let hold = cases.hold(request.content_key(), now, |end| neighbours(router, end));
     hold.until(since, request.deadline, now)
 }
 
 fn log_hold(router: &Router, request: &RelayRequest, admission: Admission, held: Duration) {
-    let content = request.content();
+    let content = request.content_key();
     let now = router.now();
     let line = RequestHeld {
         request: &request.id,
--- a/crates/router/cloverpier_router/src/crashes/judgement.rs
+++ b/crates/router/cloverpier_router/src/crashes/judgement.rs
@@ -6,7 +6,7 @@
 use super::neighbours::{neighbours, upstream_name};
 use super::reports;
 use super::verdicts::apply_verdicts;
-use crate::decision_log::{CrashDismissed, CrashRecorded, ms_since};
+use crate::decision_log::{CrashDiscarded, CrashRecorded, ms_since};
 use crate::probe::probe;
 use crate::relay_request::RelayRequest;
 use crate::router::Router;
@@ -74,7 +74,7 @@
 pub(crate) fn on_completed(router: &Router, request: &RelayRequest) {
     let now = router.now();
     let mut cases = router.crashes.cases.borrow_mut();
-    let acquitted = cases.on_completed(&request.repeated_part(), now);
+    let acquitted = cases.on_completed(&request.request_content(), now);
     drop(cases);
     if let Some(content) = acquitted {
         reports::send_to_all(router, &[content], now);
@@ -109,7 +109,7 @@
         router.crashes.changed.notify_waiters();
     }
     for DiscardedAttempt { attempt, reason } in dismissed {
-        let line = CrashDismissed {
+        let line = CrashDiscarded {
             content: attempt.content.to_string(),
             upstream: upstream_name(router, attempt.crash_id.upstream),
             start_ms: attempt.crash_id.time_ms,
--- a/crates/router/cloverpier_router/src/crashes/record.rs
+++ b/crates/router/cloverpier_router/src/crashes/record.rs
@@ -31,14 +31,14 @@
         return;
     }
     let attempt = LostAttempt {
-        content: request.content(),
+        content: request.content_key(),
         loss,
         has_completed: false,
         crash_id: end_of(upstream),
         upstream: ended_upstream(upstream, now),
         ran_for,
     };
-    let content = request.repeated_part();
+    let content = request.request_content();
     router
         .crashes
         .change(|cases| cases.on_lost(&content, attempt));
--- a/crates/router/cloverpier_router/src/crashes/turn.rs
+++ b/crates/router/cloverpier_router/src/crashes/turn.rs
@@ -18,7 +18,7 @@
 impl Turn {
     /// Begins with the admission.
     pub(super) fn begin(router: &Rc<Router>, request: &RelayRequest) -> Self {
-        let content = request.content();
+        let content = request.content_key();
         let number = router.crashes.cases.borrow_mut().on_admitted(content);
         Self {
             router: Rc::clone(router),
--- a/crates/router/cloverpier_router/src/datagrams.rs
+++ b/crates/router/cloverpier_router/src/datagrams.rs
@@ -4,7 +4,7 @@
 //! [`crate::outbox`]. A datagram that is lost costs little: whatever matters is repeated, or asked for again.
 
 use crate::decision_log::log_dependency;
-use crate::metrics::ByKind;
+use crate::metrics::CounterByKind;
 use crate::peer_messages::{PeerMessage, encode};
 use cloverpier_observe::Log;
 use std::cell::OnceCell;
@@ -18,13 +18,13 @@
     /// Set at the start, once the port is bound.
     socket: OnceCell<Rc<UdpSocket>>,
     log: Log,
-    sent: ByKind,
-    bytes: ByKind,
+    sent: CounterByKind,
+    bytes: CounterByKind,
 }
 
 impl Datagrams {
     /// Datagrams that have no socket yet; they are counted by what they say.
-    pub fn new(log: Log, sent: ByKind, bytes: ByKind) -> Self {
+    pub fn new(log: Log, sent: CounterByKind, bytes: CounterByKind) -> Self {
         Self {
             socket: OnceCell::new(),
             log,
--- a/crates/router/cloverpier_router/src/decision_log/upstreams.rs
+++ b/crates/router/cloverpier_router/src/decision_log/upstreams.rs
@@ -27,7 +27,7 @@
 
 /// An attempt was lost at an upstream, and no end is counted for it.
 #[derive(Serialize)]
-pub(crate) struct CrashDismissed {
+pub(crate) struct CrashDiscarded {
     pub content: String,
     #[serde(rename = "server")]
     pub upstream: String,
@@ -69,7 +69,7 @@
 
 /// What is believed of an upstream has changed.
 #[derive(Serialize)]
-pub(crate) struct UpstreamBelief<'a> {
+pub(crate) struct UpstreamStateChanged<'a> {
     #[serde(rename = "server")]
     pub upstream: &'a str,
     pub address: String,
@@ -79,7 +79,7 @@
 
 /// This router has learned that an upstream leaves, otherwise than by its entry.
 #[derive(Serialize)]
-pub(crate) struct LeavingLearned<'a> {
+pub(crate) struct UpstreamLeaving<'a> {
     #[serde(rename = "server")]
     pub upstream: &'a str,
     pub address: String,
@@ -95,7 +95,7 @@
 
 /// An upstream has turned a request away and wants nothing for a time.
 #[derive(Serialize)]
-pub(crate) struct WaitLearned<'a> {
+pub(crate) struct UpstreamPaused<'a> {
     #[serde(rename = "server")]
     pub upstream: &'a str,
     pub wait_ms: u64,
@@ -107,7 +107,7 @@
 
 /// An upstream limits itself, names another rate than before, or none any more.
 #[derive(Serialize)]
-pub(crate) struct LimitLearned<'a> {
+pub(crate) struct RateLimitChanged<'a> {
     #[serde(rename = "server")]
     pub upstream: &'a str,
     /// Requests a second that it takes from all routers together; nothing where it is not limited
@@ -128,6 +128,6 @@
 
 /// A router that should hand out permits does not answer, so that another one is asked.
 #[derive(Serialize)]
-pub(crate) struct LimiterPassedOver {
+pub(crate) struct LimiterUnresponsive {
     pub limiter: String,
 }
--- a/crates/router/cloverpier_router/src/decision_log/versions.rs
+++ b/crates/router/cloverpier_router/src/decision_log/versions.rs
@@ -17,7 +17,7 @@
 
 /// A newer version was put in force.
 #[derive(Serialize)]
-pub(crate) struct VersionTaken<'a> {
+pub(crate) struct VersionApplied<'a> {
     pub what: &'a str,
     pub version: u64,
     pub from: &'a str,
--- a/crates/router/cloverpier_router/src/engine_call.rs
+++ b/crates/router/cloverpier_router/src/engine_call.rs
@@ -4,12 +4,12 @@
 //! engine next uses the same connection. The caller bounds the wait and ends the call by dropping
 //! it.
 
-use crate::connection::{Connection, describe};
-use crate::http_client::{CallError, HttpAnswer, get_request};
+use crate::call_kind::CallKind;
+use crate::connection::{Connection, describe_error};
+use crate::http_client::{CallError, HttpResponse, get_request};
 use crate::router::Router;
 use crate::send::keep;
 use crate::statements::Call;
-use crate::via::Via;
 use cloverpier_router_policy::connection_reuse::{CONNECT_TIMEOUT, DEFAULT_IDLE_TIMEOUT};
 use cloverpier_router_policy::prelude::*;
 use http_body_util::BodyExt;
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub(crate) struct EngineAnswer {
     /// The answer.
-    pub answer: HttpAnswer,
+    pub answer: HttpResponse,
     /// Whether it is of a former start, and so out of date.
     pub is_outdated: bool,
 }
@@ -33,7 +33,7 @@
     router: &Rc<Router>,
     engine: &Upstream,
     path: &str,
-    via: Via<'_>,
+    via: CallKind<'_>,
 ) -> Result<EngineAnswer, CallError> {
     loop {
         let mut connection = connect(router, engine).await?;
@@ -51,7 +51,7 @@
         keep(router, engine, connection);
         let now = router.now();
         router.health.of(engine, now).on_activity(now);
-        let answer = HttpAnswer {
+        let answer = HttpResponse {
             status: head.status,
             headers: head.headers,
             body: body.to_bytes(),
@@ -87,6 +87,6 @@
 
 fn broken(error: &dyn std::error::Error) -> CallError {
     CallError::Broken {
-        reason: describe(error),
+        reason: describe_error(error),
     }
 }
--- a/crates/router/cloverpier_router/src/http_client.rs
+++ b/crates/router/cloverpier_router/src/http_client.rs
@@ -3,8 +3,8 @@
 //! Owns at most one kept connection, used again while it is whole. Callers that need to know
 //! whether a byte was written use [`crate::connection`] itself.
 
-use crate::connection::{Connection, WholeRequest, describe};
-use crate::wire_names::AnswerParts;
+use crate::connection::{BufferedRequest, Connection, describe_error};
+use crate::wire_names::ResponseParts;
 use bytes::{Bytes, BytesMut};
 use cloverpier_timers::{Elapsed, Timers};
 use http_body_util::{BodyExt, Full};
@@ -65,7 +65,7 @@
 
 /// A whole answer to a simple call.
 #[derive(Debug)]
-pub struct HttpAnswer {
+pub struct HttpResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -74,10 +74,10 @@
     pub body: Bytes,
 }
 
-impl HttpAnswer {
+impl HttpResponse {
     /// What of it may speak of its sender.
-    pub fn parts(&self) -> AnswerParts<'_> {
-        AnswerParts {
+    pub fn parts(&self) -> ResponseParts<'_> {
+        ResponseParts {
             status: self.status,
             headers: &self.headers,
             body: Some(&self.body),
@@ -87,7 +87,7 @@
 
 /// Bounds on the answer to a call for something large.
 #[derive(Clone, Copy, Debug)]
-pub struct LargeBounds {
+pub struct DownloadTimeouts {
     /// From the call to the head of its answer, a new connection included.
     pub head: Duration,
     /// From the head, or a piece of the body, to the next one.
@@ -119,7 +119,7 @@
     /// # Errors
     ///
     /// [`CallError`]; the connection is given up then.
-    pub async fn get(&self, path: &str, timeout: Duration) -> Result<HttpAnswer, CallError> {
+    pub async fn get(&self, path: &str, timeout: Duration) -> Result<HttpResponse, CallError> {
         let whole = self.within(timeout, self.get_unbounded(path)).await;
         whole.unwrap_or(Err(CallError::TimedOut))
     }
@@ -131,13 +131,13 @@
     /// # Errors
     ///
     /// [`CallError`]; the connection is given up then.
-    pub async fn get_large(
+    pub async fn download(
         &self,
         path: &str,
         headers: HeaderMap,
-        bounds: LargeBounds,
+        bounds: DownloadTimeouts,
         given_up: impl Future<Output = ()>,
-    ) -> Result<HttpAnswer, CallError> {
+    ) -> Result<HttpResponse, CallError> {
         let mut request = get_request(path, self.address)?;
         request.headers_mut().extend(headers);
         let (connection, response) = tokio::select! {
@@ -166,7 +166,7 @@
         path: &str,
         body: Bytes,
         timeout: Duration,
-    ) -> Result<HttpAnswer, CallError> {
+    ) -> Result<HttpResponse, CallError> {
         let request = Request::put(path)
             .header(HOST, self.address.to_string())
             .header(CONTENT_TYPE, "application/json")
@@ -185,7 +185,7 @@
         &self,
         request: Request<Bytes>,
         timeout: Duration,
-    ) -> Result<HttpAnswer, CallError> {
+    ) -> Result<HttpResponse, CallError> {
         let mut request = request.map(Full::new);
         let host = HeaderValue::from_str(&self.address.to_string()).map_err(|e| broken(&e))?;
         request.headers_mut().insert(HOST, host);
@@ -193,11 +193,11 @@
         whole.unwrap_or(Err(CallError::TimedOut))
     }
 
-    async fn get_unbounded(&self, path: &str) -> Result<HttpAnswer, CallError> {
+    async fn get_unbounded(&self, path: &str) -> Result<HttpResponse, CallError> {
         self.answer_to(get_request(path, self.address)?).await
     }
 
-    async fn answer_to(&self, request: WholeRequest) -> Result<HttpAnswer, CallError> {
+    async fn answer_to(&self, request: BufferedRequest) -> Result<HttpResponse, CallError> {
         let (connection, response) = self.send(request).await?;
         let (head, body) = response.into_parts();
         let body = body.collect().await.map_err(|e| broken(&e))?;
@@ -206,7 +206,7 @@
 
     async fn send(
         &self,
-        request: WholeRequest,
+        request: BufferedRequest,
     ) -> Result<(Connection, Response<Incoming>), CallError> {
         let mut connection = self.connection().await?;
         let sent = connection.send(request).await;
@@ -215,9 +215,9 @@
     }
 
     /// Keeps the connection of an answer that is whole.
-    fn finish(&self, connection: Connection, head: Parts, body: Bytes) -> HttpAnswer {
+    fn finish(&self, connection: Connection, head: Parts, body: Bytes) -> HttpResponse {
         *self.kept.borrow_mut() = Some(connection);
-        HttpAnswer {
+        HttpResponse {
             status: head.status,
             headers: head.headers,
             body,
@@ -227,7 +227,7 @@
     async fn connection(&self) -> Result<Connection, CallError> {
         let kept = self.kept.borrow_mut().take();
         if let Some(mut connection) = kept
-            && connection.settle().await
+            && connection.wait_until_ready().await
         {
             return Ok(connection);
         }
@@ -252,7 +252,7 @@
 }
 
 /// A request without a body.
-pub(crate) fn get_request(path: &str, address: SocketAddr) -> Result<WholeRequest, CallError> {
+pub(crate) fn get_request(path: &str, address: SocketAddr) -> Result<BufferedRequest, CallError> {
     let request = Request::builder()
         .uri(path)
         .header(HOST, address.to_string());
@@ -262,6 +262,6 @@
 
 fn broken(error: &dyn std::error::Error) -> CallError {
     CallError::Broken {
-        reason: describe(error),
+        reason: describe_error(error),
     }
 }
--- a/crates/router/cloverpier_router/src/intake.rs
+++ b/crates/router/cloverpier_router/src/intake.rs
@@ -3,12 +3,12 @@
 //! Reads headers and body into a [`RelayRequest`]; which request is admitted, on whose account, and
 //! until when it is held is decided in `cloverpier_router_policy::{arrival, deadline}`. Owns nothing.
 
+use crate::buffer_reservation::BufferReservation;
+use crate::cancel_signal::CancelSignal;
 use crate::decision_log::{RequestEnd, RequestRejected, UnreadableHeader};
-use crate::held_bytes::HeldBytes;
 use crate::relay_request::RelayRequest;
-use crate::reply::{Reply, own_reply, refusal_reply, strip_hop_by_hop};
+use crate::responses::{ServerResponse, error_response, refusal_response, strip_hop_by_hop};
 use crate::router::Router;
-use crate::stop_signal::StopSignal;
 use crate::wire_names::PromptSize;
 use bytes::{Bytes, BytesMut};
 use cloverpier_core::hash_of;
@@ -34,7 +34,7 @@
     router: &Rc<Router>,
     request: Request<Incoming>,
     now: Instant,
-) -> Result<RelayRequest, Reply> {
+) -> Result<RelayRequest, ServerResponse> {
     let (head, body) = request.into_parts();
     let id = text_of(&head.headers, &router.wire_names.headers.request_id);
     // Without an id, requests are distinguished by the caller's connection alone.
@@ -61,13 +61,15 @@
     }
 }
 
-fn rejection_reply(rejection: Rejection) -> Reply {
+fn rejection_reply(rejection: Rejection) -> ServerResponse {
     let status = status_of(rejection);
     let reason = rejection.to_string();
     match rejection {
-        Rejection::BufferMemoryFull => refusal_reply(&reason, Refusal::BufferMemoryFull),
-        _ if status == StatusCode::SERVICE_UNAVAILABLE => refusal_reply(&reason, Refusal::Starting),
-        _ => own_reply(status, &reason),
+        Rejection::BufferMemoryFull => refusal_response(&reason, Refusal::BufferMemoryFull),
+        _ if status == StatusCode::SERVICE_UNAVAILABLE => {
+            refusal_response(&reason, Refusal::Starting)
+        }
+        _ => error_response(status, &reason),
     }
 }
 
@@ -103,7 +105,7 @@
     let route = find_route(&configuration, host, head.uri.path())?;
     let key = text_of(&head.headers, &names.key);
     let account = find_account(&configuration, &route, key)?;
-    let mut held = HeldBytes::new(&router.held_memory, BufferKind::Body);
+    let mut held = BufferReservation::new(&router.buffer_memory, BufferKind::Body);
     let body = read_body(body, configuration.limits().body_bytes, &mut held).await?;
     // The configuration may have changed while the body arrived; a route that is gone from
     // the new one still takes the requests that it admitted.
@@ -128,8 +130,8 @@
         route,
         configuration_version: configuration.version(),
         arrived: now,
-        stop: StopSignal::default(),
-        content: OnceCell::new(),
+        stop: CancelSignal::default(),
+        content_key: OnceCell::new(),
     })
 }
 
@@ -164,7 +166,7 @@
 async fn read_body(
     mut body: Incoming,
     max_bytes: usize,
-    held: &mut HeldBytes,
+    held: &mut BufferReservation,
 ) -> Result<Bytes, Rejection> {
     if body.size_hint().lower() > max_bytes as u64 {
         return Err(Rejection::BodyTooLong);
@@ -229,7 +231,7 @@
 /// The prompt, by the part of it that no other prompt shares.
 fn prompt_key(router: &Router, headers: &HeaderMap) -> Option<PromptKey> {
     let parts = text_of(headers, &router.wire_names.headers.prompt_parts)?;
-    let own = (router.wire_names.own_part)(parts)?;
+    let own = (router.wire_names.unique_part)(parts)?;
     Some(PromptKey(hash_of(own)))
 }
 
--- a/crates/router/cloverpier_router/src/leaving_reports.rs
+++ b/crates/router/cloverpier_router/src/leaving_reports.rs
@@ -5,10 +5,10 @@
 //! learned.
 
 use crate::beliefs::{LeavingSource, log_leaving};
+use crate::call_kind::CallKind;
 use crate::outbox::Recipients;
 use crate::peer_messages::{LeavingReports, PeerMessage};
 use crate::router::Router;
-use crate::via::Via;
 use cloverpier_router_policy::dissemination::{
     is_within_repeat_window, may_have_missed_facts, sends_missed_facts,
 };
@@ -22,7 +22,7 @@
     router: &Router,
     upstream: &Upstream,
     born_ms: Option<u64>,
-    via: Via<'_>,
+    via: CallKind<'_>,
     now: Instant,
 ) {
     let mut table = router.upstreams.borrow_mut();
--- a/crates/router/cloverpier_router/src/lib.rs
+++ b/crates/router/cloverpier_router/src/lib.rs
@@ -8,10 +8,10 @@
 //! | concern | modules |
 //! | --- | --- |
 //! | start, stop | `start`, `stop`, `lifecycle` |
-//! | a request, in the order in which it meets them | `web`, `intake`, `held_bytes`, `relay_request`, then `plain` or `stream`, `send`, `wait`, `outcome`, `reply` |
+//! | a request, in the order in which it meets them | `web`, `intake`, `buffer_reservation`, `relay_request`, then `plain` or `stream`, `send`, `wait`, `outcome`, `reply` |
 //! | engines that have read a prompt | `prompts`, `prompt_search` |
 //! | questions to engines on their load | `load_query`, `engine_call` |
-//! | requests that end upstreams | `crashes`, `stop_signal` |
+//! | requests that end upstreams | `crashes`, `cancel_signal` |
 //! | upstreams' health | `health`, `probe`, `successors`, `restart`, `load_guard` |
 //! | what upstreams say of themselves | `statements`, `leaving_reports`, `limit_reports`, `upstream_limits` |
 //! | the store | `source`, `store_sync`, `store_view`, `store_events`, `upstream_updates` |
@@ -45,7 +45,10 @@
 mod beliefs;
 mod body;
 mod budgets;
+mod buffer_reservation;
+mod call_kind;
 mod caller_stream;
+mod cancel_signal;
 mod choice_log;
 mod configuration_copies;
 mod connection;
@@ -56,7 +59,6 @@
 mod gossip;
 mod health;
 mod heartbeats;
-mod held_bytes;
 mod http_client;
 mod intake;
 mod leaving_reports;
@@ -79,7 +81,7 @@
 mod prompt_search;
 mod prompts;
 mod relay_request;
-mod reply;
+mod responses;
 mod restart;
 mod resume;
 mod rollout_state;
@@ -88,12 +90,11 @@
 mod rollouts;
 mod router;
 mod send;
+mod signals;
 mod singleton;
 mod source;
 mod start;
 mod statements;
-mod stop;
-mod stop_signal;
 mod store_events;
 mod store_list;
 mod store_sync;
@@ -102,7 +103,6 @@
 mod successors;
 mod upstream_limits;
 mod upstream_updates;
-mod via;
 mod wait;
 mod web;
 mod wire_names;
@@ -110,7 +110,7 @@
 /// What users of the crate need daily.
 pub mod prelude {
     pub use crate::background::run_in_background;
-    pub use crate::http_client::{CallError, HttpAnswer, HttpClient, LargeBounds};
+    pub use crate::http_client::{CallError, DownloadTimeouts, HttpClient, HttpResponse};
     pub use crate::router::Router;
     pub use crate::singleton::{
         LeaseRecord, RecordWritten, ServiceScaling, SignedBy, SingletonPlatform, StoredRecord,
@@ -121,7 +121,7 @@
         UnreadableEntry, UpstreamChanges, UpstreamList, UpstreamPage,
     };
     pub use crate::start::{StartError, run_router};
-    pub use crate::wire_names::{AnswerParts, HeaderNames, Paths, PromptSize, WireNames};
+    pub use crate::wire_names::{HeaderNames, Paths, PromptSize, ResponseParts, WireNames};
 }
 
 pub use prelude::*;
--- a/crates/router/cloverpier_router/src/lifecycle.rs
+++ b/crates/router/cloverpier_router/src/lifecycle.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns when the termination signal came, how many requests are in flight and how long streams took
 //! that ended. A request counts until the last byte of its answer is handed to the connection, by
-//! [`InFlight`]. When a stopping router may exit is decided in `cloverpier_router_policy::lifecycle`.
+//! [`InFlightGuard`]. When a stopping router may exit is decided in `cloverpier_router_policy::lifecycle`.
 
 use cloverpier_router_policy::lifecycle::{StreamDurations, accepts_streams};
 use std::cell::{Cell, RefCell};
@@ -42,17 +42,17 @@
     }
 
     /// Begins the planned stop.
-    pub fn begin_stop(&self, now: Instant) {
+    pub fn begin_shutdown(&self, now: Instant) {
         self.stopping_since.set(Some(now));
     }
 
     /// Whether the planned stop has begun.
-    pub fn is_stopping(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         self.stopping_since.get().is_some()
     }
 
     /// How long ago the planned stop began, if it did.
-    pub fn stopping_for(&self, now: Instant) -> Option<Duration> {
+    pub fn shutdown_elapsed(&self, now: Instant) -> Option<Duration> {
         let since = self.stopping_since.get()?;
         Some(now.saturating_duration_since(since))
     }
@@ -63,9 +63,9 @@
     }
 
     /// Whether a new stream is taken.
-    pub fn takes_streams(&self, grace: Duration, now: Instant) -> bool {
+    pub fn accepts_streams(&self, grace: Duration, now: Instant) -> bool {
         let expected = self.stream_durations.borrow().expected();
-        accepts_streams(self.stopping_for(now), expected, grace)
+        accepts_streams(self.shutdown_elapsed(now), expected, grace)
     }
 
     /// Number of requests in flight.
@@ -76,9 +76,9 @@
 
 /// One request in flight; it ends when this is dropped.
 #[derive(Debug)]
-pub(crate) struct InFlight(Rc<Cell<usize>>);
+pub(crate) struct InFlightGuard(Rc<Cell<usize>>);
 
-impl InFlight {
+impl InFlightGuard {
     /// Counts a request.
     pub fn begin(lifecycle: &Lifecycle) -> Self {
         let count = &lifecycle.in_flight;
@@ -87,7 +87,7 @@
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/crates/router/cloverpier_router/src/load_query.rs
+++ b/crates/router/cloverpier_router/src/load_query.rs
@@ -3,11 +3,11 @@
 //! Which engines are asked, for how long, and what an answer says is decided in
 //! `cloverpier_router_policy::load_query`; the form of the answer is the platform's.
 
+use crate::call_kind::CallKind;
 use crate::engine_call::{EngineAnswer, ask_engine};
 use crate::probe::{self, DeathCause};
 use crate::relay_request::RelayRequest;
 use crate::router::Router;
-use crate::via::Via;
 use cloverpier_router_policy::load_query::QUERY_TIMEOUT;
 use cloverpier_router_policy::prelude::*;
 use futures_util::future::join_all;
@@ -35,7 +35,7 @@
 /// counter of probes distinguishes these, and the choice's log line how many engines answered.
 async fn query(router: &Rc<Router>, engine: &Upstream) -> Option<EngineReport> {
     let path = router.wire_names.paths.engine_report;
-    let asking = ask_engine(router, engine, path, Via::LoadQuestion);
+    let asking = ask_engine(router, engine, path, CallKind::LoadQuery);
     let answer = router.timers.timeout(QUERY_TIMEOUT, asking).await;
     let (report, outcome) = match answer {
         Ok(Ok(engine)) if engine.answer.status.is_success() => read_report(router, &engine),
--- a/crates/router/cloverpier_router/src/metrics.rs
+++ b/crates/router/cloverpier_router/src/metrics.rs
@@ -21,9 +21,9 @@
 
 /// A counter for each kind of a thing.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ByKind(Family<Kind, Counter>);
+pub(crate) struct CounterByKind(Family<Kind, Counter>);
 
-impl ByKind {
+impl CounterByKind {
     /// Counts one of a kind.
     pub fn count(&self, kind: &'static str) {
         self.add(kind, 1);
@@ -57,36 +57,36 @@
 pub(crate) struct Metrics {
     registry: Registry,
     /// Requests by how they ended.
-    pub requests: ByKind,
+    pub requests: CounterByKind,
     /// Sends to upstreams by outcome.
-    pub sends: ByKind,
+    pub sends: CounterByKind,
     /// Streams that went on elsewhere, by cause.
-    pub resumed: ByKind,
+    pub resumed: CounterByKind,
     /// Calls to the platform's store by outcome.
-    pub store_calls: ByKind,
+    pub store_calls: CounterByKind,
     /// Probes, checks and searches by outcome.
-    pub probes: ByKind,
+    pub probes: CounterByKind,
     /// Fetches of versions from peers by outcome.
-    pub version_fetches: ByKind,
+    pub version_fetches: CounterByKind,
     /// Steps of roll-outs by stage.
-    pub rollouts: ByKind,
+    pub rollouts: CounterByKind,
     /// Upstreams that ended under requests: ends seen and reported by peers, contents stopped and cleared.
-    pub crashes: ByKind,
+    pub crashes: CounterByKind,
     /// Upstreams that leave, as an answer or a peer said.
-    pub leavings: ByKind,
+    pub leavings: CounterByKind,
     /// Times that upstreams began to want nothing.
     pub waits: Counter,
     /// Limits that upstreams named: begun, changed, ended.
-    pub upstream_limits: ByKind,
+    pub upstream_limits: CounterByKind,
     /// Permits for upstreams that limit themselves, got and handed out.
-    pub permits: ByKind,
+    pub permits: CounterByKind,
     /// The lease on work that one router at a time does, and that work.
-    pub singleton: ByKind,
+    pub singleton: CounterByKind,
     /// Contents that are stopped.
     pub stopped_contents: Gauge,
     /// Datagrams sent to peers, and their bytes, by what they say.
-    pub peer_datagrams: ByKind,
-    pub peer_bytes: ByKind,
+    pub peer_datagrams: CounterByKind,
+    pub peer_bytes: CounterByKind,
     /// Bytes of versions handed to peers.
     pub version_bytes: Counter,
     /// New connections to upstreams.
@@ -111,22 +111,22 @@
     fn default() -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix("cloverpier"),
-            requests: ByKind::default(),
-            sends: ByKind::default(),
-            resumed: ByKind::default(),
-            store_calls: ByKind::default(),
-            probes: ByKind::default(),
-            version_fetches: ByKind::default(),
-            rollouts: ByKind::default(),
-            crashes: ByKind::default(),
-            leavings: ByKind::default(),
+            requests: CounterByKind::default(),
+            sends: CounterByKind::default(),
+            resumed: CounterByKind::default(),
+            store_calls: CounterByKind::default(),
+            probes: CounterByKind::default(),
+            version_fetches: CounterByKind::default(),
+            rollouts: CounterByKind::default(),
+            crashes: CounterByKind::default(),
+            leavings: CounterByKind::default(),
             waits: Counter::default(),
-            upstream_limits: ByKind::default(),
-            permits: ByKind::default(),
-            singleton: ByKind::default(),
+            upstream_limits: CounterByKind::default(),
+            permits: CounterByKind::default(),
+            singleton: CounterByKind::default(),
             stopped_contents: Gauge::default(),
-            peer_datagrams: ByKind::default(),
-            peer_bytes: ByKind::default(),
+            peer_datagrams: CounterByKind::default(),
+            peer_bytes: CounterByKind::default(),
             version_bytes: Counter::default(),
             connections: Counter::default(),
             suspensions: Counter::default(),
--- a/crates/router/cloverpier_router/src/outcome.rs
+++ b/crates/router/cloverpier_router/src/outcome.rs
@@ -5,7 +5,7 @@
 
 use crate::decision_log::{RequestEnd, RequestEnded, SendFailed, ms, ms_since};
 use crate::relay_request::RelayRequest;
-use crate::reply::{Reply, own_reply, refusal_reply};
+use crate::responses::{ServerResponse, error_response, refusal_response};
 use crate::router::Router;
 use cloverpier_core::UpstreamName;
 use cloverpier_router_policy::prelude::*;
@@ -69,16 +69,16 @@
     }
 
     /// The reply to the caller, true to what is known of the request's run.
-    pub fn reply(&self, router: &Router, request: &RelayRequest) -> Reply {
+    pub fn reply(&self, router: &Router, request: &RelayRequest) -> ServerResponse {
         match self.end() {
             RequestEnd::Refused | RequestEnd::RefusedLate => {
-                refusal_reply(&self.reason, self.refusal(router, request))
+                refusal_response(&self.reason, self.refusal(router, request))
             }
             // Not one of the statuses after which callers come again, and no promise that it has
             // not run.
-            RequestEnd::Stopped => own_reply(StatusCode::BAD_REQUEST, &self.reason),
-            RequestEnd::TimedOut => own_reply(StatusCode::GATEWAY_TIMEOUT, &self.reason),
-            _ => own_reply(StatusCode::BAD_GATEWAY, &self.reason),
+            RequestEnd::Stopped => error_response(StatusCode::BAD_REQUEST, &self.reason),
+            RequestEnd::TimedOut => error_response(StatusCode::GATEWAY_TIMEOUT, &self.reason),
+            _ => error_response(StatusCode::BAD_GATEWAY, &self.reason),
         }
     }
 
@@ -235,7 +235,8 @@
             next: attempt.next,
             last_event: attempt.last_event,
             attempt_ms: ms_since(attempt.begun, attempt.now),
-            content: (outcome == AttemptOutcome::Unknown).then(|| request.content().to_string()),
+            content: (outcome == AttemptOutcome::Unknown)
+                .then(|| request.content_key().to_string()),
             age_ms: ms_since(request.arrived, attempt.now),
         },
     );
--- a/crates/router/cloverpier_router/src/peer_fetch.rs
+++ b/crates/router/cloverpier_router/src/peer_fetch.rs
@@ -6,7 +6,7 @@
 
 use crate::configuration_copies::{CopyEncoding, HeldConfiguration};
 use crate::decision_log::{FetchFailed, VersionFetched, ms};
-use crate::http_client::{CallError, HttpAnswer, HttpClient, LargeBounds};
+use crate::http_client::{CallError, DownloadTimeouts, HttpClient, HttpResponse};
 use crate::peer_messages::{CodecError, UpstreamsReply, decode, decompress};
 use crate::peer_serve::{
     CONFIGURATION_PATH, GZIP, UPSTREAMS_PATH, UPSTREAMS_WITH_STARTS, encoding_of, wait_of,
@@ -241,17 +241,17 @@
         peer: SocketAddr,
         path: &str,
         headers: HeaderMap,
-    ) -> Result<HttpAnswer, FetchError> {
+    ) -> Result<HttpResponse, FetchError> {
         let client = self.clients.entry(peer);
         let timers = self.router.timers.clone();
         let client =
             client.or_insert_with(|| Rc::new(HttpClient::new(peer, STALL_TIMEOUT, timers)));
-        let bounds = LargeBounds {
+        let bounds = DownloadTimeouts {
             head: STALL_TIMEOUT,
             stall: STALL_TIMEOUT,
         };
         let never = std::future::pending();
-        let answer = client.get_large(path, headers, bounds, never).await;
+        let answer = client.download(path, headers, bounds, never).await;
         let answer = answer.context(CallSnafu)?;
         match answer.status {
             StatusCode::OK => Ok(answer),
--- a/crates/router/cloverpier_router/src/peer_serve.rs
+++ b/crates/router/cloverpier_router/src/peer_serve.rs
@@ -6,11 +6,11 @@
 //! [`crate::peer_messages`]'s.
 
 use crate::background::run_in_background;
-use crate::body::ReplyBody;
+use crate::body::ResponseBody;
 use crate::configuration_copies::CopyEncoding;
 use crate::decision_log::{VersionServed, log_dependency};
 use crate::peer_messages::{CodecError, UpstreamsReply, compress, encode};
-use crate::reply::{Reply, own_reply, set_retry_after};
+use crate::responses::{ServerResponse, error_response, set_retry_after};
 use crate::router::Router;
 use crate::store_view::Watched;
 use bytes::Bytes;
@@ -38,7 +38,7 @@
 const DEFAULT_WAIT: Duration = Duration::from_millis(100);
 
 /// Hands versions to peers.
-pub(crate) async fn on_peer(router: Rc<Router>, request: Request<Incoming>) -> Reply {
+pub(crate) async fn on_peer(router: Rc<Router>, request: Request<Incoming>) -> ServerResponse {
     let served = match request.uri().path() {
         CONFIGURATION_PATH => configuration_reply(&router, request.headers()).await,
         UPSTREAMS_PATH if router.store.knows_upstreams() => {
@@ -51,14 +51,14 @@
             log_dependency(&router.log, "peer.unsent", "peers", &error.to_string());
             None
         })
-        .unwrap_or_else(|| own_reply(StatusCode::NOT_FOUND, "no such version"))
+        .unwrap_or_else(|| error_response(StatusCode::NOT_FOUND, "no such version"))
 }
 
 /// A copy of the configuration, or when to ask again; `None` before the first one is known.
 async fn configuration_reply(
     router: &Router,
     headers: &HeaderMap,
-) -> Result<Option<Reply>, CodecError> {
+) -> Result<Option<ServerResponse>, CodecError> {
     let Some(held) = router.store.held_configuration() else {
         return Ok(None);
     };
@@ -82,7 +82,7 @@
 async fn upstreams_answer(
     router: &Router,
     request: &Request<Incoming>,
-) -> Result<Reply, CodecError> {
+) -> Result<ServerResponse, CodecError> {
     let form = accepted_form(request.headers());
     let after = asked_after(request);
     let encoding = accepted_encoding(request.headers());
@@ -139,27 +139,27 @@
 }
 
 /// The refusal of a copy that would come before the link has carried the others.
-fn paced(router: &Router, bytes: usize) -> Option<Reply> {
+fn paced(router: &Router, bytes: usize) -> Option<ServerResponse> {
     let link = LinkRate::from_mbps(router.settings().link_mbps);
     let mut pacing = router.copy_pacing.borrow_mut();
     let CopyStep::Refuse(wait) = pacing.step(bytes, link, router.now()) else {
         return None;
     };
-    let mut reply = own_reply(StatusCode::SERVICE_UNAVAILABLE, "other copies come first");
+    let mut reply = error_response(StatusCode::SERVICE_UNAVAILABLE, "other copies come first");
     set_retry_after(&mut reply, wait);
     Some(reply)
 }
 
-fn set_encoding(reply: &mut Reply, encoding: CopyEncoding) {
+fn set_encoding(reply: &mut ServerResponse, encoding: CopyEncoding) {
     if encoding == CopyEncoding::Compressed {
         let gzip = HeaderValue::from_static(GZIP);
         reply.headers_mut().insert(CONTENT_ENCODING, gzip);
     }
 }
 
-fn bytes_reply(router: &Router, bytes: Bytes) -> Reply {
+fn bytes_reply(router: &Router, bytes: Bytes) -> ServerResponse {
     router.metrics.version_bytes.inc_by(bytes.len() as u64);
-    Response::new(ReplyBody::whole(bytes))
+    Response::new(ResponseBody::whole(bytes))
 }
 
 /// The encoding in which a peer may be answered.
--- a/crates/router/cloverpier_router/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -4,20 +4,20 @@
 //! that breaks off can be had from another upstream; the rest of a large one is passed on as
 //! it arrives. [`PlainRun`] owns the attempts of one request.
 
-use crate::body::{AnswerBroken, ReplyBody};
+use crate::body::{IncompleteResponse, ResponseBody};
+use crate::buffer_reservation::BufferReservation;
 use crate::choice_log::{ChoiceNote, log_choice};
 use crate::connection::Connection;
 use crate::crashes::abandoned::AbandonGuard;
 use crate::crashes::{hold, judgement, record};
 use crate::decision_log::RequestEnd;
-use crate::held_bytes::HeldBytes;
 use crate::load_guard::LoadGuard;
 use crate::outcome::{Ending, FailedAttempt, GivenUp, Progress, log_end, log_failure};
 use crate::relay_request::RelayRequest;
-use crate::reply::{Reply, UpstreamAnswer, streamed_reply};
+use crate::responses::{BufferedResponse, ServerResponse, streamed_response};
 use crate::rollouts;
 use crate::router::Router;
-use crate::send::{Opened, SendExtras, keep, send};
+use crate::send::{AttemptHeaders, OpenResponse, keep, send};
 use crate::singleton;
 use crate::wait::{Awaited, while_alive};
 use bytes::{Bytes, BytesMut};
@@ -37,7 +37,7 @@
 const MAX_HELD: usize = 256 * 1024;
 
 /// Relays a request to one upstream, and to others as far as that is allowed.
-pub(crate) async fn relay_plain(router: &Rc<Router>, request: &Rc<RelayRequest>) -> Reply {
+pub(crate) async fn relay_plain(router: &Rc<Router>, request: &Rc<RelayRequest>) -> ServerResponse {
     let mut run = PlainRun::new(router, request);
     match run.run().await {
         Ok(reply) => {
@@ -63,7 +63,7 @@
     attempts: Attempts,
     tried: Vec<UpstreamName>,
     /// The last failure that an upstream itself answered with.
-    upstream_failure: Option<UpstreamAnswer>,
+    upstream_failure: Option<BufferedResponse>,
     /// Whether it was counted as a request that began to run.
     is_counted: bool,
 }
@@ -73,7 +73,7 @@
     /// Another attempt.
     Retry,
     /// The upstream's own failure goes to the caller.
-    PassOn(UpstreamAnswer),
+    PassOn(BufferedResponse),
     /// The request is given up.
     GiveUp(GivenUp),
 }
@@ -96,13 +96,17 @@
         log_end(self.router, self.request, &self.attempts, ending, &progress);
     }
 
-    async fn run(&mut self) -> Result<Reply, GivenUp> {
+    async fn run(&mut self) -> Result<ServerResponse, GivenUp> {
         loop {
             let mut admitted = hold::admit(self.router, self.request).await;
             if admitted.admission == Admission::Blocked {
                 return Err(GivenUp::stopped());
             }
-            let found = self.request.stop.unless_set(self.find_upstream()).await;
+            let found = self
+                .request
+                .stop
+                .run_unless_cancelled(self.find_upstream())
+                .await;
             let upstream = match found.ok_or_else(GivenUp::stopped)? {
                 Ok(upstream) => upstream,
                 Err(reason) => return self.without_upstream(reason),
@@ -128,15 +132,15 @@
             }
             match self.after_failure(&upstream, &failure, begun) {
                 AfterFailure::Retry => {}
-                AfterFailure::PassOn(answer) => return Ok(answer.into_reply()),
+                AfterFailure::PassOn(answer) => return Ok(answer.into_response()),
                 AfterFailure::GiveUp(given_up) => return Err(given_up),
             }
         }
     }
 
-    fn without_upstream(&mut self, reason: NoUpstream) -> Result<Reply, GivenUp> {
+    fn without_upstream(&mut self, reason: NoUpstream) -> Result<ServerResponse, GivenUp> {
         match self.upstream_failure.take() {
-            Some(answer) => Ok(answer.into_reply()),
+            Some(answer) => Ok(answer.into_response()),
             None => Err(GivenUp::without_upstream(&self.attempts, reason)),
         }
     }
@@ -193,15 +197,15 @@
         }
     }
 
-    async fn attempt(&mut self, upstream: &Upstream) -> Result<Reply, AttemptFailure> {
+    async fn attempt(&mut self, upstream: &Upstream) -> Result<ServerResponse, AttemptFailure> {
         rollouts::on_sent(self.router, self.request, upstream);
         let measuring = rollouts::measure(self.router, self.request, upstream, Measure::Response);
         let load = LoadGuard::begin(self.router, &upstream.name, self.request.load());
         let sent_at = self.router.now();
         let mut liveness = Liveness::new(self.bounds(), sent_at);
-        let extras = SendExtras {
+        let extras = AttemptHeaders {
             priority: self.request.priority,
-            ..SendExtras::default()
+            ..AttemptHeaders::default()
         };
         let opened = send(self.router, self.request, upstream, &extras, &mut liveness).await?;
         let reply = self
@@ -237,11 +241,11 @@
     async fn read_answer(
         &mut self,
         upstream: &Upstream,
-        opened: Opened,
+        opened: OpenResponse,
         liveness: &mut Liveness,
         load: LoadGuard,
-    ) -> Result<Reply, AttemptFailure> {
-        let Opened {
+    ) -> Result<ServerResponse, AttemptFailure> {
+        let OpenResponse {
             head,
             mut body,
             connection,
@@ -256,7 +260,7 @@
             stop: None,
         };
         let mut held = BytesMut::new();
-        let mut counted = HeldBytes::new(&self.router.held_memory, BufferKind::Response);
+        let mut counted = BufferReservation::new(&self.router.buffer_memory, BufferKind::Response);
         while let Some(data) = next_data(&awaited, liveness, &mut body).await? {
             liveness.on_event(self.router.now());
             let is_room = counted.try_grow(data.len());
@@ -268,17 +272,23 @@
                     _connection: connection,
                     _load: load,
                 };
-                return Ok(streamed_reply(head, ReplyBody::pieces(rest.into_stream())));
+                return Ok(streamed_response(
+                    head,
+                    ResponseBody::pieces(rest.into_stream()),
+                ));
             }
         }
         keep(self.router, upstream, connection);
         judgement::on_completed(self.router, self.request);
-        self.check_status(UpstreamAnswer::new(head, held.freeze()))
-            .map(UpstreamAnswer::into_reply)
+        self.check_status(BufferedResponse::new(head, held.freeze()))
+            .map(BufferedResponse::into_response)
     }
 
     /// An upstream's own failure is kept, to be passed on if no other upstream helps.
-    fn check_status(&mut self, answer: UpstreamAnswer) -> Result<UpstreamAnswer, AttemptFailure> {
+    fn check_status(
+        &mut self,
+        answer: BufferedResponse,
+    ) -> Result<BufferedResponse, AttemptFailure> {
         if !answer.status.is_server_error() {
             return Ok(answer);
         }
@@ -348,14 +358,14 @@
 
 /// The rest of a large answer, passed on as it arrives.
 struct LargeRest {
-    held: Option<(Bytes, HeldBytes)>,
+    held: Option<(Bytes, BufferReservation)>,
     body: Incoming,
     _connection: Connection,
     _load: LoadGuard,
 }
 
 impl LargeRest {
-    fn into_stream(self) -> impl futures_util::Stream<Item = Result<Bytes, AnswerBroken>> {
+    fn into_stream(self) -> impl futures_util::Stream<Item = Result<Bytes, IncompleteResponse>> {
         unfold(Some(self), |state| async move {
             let mut rest = state?;
             // The connection that the bytes go to takes them over.
@@ -369,7 +379,7 @@
                     Some((Ok(bytes), Some(rest)))
                 }
                 // Once the answer has begun, the caller sees a broken connection whatever the cause.
-                Err(_) => Some((Err(AnswerBroken), None)),
+                Err(_) => Some((Err(IncompleteResponse), None)),
             }
         })
     }
--- a/crates/router/cloverpier_router/src/pool.rs
+++ b/crates/router/cloverpier_router/src/pool.rs
@@ -20,7 +20,7 @@
 impl Idle {
     fn is_usable(&self, now: Instant) -> bool {
         let idle = now.saturating_duration_since(self.since);
-        self.connection.is_ready() && is_reusable(idle, self.connection.idle_limit)
+        self.connection.is_ready() && is_reusable(idle, self.connection.idle_timeout)
     }
 }
 
@@ -86,7 +86,7 @@
 
 /// How long the other side keeps an idle connection, by its `Keep-Alive` header; `None` where
 /// it does not say, or says it in another form than `timeout=SECONDS`.
-pub(crate) fn idle_limit(headers: &HeaderMap) -> Option<Duration> {
+pub(crate) fn announced_idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let mut parts = text.split(',').map(str::trim);
     let seconds = parts.find_map(|p| p.strip_prefix("timeout="))?;
--- a/crates/router/cloverpier_router/src/probe.rs
+++ b/crates/router/cloverpier_router/src/probe.rs
@@ -6,6 +6,7 @@
 //! is decided in `cloverpier_router_policy::{liveness, suspicion}`.
 
 use crate::beliefs::log_belief;
+use crate::call_kind::CallKind;
 use crate::crashes::record;
 use crate::decision_log::{ms, ms_since};
 use crate::health::UpstreamHealth;
@@ -14,7 +15,6 @@
 use crate::statements::Call;
 use crate::successors;
 use crate::upstream_limits::Permission;
-use crate::via::Via;
 use cloverpier_core::UpstreamName;
 use cloverpier_router_policy::permit::QUESTION_PATIENCE;
 use cloverpier_router_policy::prelude::*;
@@ -113,7 +113,7 @@
         Ok(answer) => {
             let call = Call {
                 upstream,
-                via: Via::Probe,
+                via: CallKind::Probe,
                 sent,
             };
             // Runs of a former start are lost though the address answers.
@@ -237,7 +237,7 @@
     };
     let call = Call {
         upstream: &upstream,
-        via: Via::Check,
+        via: CallKind::Check,
         sent: begun,
     };
     let said = router.hear(call, answer.parts()).said;
--- a/crates/router/cloverpier_router/src/prompt_search.rs
+++ b/crates/router/cloverpier_router/src/prompt_search.rs
@@ -5,11 +5,11 @@
 //! the request waits is decided in `cloverpier_router_policy::prompt_search`; what is found
 //! goes into [`crate::prompts`].
 
+use crate::call_kind::CallKind;
 use crate::decision_log::{PromptSearched, ms_since};
 use crate::engine_call::ask_engine;
 use crate::relay_request::RelayRequest;
 use crate::router::Router;
-use crate::via::Via;
 use cloverpier_core::{ServiceName, hash_of};
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::prompt_search::{
@@ -86,13 +86,13 @@
 /// Asks one engine, and records what it holds.
 async fn ask(router: Rc<Router>, engine: Upstream) {
     let path = router.wire_names.paths.engine_cache;
-    let asking = ask_engine(&router, &engine, path, Via::CacheQuestion);
+    let asking = ask_engine(&router, &engine, path, CallKind::CacheQuery);
     let answer = router.timers.timeout(RESPONSE_TIMEOUT, asking).await;
     match answer {
         Ok(Ok(asked)) if asked.answer.status.is_success() => {
             router.metrics.probes.count("cache");
             if !asked.is_outdated {
-                let parts = (router.wire_names.cached_parts)(&asked.answer.body);
+                let parts = (router.wire_names.cached_prompt_parts)(&asked.answer.body);
                 record_found(&router, &engine, &parts);
             }
         }
--- a/crates/router/cloverpier_router/src/relay_request.rs
+++ b/crates/router/cloverpier_router/src/relay_request.rs
@@ -1,8 +1,8 @@
 //! A caller's request as it is relayed. [`crate::intake`] reads it off the wire. Owns all that the
 //! attempts need, so that none of them touches the caller's connection again.
 
-use crate::held_bytes::HeldBytes;
-use crate::stop_signal::StopSignal;
+use crate::buffer_reservation::BufferReservation;
+use crate::cancel_signal::CancelSignal;
 use crate::wire_names::PromptSize;
 use bytes::Bytes;
 use cloverpier_crashes::{ContentKey, RequestContent};
@@ -30,7 +30,7 @@
     /// Its body.
     pub body: Bytes,
     /// What the body takes of the router's memory.
-    pub _held: HeldBytes,
+    pub _held: BufferReservation,
     /// The route that took it.
     pub route: Arc<Route>,
     /// The service picked for it.
@@ -52,9 +52,9 @@
     /// Its rank, 0 the highest.
     pub priority: u8,
     /// Calls its attempts back when its content is stopped.
-    pub stop: StopSignal,
+    pub stop: CancelSignal,
     /// What its repeats have in common with it, once that was asked for.
-    pub content: OnceCell<ContentKey>,
+    pub content_key: OnceCell<ContentKey>,
 }
 
 impl RelayRequest {
@@ -68,18 +68,18 @@
         Load {
             requests: 1,
             unread_tokens: self.size.prompt_tokens,
-            memory_tokens: self.size.prompt_tokens + self.size.answer_tokens,
+            memory_tokens: self.size.prompt_tokens + self.size.max_response_tokens,
         }
     }
 
     /// What its repeats have in common with it; a digest of the body, so only where it is needed.
-    pub fn content(&self) -> ContentKey {
-        let key = || ContentKey::of(&self.repeated_part());
-        *self.content.get_or_init(key)
+    pub fn content_key(&self) -> ContentKey {
+        let key = || ContentKey::of(&self.request_content());
+        *self.content_key.get_or_init(key)
     }
 
     /// All that its repeats have in common with it.
-    pub fn repeated_part(&self) -> RequestContent<'_> {
+    pub fn request_content(&self) -> RequestContent<'_> {
         RequestContent {
             // A request without an account has nobody's name.
             account: self.account.as_ref().map_or("", |account| &account.name),
--- a/crates/router/cloverpier_router/src/reply.rs
+++ b/crates/router/cloverpier_router/src/responses.rs
@@ -3,7 +3,7 @@
 //! Owns the list of headers that concern one connection only. When a refused caller should
 //! retry is decided in `cloverpier_router_policy::refusal`.
 
-use crate::body::ReplyBody;
+use crate::body::ResponseBody;
 use bytes::Bytes;
 use cloverpier_router_policy::refusal::{Refusal, retry_after};
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// A reply to a caller.
-pub(crate) type Reply = Response<ReplyBody>;
+pub(crate) type ServerResponse = Response<ResponseBody>;
 
 /// Headers that concern one connection only.
 const HOP_BY_HOP: [&str; 9] = [
@@ -46,9 +46,9 @@
 }
 
 /// A reply of the router's own: a status and what is wrong.
-pub(crate) fn own_reply(status: StatusCode, error: &str) -> Reply {
+pub(crate) fn error_response(status: StatusCode, error: &str) -> ServerResponse {
     let text = serde_json::json!({ "error": error }).to_string();
-    let mut reply = Response::new(ReplyBody::whole(text));
+    let mut reply = Response::new(ResponseBody::whole(text));
     *reply.status_mut() = status;
     let json = HeaderValue::from_static("application/json");
     reply
@@ -58,14 +58,14 @@
 }
 
 /// The reply to a refused request, which has not run: why, and when to retry.
-pub(crate) fn refusal_reply(error: &str, refusal: Refusal) -> Reply {
-    let mut reply = own_reply(StatusCode::SERVICE_UNAVAILABLE, error);
+pub(crate) fn refusal_response(error: &str, refusal: Refusal) -> ServerResponse {
+    let mut reply = error_response(StatusCode::SERVICE_UNAVAILABLE, error);
     set_retry_after(&mut reply, retry_after(refusal));
     reply
 }
 
 /// Says when to ask again, in seconds with fractions.
-pub(crate) fn set_retry_after(reply: &mut Reply, wait: Duration) {
+pub(crate) fn set_retry_after(reply: &mut ServerResponse, wait: Duration) {
     let seconds = wait.as_secs_f64();
     // Digits and a dot are a valid header value.
     if let Ok(value) = HeaderValue::from_str(&format!("{seconds:.3}")) {
@@ -75,7 +75,7 @@
 
 /// An upstream's whole answer.
 #[derive(Clone, Debug)]
-pub(crate) struct UpstreamAnswer {
+pub(crate) struct BufferedResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -84,7 +84,7 @@
     pub body: Bytes,
 }
 
-impl UpstreamAnswer {
+impl BufferedResponse {
     /// A whole answer of a head and a body.
     pub fn new(head: Parts, body: Bytes) -> Self {
         Self {
@@ -95,17 +95,17 @@
     }
 
     /// The answer as the caller gets it.
-    pub fn into_reply(self) -> Reply {
-        with_head(self.status, self.headers, ReplyBody::whole(self.body))
+    pub fn into_response(self) -> ServerResponse {
+        with_head(self.status, self.headers, ResponseBody::whole(self.body))
     }
 }
 
 /// An upstream's head before a body that comes piece by piece.
-pub(crate) fn streamed_reply(head: Parts, body: ReplyBody) -> Reply {
+pub(crate) fn streamed_response(head: Parts, body: ResponseBody) -> ServerResponse {
     with_head(head.status, head.headers, body)
 }
 
-fn with_head(status: StatusCode, mut headers: HeaderMap, body: ReplyBody) -> Reply {
+fn with_head(status: StatusCode, mut headers: HeaderMap, body: ResponseBody) -> ServerResponse {
     strip_hop_by_hop(&mut headers);
     headers.remove(CONTENT_LENGTH);
     let mut reply = Response::new(body);
--- a/crates/router/cloverpier_router/src/router.rs
+++ b/crates/router/cloverpier_router/src/router.rs
@@ -83,7 +83,7 @@
     pub(crate) last_leaving: Cell<Option<Instant>>,
     pub(crate) copy_pacing: RefCell<CopyPacing>,
     /// What bodies and answers take.
-    pub(crate) held_memory: Rc<RefCell<BufferMemory>>,
+    pub(crate) buffer_memory: Rc<RefCell<BufferMemory>>,
     pub(crate) list_copies: RefCell<ListCopies>,
     pub(crate) lifecycle: Lifecycle,
 }
@@ -141,7 +141,7 @@
             suspected: Notify::new(),
             last_leaving: Cell::default(),
             copy_pacing: RefCell::new(CopyPacing::default()),
-            held_memory: Rc::new(RefCell::new(BufferMemory::for_vm(settings.memory_bytes))),
+            buffer_memory: Rc::new(RefCell::new(BufferMemory::for_vm(settings.memory_bytes))),
             list_copies: RefCell::default(),
             lifecycle,
             timers,
@@ -167,7 +167,7 @@
 
     /// The state that is reported to peers, the platform and callers.
     pub(crate) fn state(&self) -> PeerState {
-        router_state(self.lifecycle.is_stopping(), self.store.is_serving())
+        router_state(self.lifecycle.is_shutting_down(), self.store.is_serving())
     }
 
     /// How long after its last heartbeat a peer is considered alive.
--- a/crates/router/cloverpier_router/src/send.rs
+++ b/crates/router/cloverpier_router/src/send.rs
@@ -4,17 +4,19 @@
 //! waits for a head that counts. What a break or an answer proves is decided in
 //! `cloverpier_router_policy::attempt_failure`; this module reads it off the wire.
 
-use crate::connection::{Connection, SendBroke, WholeRequest, describe, io_error_kind};
+use crate::call_kind::CallKind;
+use crate::connection::{
+    BufferedRequest, Connection, SendError, describe_error, find_io_error_kind,
+};
 use crate::crashes::record;
 use crate::health::UpstreamHealth;
 use crate::intake::text_of;
-use crate::pool::idle_limit;
+use crate::pool::announced_idle_timeout;
 use crate::probe::{self, DeathCause};
 use crate::relay_request::RelayRequest;
 use crate::router::Router;
 use crate::statements::Call;
 use crate::successors;
-use crate::via::Via;
 use crate::wait::{Awaited, while_alive};
 use cloverpier_core::ServiceName;
 use cloverpier_router_policy::attempt_failure::{
@@ -36,7 +38,7 @@
 
 /// What an attempt carries besides the request.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct SendExtras {
+pub(crate) struct AttemptHeaders {
     /// The engine that keeps a replica of the run's KV cache.
     pub replica: Option<Upstream>,
     /// The replica that the run resumes from, as the platform names it.
@@ -49,7 +51,7 @@
 
 /// An upstream's answer of which the head has arrived.
 #[derive(Debug)]
-pub(crate) struct Opened {
+pub(crate) struct OpenResponse {
     /// The head.
     pub head: Parts,
     /// The body to come.
@@ -69,9 +71,9 @@
     router: &Rc<Router>,
     request: &RelayRequest,
     upstream: &Upstream,
-    extras: &SendExtras,
+    extras: &AttemptHeaders,
     liveness: &mut Liveness,
-) -> Result<Opened, AttemptFailure> {
+) -> Result<OpenResponse, AttemptFailure> {
     let health = router.health.of(upstream, router.now());
     loop {
         let mut connection = connect(router, request, upstream).await?;
@@ -96,7 +98,7 @@
             Ok(response) => {
                 let call = Call {
                     upstream,
-                    via: Via::Request(&request.id),
+                    via: CallKind::Request(&request.id),
                     sent: now,
                 };
                 return open(router, request, call, response, connection, health);
@@ -109,11 +111,11 @@
     router: &Rc<Router>,
     upstream: &Upstream,
     health: &Rc<UpstreamHealth>,
-    broke: &SendBroke,
+    broke: &SendError,
 ) -> AttemptFailure {
-    let error = describe(&broke.error);
+    let error = describe_error(&broke.error);
     let now = router.now();
-    let may_be_gone = io_error_kind(&broke.error).is_some_and(may_mean_process_gone);
+    let may_be_gone = find_io_error_kind(&broke.error).is_some_and(may_mean_process_gone);
     if may_be_gone || !broke.was_unsent {
         probe::probe(router, upstream, health, now);
     }
@@ -161,9 +163,9 @@
     router: &Router,
     request: &RelayRequest,
     upstream: &Upstream,
-    extras: &SendExtras,
+    extras: &AttemptHeaders,
     now: Instant,
-) -> Result<WholeRequest, AttemptFailure> {
+) -> Result<BufferedRequest, AttemptFailure> {
     let message = Request::builder()
         .method(request.method.clone())
         .uri(request.target.as_str());
@@ -182,7 +184,7 @@
     router: &Router,
     request: &RelayRequest,
     upstream: &Upstream,
-    extras: &SendExtras,
+    extras: &AttemptHeaders,
     now: Instant,
     headers: &mut HeaderMap,
 ) -> Result<(), AttemptFailure> {
@@ -222,7 +224,7 @@
     response: Response<Incoming>,
     mut connection: Connection,
     health: Rc<UpstreamHealth>,
-) -> Result<Opened, AttemptFailure> {
+) -> Result<OpenResponse, AttemptFailure> {
     let (head, body) = response.into_parts();
     let is_first_on_connection = connection.requests == 1;
     let seen = answer_head(router, request, &head, is_first_on_connection);
@@ -235,10 +237,10 @@
     // Only the upstream that the request names runs it, so this is the upstream's own answer.
     health.on_own_answer(router.now());
     record::on_answer(router, call.upstream, call.sent);
-    if let Some(limit) = idle_limit(&head.headers) {
-        connection.idle_limit = limit;
+    if let Some(limit) = announced_idle_timeout(&head.headers) {
+        connection.idle_timeout = limit;
     }
-    Ok(Opened {
+    Ok(OpenResponse {
         head,
         body,
         connection,
@@ -284,7 +286,7 @@
     let limit = kept_connections(router, &upstream.service);
     let (router, upstream) = (Rc::clone(router), upstream.name.clone());
     tokio::task::spawn_local(async move {
-        if connection.settle().await {
+        if connection.wait_until_ready().await {
             let now = router.now();
             let mut pool = router.pool.borrow_mut();
             pool.put(&upstream, connection, limit, now);
--- a/crates/router/cloverpier_router/src/stop.rs
+++ b/crates/router/cloverpier_router/src/signals.rs
@@ -20,18 +20,18 @@
 const FILE_PERIOD: Duration = Duration::from_secs(1);
 
 /// Waits for a termination signal, then until the process may exit.
-pub(crate) async fn wait_for_stop(router: &Rc<Router>, mut terminate: Signal) {
+pub(crate) async fn wait_for_shutdown(router: &Rc<Router>, mut terminate: Signal) {
     terminate.recv().await;
-    router.lifecycle.begin_stop(router.now());
+    router.lifecycle.begin_shutdown(router.now());
     router.log.info("process.stopping", &NoFields {});
     let grace = router.settings().grace;
     loop {
         router.timers.sleep(SHUTDOWN_CHECK_PERIOD).await;
-        let Some(stopping_for) = router.lifecycle.stopping_for(router.now()) else {
+        let Some(shutdown_elapsed) = router.lifecycle.shutdown_elapsed(router.now()) else {
             continue;
         };
         let in_flight = router.lifecycle.in_flight();
-        if shutdown_step(stopping_for, in_flight, grace) == ShutdownStep::Exit {
+        if shutdown_step(shutdown_elapsed, in_flight, grace) == ShutdownStep::Exit {
             return;
         }
     }
--- a/crates/router/cloverpier_router/src/start.rs
+++ b/crates/router/cloverpier_router/src/start.rs
@@ -13,9 +13,9 @@
 use crate::resume;
 use crate::rollout_steps;
 use crate::router::Router;
+use crate::signals;
 use crate::singleton::{self, SingletonPlatform};
 use crate::source::ConfigurationSource;
-use crate::stop;
 use crate::store_sync;
 use crate::store_view::Watched;
 use crate::web::{bind, on_caller, on_directory, on_metrics, on_ready, serve};
@@ -65,7 +65,7 @@
     log_progress: LogProgress,
 ) -> Result<(), StartError> {
     let router = Rc::new(router);
-    let terminate = stop::terminate_signal().context(SignalsSnafu)?;
+    let terminate = signals::terminate_signal().context(SignalsSnafu)?;
     listen(&router).await?;
     start_store_loops(&router, Rc::new(source));
     singleton::start(&router, platform);
@@ -77,10 +77,10 @@
     spawn_local(judgement::judge_lost(Rc::clone(&router)));
     spawn_local(sweep(Rc::clone(&router), log_progress));
     if let Some(path) = settings_path {
-        spawn_local(stop::reload_settings(Rc::clone(&router), path));
+        spawn_local(signals::reload_settings(Rc::clone(&router), path));
     }
     log_start(&router);
-    stop::wait_for_stop(&router, terminate).await;
+    signals::wait_for_shutdown(&router, terminate).await;
     router.log.info("process.stopped", &NoFields {});
     Ok(())
 }
--- a/crates/router/cloverpier_router/src/statements.rs
+++ b/crates/router/cloverpier_router/src/statements.rs
@@ -5,14 +5,14 @@
 //! upstream it is about. Owns no state.
 
 use crate::beliefs::log_wait;
+use crate::call_kind::CallKind;
 use crate::decision_log::log_dependency;
 use crate::leaving_reports;
 use crate::limit_reports;
 use crate::restart::on_named_start;
 use crate::router::Router;
 use crate::upstream_limits::LimitAnswer;
-use crate::via::Via;
-use crate::wire_names::AnswerParts;
+use crate::wire_names::ResponseParts;
 use cloverpier_router_policy::limit::WrittenBetween;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::statement::{
@@ -27,7 +27,7 @@
     /// The upstream.
     pub upstream: &'a Upstream,
     /// What kind of call.
-    pub via: Via<'a>,
+    pub via: CallKind<'a>,
     /// When it was sent.
     pub sent: Instant,
 }
@@ -43,7 +43,7 @@
 
 impl Router {
     /// Applies what the answer to a question states about its sender.
-    pub(crate) fn hear(&self, call: Call<'_>, answer: AnswerParts<'_>) -> Heard {
+    pub(crate) fn hear(&self, call: Call<'_>, answer: ResponseParts<'_>) -> Heard {
         let said = (self.wire_names.statement)(&answer);
         let sender = sender_of_query_response(&call.upstream.name, &said);
         let start = take(self, call, &said, sender, false);
@@ -58,7 +58,7 @@
         head: &Parts,
         verdict: &Result<(), AttemptFailure>,
     ) -> UpstreamStatement {
-        let said = (self.wire_names.statement)(&AnswerParts {
+        let said = (self.wire_names.statement)(&ResponseParts {
             status: head.status,
             headers: &head.headers,
             body: None,
@@ -112,7 +112,7 @@
     }
 }
 
-fn take_wait(router: &Router, via: Via<'_>, upstream: &Upstream, time: Duration) {
+fn take_wait(router: &Router, via: CallKind<'_>, upstream: &Upstream, time: Duration) {
     let is_new = router
         .upstreams
         .borrow_mut()
--- a/crates/router/cloverpier_router/src/store_events.rs
+++ b/crates/router/cloverpier_router/src/store_events.rs
@@ -5,7 +5,7 @@
 //! `cloverpier_router_policy::store_watch`.
 
 use crate::configuration_copies::HeldConfiguration;
-use crate::decision_log::{VersionTaken, WatcherRoleChanged, log_dependency};
+use crate::decision_log::{VersionApplied, WatcherRoleChanged, log_dependency};
 use crate::router::Router;
 use crate::store_view::{StoreLoop, Watched};
 use cloverpier_router_policy::store_watch::{OwnWatcherState, max_backoff, watcher_role};
@@ -26,7 +26,7 @@
 }
 
 pub(crate) fn log_version(router: &Router, watched: Watched, version: u64, from: &str) {
-    let line = VersionTaken {
+    let line = VersionApplied {
         what: watched.name(),
         version,
         from,
--- a/crates/router/cloverpier_router/src/stream/mod.rs
+++ b/crates/router/cloverpier_router/src/stream/mod.rs
@@ -11,7 +11,7 @@
 mod pick;
 mod receive;
 
-use crate::body::{AnswerBroken, ReplyBody};
+use crate::body::{IncompleteResponse, ResponseBody};
 use crate::connection::Connection;
 use crate::crashes::abandoned::AbandonGuard;
 use crate::crashes::hold::Admitted;
@@ -24,7 +24,7 @@
 };
 use crate::prompts::RunningStream;
 use crate::relay_request::RelayRequest;
-use crate::reply::{Reply, UpstreamAnswer, streamed_reply};
+use crate::responses::{BufferedResponse, ServerResponse, streamed_response};
 use crate::rollouts;
 use crate::router::Router;
 use bytes::Bytes;
@@ -46,19 +46,22 @@
 const MOVES_WITHIN: Duration = Duration::from_millis(700);
 
 /// Relays a request whose answer is an event stream.
-pub(crate) async fn relay_stream(router: &Rc<Router>, request: &Rc<RelayRequest>) -> Reply {
+pub(crate) async fn relay_stream(
+    router: &Rc<Router>,
+    request: &Rc<RelayRequest>,
+) -> ServerResponse {
     let mut run = StreamRun::new(router, request);
     match run.first_piece().await {
         FirstPiece::Events(head, piece) => {
             let since_arrival = router.now().saturating_duration_since(request.arrived);
             router.metrics.first_answer.observe(since_arrival);
             let first = once(async { Ok(piece) });
-            let body = ReplyBody::pieces(first.chain(run.into_stream()));
-            streamed_reply(head, body)
+            let body = ResponseBody::pieces(first.chain(run.into_stream()));
+            streamed_response(head, body)
         }
         FirstPiece::Answer(answer) => {
             run.log_end(&Ending::of(answer.status, RequestEnd::Answered));
-            answer.into_reply()
+            answer.into_response()
         }
         FirstPiece::GivenUp(given_up) => {
             let reply = given_up.reply(router, request);
@@ -77,7 +80,7 @@
     /// The first events, below this head.
     Events(Parts, Bytes),
     /// An upstream's whole answer that is no stream.
-    Answer(UpstreamAnswer),
+    Answer(BufferedResponse),
     /// No upstream gave an answer.
     GivenUp(GivenUp),
 }
@@ -124,7 +127,7 @@
     progress: Progress,
     /// The head of the first run, until it is sent to the caller.
     head: Option<Parts>,
-    upstream_failure: Option<UpstreamAnswer>,
+    upstream_failure: Option<BufferedResponse>,
     /// Since when events are missing because a run was lost.
     lost_since: Option<Instant>,
     is_ended: bool,
@@ -205,13 +208,13 @@
     /// A stream that ended before its first event, as after the last event of a former one.
     fn empty_answer(&mut self) -> FirstPiece {
         match self.head.take() {
-            Some(head) => FirstPiece::Answer(UpstreamAnswer::new(head, Bytes::new())),
+            Some(head) => FirstPiece::Answer(BufferedResponse::new(head, Bytes::new())),
             None => self.without_events(GivenUp::invalid("the answer is empty")),
         }
     }
 
     /// The pieces after the first.
-    fn into_stream(self) -> impl futures_util::Stream<Item = Result<Bytes, AnswerBroken>> {
+    fn into_stream(self) -> impl futures_util::Stream<Item = Result<Bytes, IncompleteResponse>> {
         unfold(Some(self), |state| async move {
             let mut run = state?;
             match run.next_piece().await {
@@ -227,7 +230,7 @@
                         end: given_up.end_of_begun(),
                         reason: Some(given_up.logged_reason()),
                     });
-                    Some((Err(AnswerBroken), None))
+                    Some((Err(IncompleteResponse), None))
                 }
             }
         })
--- a/crates/router/cloverpier_router/src/stream/open.rs
+++ b/crates/router/cloverpier_router/src/stream/open.rs
@@ -10,9 +10,9 @@
 use crate::outcome::GivenUp;
 use crate::prompt_search::find_prompt;
 use crate::prompts::RunningStream;
-use crate::reply::UpstreamAnswer;
+use crate::responses::BufferedResponse;
 use crate::rollouts;
-use crate::send::{Opened, SendExtras, keep, send};
+use crate::send::{AttemptHeaders, OpenResponse, keep, send};
 use cloverpier_crashes::Admission;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::replica::Replica;
@@ -31,7 +31,10 @@
                 return Err(GivenUp::stopped());
             }
             let request = Rc::clone(&self.request);
-            let found = request.stop.unless_set(self.find_upstream()).await;
+            let found = request
+                .stop
+                .run_unless_cancelled(self.find_upstream())
+                .await;
             let (upstream, extras) = found
                 .ok_or_else(GivenUp::stopped)?
                 .map_err(|reason| GivenUp::without_upstream(&self.attempts, reason))?;
@@ -74,7 +77,7 @@
     async fn open_at(
         &mut self,
         upstream: &Upstream,
-        extras: SendExtras,
+        extras: AttemptHeaders,
     ) -> Result<(), AttemptFailure> {
         let load = self.begin_load(upstream, &extras);
         let running = self.begin_running(upstream);
@@ -126,7 +129,7 @@
         ))
     }
 
-    fn begin_load(&self, upstream: &Upstream, extras: &SendExtras) -> LoadGuard {
+    fn begin_load(&self, upstream: &Upstream, extras: &AttemptHeaders) -> LoadGuard {
         let mut load = self.request.load();
         if extras.resume_from.is_some() {
             // The replica holds the prompt read.
@@ -151,9 +154,9 @@
     /// other upstream helps.
     async fn check_status(
         &mut self,
-        opened: Opened,
+        opened: OpenResponse,
         upstream: &Upstream,
-    ) -> Result<Opened, AttemptFailure> {
+    ) -> Result<OpenResponse, AttemptFailure> {
         if opened.head.status.is_success() {
             return Ok(opened);
         }
@@ -171,7 +174,7 @@
         keep(&self.router, upstream, opened.connection);
         judgement::on_completed(&self.router, &self.request);
         let status = opened.head.status.as_u16();
-        self.upstream_failure = Some(UpstreamAnswer::new(opened.head, body));
+        self.upstream_failure = Some(BufferedResponse::new(opened.head, body));
         Err(AttemptFailure::UpstreamError { status })
     }
 
--- a/crates/router/cloverpier_router/src/stream/pick.rs
+++ b/crates/router/cloverpier_router/src/stream/pick.rs
@@ -8,7 +8,7 @@
 use crate::choice_log::{ChoiceNote, log_choice};
 use crate::load_query::query_load;
 use crate::rollouts;
-use crate::send::SendExtras;
+use crate::send::AttemptHeaders;
 use crate::upstream_limits::Permission;
 use cloverpier_core::{DataCentre, UpstreamName};
 use cloverpier_crashes::Admission;
@@ -44,7 +44,7 @@
 
     /// An upstream for the next run, with what its attempt carries; and if it limits itself, the permit to
     /// send it there.
-    pub(super) async fn find_upstream(&mut self) -> Result<(Upstream, SendExtras), NoUpstream> {
+    pub(super) async fn find_upstream(&mut self) -> Result<(Upstream, AttemptHeaders), NoUpstream> {
         let mut around = self.around();
         let mut reported = ReportedLoad::default();
         let picked = match self.limited_in_place_of_a_query(&around).await {
@@ -150,7 +150,7 @@
             suspect_content: self
                 .admitted
                 .admission
-                .isolation_key(self.request.content()),
+                .isolation_key(self.request.content_key()),
             overcommit: self.is_resuming(),
             reported,
             versions: &around.versions,
@@ -181,7 +181,7 @@
         around: &Around,
         reported: &ReportedLoad,
         picked: Picked,
-    ) -> (Upstream, SendExtras) {
+    ) -> (Upstream, AttemptHeaders) {
         let router = Rc::clone(&self.router);
         let Picked {
             upstream,
@@ -252,9 +252,9 @@
         upstream: &Upstream,
         replica: Option<Upstream>,
         from_replica: bool,
-    ) -> SendExtras {
+    ) -> AttemptHeaders {
         let replica_id = self.router.wire_names.replica_id;
-        SendExtras {
+        AttemptHeaders {
             replica,
             resume_from: from_replica.then(|| replica_id(upstream.address, &self.request.id)),
             // A replica resumes after an event; before the first one that is event 0.
--- a/crates/router/cloverpier_router/src/stream/receive.rs
+++ b/crates/router/cloverpier_router/src/stream/receive.rs
@@ -3,7 +3,7 @@
 //! Owns nothing of its own: these are the steps of [`StreamRun`] from bytes to whole events.
 
 use super::{Source, StreamRun};
-use crate::connection::describe;
+use crate::connection::describe_error;
 use crate::crashes::judgement;
 use crate::probe;
 use crate::send::keep;
@@ -98,7 +98,7 @@
 
     fn broken_stream(&self, error: &hyper::Error) -> AttemptFailure {
         let failure = AttemptFailure::StreamBroken {
-            error: describe(error),
+            error: describe_error(error),
         };
         let Some(source) = &self.source else {
             return failure;
--- a/crates/router/cloverpier_router/src/upstream_limits/learn.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/learn.rs
@@ -4,8 +4,8 @@
 //! [`super::reported`]. Owns no state of its own.
 
 use super::{UpstreamLimits, place_of};
-use crate::decision_log::LimitLearned;
-use crate::via::Via;
+use crate::call_kind::CallKind;
+use crate::decision_log::RateLimitChanged;
 use cloverpier_router_policy::limit::{
     LimitChange, LimitReport, LimitStatement, Rate, WrittenBetween,
 };
@@ -25,14 +25,14 @@
     /// When it was written.
     pub written: WrittenBetween,
     /// The call.
-    pub via: Via<'a>,
+    pub via: CallKind<'a>,
 }
 
 /// By whom a limit was learned.
 #[derive(Clone, Copy, Debug)]
 enum LimitSource<'a> {
     /// By an answer of the upstream.
-    Answer(Via<'a>),
+    Answer(CallKind<'a>),
     /// By a peer, this many milliseconds after the answer had reached a router.
     Peer(SocketAddr, u32),
 }
@@ -125,11 +125,11 @@
         self.parts.limits.count(kind);
         self.last_report.set(Some(now));
         let (via, request, peer, age_ms) = match source {
-            LimitSource::Answer(via) => (via.word(), via.request(), None, 0),
+            LimitSource::Answer(via) => (via.log_name(), via.request(), None, 0),
             LimitSource::Peer(peer, age_ms) => ("peer", None, Some(peer.to_string()), age_ms),
         };
         let limiter = self.permits.borrow().limiter_of(place_of(upstream), now);
-        let line = LimitLearned {
+        let line = RateLimitChanged {
             upstream: upstream.name.as_str(),
             rate: to.map(Rate::as_per_second),
             former_rate: from.map(Rate::as_per_second),
--- a/crates/router/cloverpier_router/src/upstream_limits/mod.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/mod.rs
@@ -16,8 +16,8 @@
 pub(crate) use learn::LimitAnswer;
 
 use crate::datagrams::Datagrams;
-use crate::decision_log::LimiterPassedOver;
-use crate::metrics::ByKind;
+use crate::decision_log::LimiterUnresponsive;
+use crate::metrics::CounterByKind;
 use acquire::PendingAsk;
 use cloverpier_observe::Log;
 use cloverpier_router_policy::permit::{LimitedUpstream, LimitedUpstreams, PermitSearch, Permits};
@@ -51,9 +51,9 @@
     /// Takes the lines.
     pub log: Log,
     /// Counts limits that begin, change and end.
-    pub limits: ByKind,
+    pub limits: CounterByKind,
     /// Counts permits.
-    pub permits: ByKind,
+    pub permits: CounterByKind,
     /// Spreads asks.
     pub rng: fastrand::Rng,
 }
@@ -126,7 +126,7 @@
     /// Logs that a limiter is passed over, as it does not answer.
     fn note_passed_over(&self, limiter: SocketAddr) {
         self.parts.permits.count("limiter-silent");
-        let line = LimiterPassedOver {
+        let line = LimiterUnresponsive {
             limiter: limiter.to_string(),
         };
         self.parts.log.info("limiter.silent", &line);
--- a/crates/router/cloverpier_router/src/wait.rs
+++ b/crates/router/cloverpier_router/src/wait.rs
@@ -3,10 +3,10 @@
 //! Carries out what [`Liveness`] decides: waits, has the upstream probed, or ends the wait.
 //! Relies on [`crate::health`] for the upstream's last activity on any connection.
 
+use crate::cancel_signal::CancelSignal;
 use crate::health::UpstreamHealth;
 use crate::probe::{self, DeathCause};
 use crate::router::Router;
-use crate::stop_signal::StopSignal;
 use cloverpier_router_policy::prelude::*;
 use futures_util::future::poll_immediate;
 use std::future::Future;
@@ -25,7 +25,7 @@
     /// When the request's time is over.
     pub deadline: Instant,
     /// Calls the attempt back; `None` once the upstream has proved that it survives the request.
-    pub stop: Option<&'a StopSignal>,
+    pub stop: Option<&'a CancelSignal>,
 }
 
 /// What a wait does next.
@@ -75,7 +75,7 @@
 }
 
 /// Waits for a call back; for ever where none can come.
-async fn stopped(stop: Option<&StopSignal>) {
+async fn stopped(stop: Option<&CancelSignal>) {
     match stop {
         Some(stop) => stop.wait().await,
         None => std::future::pending().await,
@@ -112,7 +112,7 @@
         deadline,
         stop,
     } = awaited;
-    if stop.is_some_and(StopSignal::is_set) {
+    if stop.is_some_and(CancelSignal::is_set) {
         return Err(AttemptFailure::Stopped);
     }
     if health.is_dead() {
--- a/crates/router/cloverpier_router/src/web.rs
+++ b/crates/router/cloverpier_router/src/web.rs
@@ -4,15 +4,15 @@
 //! handler. Whether a stopping router takes a request is decided in
 //! `cloverpier_router_policy::lifecycle`.
 
-use crate::body::ReplyBody;
+use crate::body::ResponseBody;
+use crate::buffer_reservation::BufferReservation;
 use crate::caller_stream::CallerStream;
 use crate::crashes::verdicts;
-use crate::held_bytes::HeldBytes;
 use crate::intake::receive_request;
-use crate::lifecycle::InFlight;
+use crate::lifecycle::InFlightGuard;
 use crate::plain::relay_plain;
 use crate::relay_request::RelayRequest;
-use crate::reply::{Reply, own_reply, refusal_reply};
+use crate::responses::{ServerResponse, error_response, refusal_response};
 use crate::router::Router;
 use crate::stream::relay_stream;
 use cloverpier_router_policy::buffer_memory::BufferKind;
@@ -62,7 +62,7 @@
 pub(crate) async fn serve<H, F>(router: Rc<Router>, listener: TcpListener, handle: H)
 where
     H: Fn(Rc<Router>, Request<Incoming>) -> F + Copy + 'static,
-    F: Future<Output = Reply> + 'static,
+    F: Future<Output = ServerResponse> + 'static,
 {
     loop {
         match listener.accept().await {
@@ -78,7 +78,7 @@
 async fn serve_connection<H, F>(router: Rc<Router>, stream: TcpStream, handle: H)
 where
     H: Fn(Rc<Router>, Request<Incoming>) -> F + Copy + 'static,
-    F: Future<Output = Reply> + 'static,
+    F: Future<Output = ServerResponse> + 'static,
 {
     // Without it events would wait for acknowledgements; its failure only costs time.
     let _ = stream.set_nodelay(true);
@@ -102,37 +102,40 @@
 }
 
 /// Takes a caller's request.
-pub(crate) async fn on_caller(router: Rc<Router>, request: Request<Incoming>) -> Reply {
-    let in_flight = InFlight::begin(&router.lifecycle);
+pub(crate) async fn on_caller(router: Rc<Router>, request: Request<Incoming>) -> ServerResponse {
+    let in_flight = InFlightGuard::begin(&router.lifecycle);
     let now = router.now();
     let mut reply = match receive_request(&router, request, now).await {
         Ok(request) => relay(&router, Rc::new(request), now).await,
         Err(reply) => reply,
     };
-    if router.lifecycle.is_stopping() {
+    if router.lifecycle.is_shutting_down() {
         let close = HeaderValue::from_static("close");
         reply.headers_mut().insert(CONNECTION, close);
     }
-    let held = HeldBytes::new(&router.held_memory, BufferKind::Response);
+    let held = BufferReservation::new(&router.buffer_memory, BufferKind::Response);
     hold_until_sent(reply.map(|body| body.counted(held)), in_flight)
 }
 
-async fn relay(router: &Rc<Router>, request: Rc<RelayRequest>, now: Instant) -> Reply {
+async fn relay(router: &Rc<Router>, request: Rc<RelayRequest>, now: Instant) -> ServerResponse {
     router.on_request(&request.service.name, now);
     verdicts::track(router, &request);
     if !request.route.streaming {
         return relay_plain(router, &request).await;
     }
-    if !router.lifecycle.takes_streams(router.settings().grace, now) {
-        return refusal_reply("this router stops", Refusal::Stopping);
+    if !router
+        .lifecycle
+        .accepts_streams(router.settings().grace, now)
+    {
+        return refusal_response("this router stops", Refusal::Stopping);
     }
     relay_stream(router, &request).await
 }
 
 /// Counts a streamed answer as in flight until its last byte is out.
-fn hold_until_sent(reply: Reply, in_flight: InFlight) -> Reply {
+fn hold_until_sent(reply: ServerResponse, in_flight: InFlightGuard) -> ServerResponse {
     reply.map(|body| match body {
-        ReplyBody::Pieces(stream) => ReplyBody::Pieces(Box::pin(Held {
+        ResponseBody::Pieces(stream) => ResponseBody::Pieces(Box::pin(Held {
             stream,
             _in_flight: in_flight,
         })),
@@ -143,7 +146,7 @@
 /// A stream that holds something until it ends.
 struct Held<S> {
     stream: S,
-    _in_flight: InFlight,
+    _in_flight: InFlightGuard,
 }
 
 impl<S: Stream + Unpin> Stream for Held<S> {
@@ -155,22 +158,22 @@
 }
 
 /// Answers whether this router takes callers.
-pub(crate) async fn on_ready(router: Rc<Router>, request: Request<Incoming>) -> Reply {
+pub(crate) async fn on_ready(router: Rc<Router>, request: Request<Incoming>) -> ServerResponse {
     if request.uri().path() != router.wire_names.paths.ready {
-        return own_reply(StatusCode::NOT_FOUND, "no such path");
+        return error_response(StatusCode::NOT_FOUND, "no such path");
     }
     match router.state() {
-        PeerState::Ready => Response::new(ReplyBody::whole("ready\n")),
-        PeerState::Starting => own_reply(StatusCode::SERVICE_UNAVAILABLE, "starting"),
-        PeerState::Leaving => own_reply(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
+        PeerState::Ready => Response::new(ResponseBody::whole("ready\n")),
+        PeerState::Starting => error_response(StatusCode::SERVICE_UNAVAILABLE, "starting"),
+        PeerState::Leaving => error_response(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
     }
 }
 
 /// Answers which routers take callers.
-pub(crate) async fn on_directory(router: Rc<Router>, request: Request<Incoming>) -> Reply {
+pub(crate) async fn on_directory(router: Rc<Router>, request: Request<Incoming>) -> ServerResponse {
     let is_known_path = request.uri().path() == router.wire_names.paths.directory;
     if request.method() != Method::GET || !is_known_path {
-        return own_reply(StatusCode::NOT_FOUND, "no such path");
+        return error_response(StatusCode::NOT_FOUND, "no such path");
     }
     let settings = router.settings();
     let own = (router.state() == PeerState::Ready).then_some(settings.listen.callers);
@@ -179,18 +182,18 @@
         .peers
         .addresses_for_callers(own, now, router.peer_timeout());
     if addresses.is_empty() {
-        return refusal_reply("no router is known to serve", Refusal::NoReadyRouter);
+        return refusal_response("no router is known to serve", Refusal::NoReadyRouter);
     }
-    let answer = (router.wire_names.directory_answer)(&addresses, settings.directory_keep);
-    let mut reply = Response::new(ReplyBody::whole(answer));
+    let answer = (router.wire_names.directory_response)(&addresses, settings.directory_keep);
+    let mut reply = Response::new(ResponseBody::whole(answer));
     let json = HeaderValue::from_static("application/json");
     reply.headers_mut().insert(CONTENT_TYPE, json);
     reply
 }
 
 /// Serves metrics as text.
-pub(crate) async fn on_metrics(router: Rc<Router>, _request: Request<Incoming>) -> Reply {
+pub(crate) async fn on_metrics(router: Rc<Router>, _request: Request<Incoming>) -> ServerResponse {
     let in_flight = i64::try_from(router.lifecycle.in_flight()).unwrap_or(i64::MAX);
     router.metrics.in_flight.set(in_flight);
-    Response::new(ReplyBody::whole(router.metrics.text()))
+    Response::new(ResponseBody::whole(router.metrics.text()))
 }
--- a/crates/router/cloverpier_router/src/wire_names.rs
+++ b/crates/router/cloverpier_router/src/wire_names.rs
@@ -15,12 +15,12 @@
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
     /// Tokens of the answer at most.
-    pub answer_tokens: u32,
+    pub max_response_tokens: u32,
 }
 
 /// An upstream's answer, as far as it has arrived.
 #[derive(Clone, Copy, Debug)]
-pub struct AnswerParts<'a> {
+pub struct ResponseParts<'a> {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -43,7 +43,7 @@
     /// The name of the upstream that is meant.
     pub expected_upstream: HeaderName,
     /// The name of the upstream that answered a health check.
-    pub answering_upstream: HeaderName,
+    pub responding_upstream: HeaderName,
     /// Set in all answers of an upstream that leaves.
     pub leaving: HeaderName,
     /// Names how many requests a second an upstream in need takes from all routers together.
@@ -90,17 +90,17 @@
     /// Paths of calls.
     pub paths: Paths,
     /// Writes the directory's answer: addresses, and how long they may be kept.
-    pub directory_answer: fn(&[SocketAddr], Duration) -> Vec<u8>,
+    pub directory_response: fn(&[SocketAddr], Duration) -> Vec<u8>,
     /// Names a replica of a run's KV cache, by its engine and the run's request id.
     pub replica_id: fn(SocketAddr, &str) -> String,
     /// Reads the tokens of a request.
     pub prompt_size: fn(&str) -> Option<PromptSize>,
     /// The name of the part of a prompt that no other prompt shares, from all its parts.
-    pub own_part: fn(&str) -> Option<&str>,
+    pub unique_part: fn(&str) -> Option<&str>,
     /// Reads what an upstream's answer says of the upstream.
-    pub statement: fn(&AnswerParts<'_>) -> UpstreamStatement,
+    pub statement: fn(&ResponseParts<'_>) -> UpstreamStatement,
     /// Reads an engine's answer on its load; nothing where it is not such an answer.
     pub engine_load: fn(&[u8]) -> Option<EngineReport>,
     /// Reads an engine's answer on what it has cached: the names of parts of prompts.
-    pub cached_parts: fn(&[u8]) -> Vec<String>,
+    pub cached_prompt_parts: fn(&[u8]) -> Vec<String>,
 }
--- a/crates/standins/cloverpier_router_standin/src/upstream/serve.rs
+++ b/crates/standins/cloverpier_router_standin/src/upstream/serve.rs
@@ -125,7 +125,7 @@
     names: &HeaderNames,
 ) -> io::Result<bool> {
     let named = (
-        names.answering_upstream.to_string(),
+        names.responding_upstream.to_string(),
         upstream.name.to_string(),
     );
     let (headers, body) = {
@@ -188,7 +188,7 @@
     if expected != Some(upstream.name.as_str()) {
         lock(&state.ledger).unexpected += u32::from(expected.is_none());
         let named = (
-            names.answering_upstream.to_string(),
+            names.responding_upstream.to_string(),
             upstream.name.to_string(),
         );
         return Some((421, vec![named]));
