--- a/crates/router/cloverpier_router/src/body.rs
+++ b/crates/router/cloverpier_router/src/body.rs
@@ -1,7 +1,7 @@
-//! Bodies of replies to callers: whole, or piece by piece.
+//! Bodies of the responses that this router sends: buffered or streamed.
 //!
-//! A body that cannot be completed ends with [`IncompleteResponse`], on which `hyper` breaks the
-//! connection off: a caller must never take a torn answer for a whole one.
+//! If a body can't be completed, its stream ends with [`IncompleteResponse`]. `hyper` then closes the connection
+//! before the end of the response, so that the caller can't mistake a truncated response for a complete one.
 
 use crate::buffer_reservation::BufferReservation;
 use bytes::Bytes;
@@ -11,63 +11,65 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// An answer could not be completed; its connection is broken off.
+/// The error of a body that could not be completed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct IncompleteResponse;
 
 impl fmt::Display for IncompleteResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer could not be completed")
+        f.write_str("the response could not be completed")
     }
 }
 
 impl std::error::Error for IncompleteResponse {}
 
-type LocalStream = Pin<Box<dyn Stream<Item = Result<Bytes, IncompleteResponse>>>>;
+type ChunkStream = Pin<Box<dyn Stream<Item = Result<Bytes, IncompleteResponse>>>>;
 
-/// A whole body is handed to its connection in pieces of this length, each when the caller has read
-/// most of those before.
-const PIECE: usize = 16 * 1024;
+/// Length in bytes of the chunks in which a buffered body is passed to its connection. The connection takes the
+/// next chunk once the caller has read most of the earlier ones.
+const CHUNK_BYTES: usize = 16 * 1024;
 
-/// A body that is at hand.
-pub(crate) struct WholeBody {
+/// A body that is completely in memory.
+pub(crate) struct BufferedBody {
     rest: Bytes,
-    /// What it takes of the router's memory, until it is handed to the connection.
-    _held: Option<BufferReservation>,
+    /// The reserved buffer memory, until the whole body is passed to the connection; `None` for a body without a
+    /// reservation.
+    _reservation: Option<BufferReservation>,
 }
 
-impl WholeBody {
-    fn next_piece(&mut self) -> Option<Bytes> {
-        let length = self.rest.len().min(PIECE);
+impl BufferedBody {
+    fn next_chunk(&mut self) -> Option<Bytes> {
+        let length = self.rest.len().min(CHUNK_BYTES);
         (length > 0).then(|| self.rest.split_to(length))
     }
 }
 
-/// The body of a reply.
+/// The body of a response.
 pub(crate) enum ResponseBody {
-    /// All of it is at hand.
-    Whole(WholeBody),
-    /// It arrives piece by piece.
-    Pieces(LocalStream),
+    /// The whole body is in memory.
+    Buffered(BufferedBody),
+    /// The body arrives in chunks while it is sent.
+    Streamed(ChunkStream),
 }
 
 impl ResponseBody {
-    /// A body that is at hand.
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
-        Self::Whole(WholeBody {
+    /// Creates a body that is completely in memory, without a reservation.
+    pub fn buffered(bytes: impl Into<Bytes>) -> Self {
+        Self::Buffered(BufferedBody {
             rest: bytes.into(),
-            _held: None,
+            _reservation: None,
         })
     }
 
-    /// The same body; one that is at hand counts as held until it is handed to its connection.
-    pub fn counted(self, mut held: BufferReservation) -> Self {
+    /// Reserves buffer memory for a buffered body of more than one chunk, until that body is passed to its
+    /// connection. Other bodies stay as they are.
+    pub fn with_reservation(self, mut reservation: BufferReservation) -> Self {
         match self {
-            Self::Whole(body) if body.rest.len() > PIECE => {
-                // It is held already, so it counts whatever others hold.
-                held.grow(body.rest.len());
-                Self::Whole(WholeBody {
-                    _held: Some(held),
+            Self::Buffered(body) if body.rest.len() > CHUNK_BYTES => {
+                // The body is in memory already, so its bytes are reserved even beyond the limit.
+                reservation.grow(body.rest.len());
+                Self::Buffered(BufferedBody {
+                    _reservation: Some(reservation),
                     ..body
                 })
             }
@@ -75,9 +77,11 @@
         }
     }
 
-    /// A body that arrives piece by piece.
-    pub fn pieces(stream: impl Stream<Item = Result<Bytes, IncompleteResponse>> + 'static) -> Self {
-        Self::Pieces(Box::pin(stream))
+    /// Creates a body from a stream of chunks.
+    pub fn streamed(
+        stream: impl Stream<Item = Result<Bytes, IncompleteResponse>> + 'static,
+    ) -> Self {
+        Self::Streamed(Box::pin(stream))
     }
 }
 
@@ -90,25 +94,25 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, IncompleteResponse>>> {
         match self.get_mut() {
-            Self::Whole(body) => Poll::Ready(body.next_piece().map(|p| Ok(Frame::data(p)))),
-            Self::Pieces(stream) => {
-                let piece = stream.poll_next_unpin(cx);
-                piece.map(|p| p.map(|r| r.map(Frame::data)))
+            Self::Buffered(body) => Poll::Ready(body.next_chunk().map(|c| Ok(Frame::data(c)))),
+            Self::Streamed(stream) => {
+                let chunk = stream.poll_next_unpin(cx);
+                chunk.map(|c| c.map(|r| r.map(Frame::data)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(body) => body.rest.is_empty(),
-            Self::Pieces(_) => false,
+            Self::Buffered(body) => body.rest.is_empty(),
+            Self::Streamed(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => SizeHint::with_exact(body.rest.len() as u64),
-            Self::Pieces(_) => SizeHint::default(),
+            Self::Buffered(body) => SizeHint::with_exact(body.rest.len() as u64),
+            Self::Streamed(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/router/cloverpier_router/src/buffer_reservation.rs
+++ b/crates/router/cloverpier_router/src/buffer_reservation.rs
@@ -1,42 +1,42 @@
-//! Bytes of bodies and answers that are held, counted until they are let go.
+//! RAII reservations of the memory in which request and response bodies are buffered.
 //!
-//! [`BufferReservation`] owns the count of one body or answer; what all may hold is decided in
-//! `cloverpier_router_policy::buffer_memory`.
+//! A [`BufferReservation`] owns the reserved bytes of one body and releases them when it is dropped.
+//! `cloverpier_router_policy::buffer_memory` decides how many bytes all bodies together may take.
 
 use cloverpier_router_policy::buffer_memory::{BufferKind, BufferMemory};
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The bytes that one body or answer holds.
+/// The buffer memory that is reserved for one body.
 #[derive(Debug)]
 pub(crate) struct BufferReservation {
     memory: Rc<RefCell<BufferMemory>>,
-    held_for: BufferKind,
+    kind: BufferKind,
     bytes: u64,
 }
 
 impl BufferReservation {
-    /// Nothing held yet.
-    pub fn new(memory: &Rc<RefCell<BufferMemory>>, held_for: BufferKind) -> Self {
+    /// Creates a reservation of 0 bytes.
+    pub fn new(memory: &Rc<RefCell<BufferMemory>>, kind: BufferKind) -> Self {
         Self {
             memory: Rc::clone(memory),
-            held_for,
+            kind,
             bytes: 0,
         }
     }
 
-    /// Holds bytes more; false where all together hold too much.
+    /// Reserves `bytes` more. Returns false, and reserves nothing, if the limit for all bodies would be exceeded.
     pub fn try_grow(&mut self, bytes: usize) -> bool {
         let bytes = bytes as u64;
-        let mut held = self.memory.borrow_mut();
-        let is_taken = held.try_reserve(bytes, self.bytes, self.held_for);
-        if is_taken {
+        let mut memory = self.memory.borrow_mut();
+        let is_reserved = memory.try_reserve(bytes, self.bytes, self.kind);
+        if is_reserved {
             self.bytes += bytes;
         }
-        is_taken
+        is_reserved
     }
 
-    /// Holds bytes more, whatever others hold.
+    /// Reserves `bytes` more for data that is in memory already, even beyond the limit for all bodies.
     pub fn grow(&mut self, bytes: usize) {
         let bytes = bytes as u64;
         self.memory.borrow_mut().reserve(bytes);
@@ -46,7 +46,7 @@
 
 impl Drop for BufferReservation {
     fn drop(&mut self) {
-        let mut held = self.memory.borrow_mut();
-        held.release(self.bytes);
+        let mut memory = self.memory.borrow_mut();
+        memory.release(self.bytes);
     }
 }
--- a/crates/router/cloverpier_router/src/call_kind.rs
+++ b/crates/router/cloverpier_router/src/call_kind.rs
@@ -1,25 +1,25 @@
-//! By which call an upstream said something of itself.
+//! The kinds of calls whose responses carry an upstream's statements about itself.
 //!
-//! For log lines, which lead from a statement to the request or the question that was answered. Owns
-//! nothing.
+//! Log lines about a statement contain the kind of call and the request id, so that operators can find the call.
+//! Owns no state.
 
-/// The call whose answer said something of an upstream.
+/// The kind of call whose response carried a statement of an upstream about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallKind<'a> {
-    /// A request of a caller, by its id.
+    /// A caller's request, with its request id.
     Request(&'a str),
-    /// A probe of a silent upstream.
+    /// A probe of an upstream that has been silent while it has requests.
     Probe,
-    /// A check of a suspected one.
+    /// A check of a suspected upstream.
     Check,
-    /// A question about its load.
+    /// A query for an engine's load.
     LoadQuery,
-    /// A question about the prompts that it has read.
+    /// A query for the prompts that an engine has read recently.
     CacheQuery,
 }
 
 impl<'a> CallKind<'a> {
-    /// Its word in log lines.
+    /// The name of the kind in log lines.
     pub fn log_name(self) -> &'static str {
         match self {
             Self::Request(_) => "request",
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The request's id, if it was one.
+    /// The request id of a caller's request; `None` for other kinds.
     pub fn request(self) -> Option<&'a str> {
         match self {
             Self::Request(id) => Some(id),
--- a/crates/router/cloverpier_router/src/cancel_signal.rs
+++ b/crates/router/cloverpier_router/src/cancel_signal.rs
@@ -1,42 +1,43 @@
-//! Calls the attempts of one request back.
+//! Cancels the attempts of one request.
 //!
-//! Owns one request's flag and wakes whoever waits for its upstream.
+//! Owns the flag of one request, and wakes the tasks that wait for an upstream's response to it.
 
 use std::cell::Cell;
 use std::future::Future;
 use tokio::sync::Notify;
 
-/// Set once when the request's content is stopped while an attempt is under way.
+/// A flag that is set when a request's content is blocked while the request is in flight. It is never reset.
 #[derive(Debug, Default)]
 pub(crate) struct CancelSignal {
-    is_set: Cell<bool>,
+    is_cancelled: Cell<bool>,
     changed: Notify,
 }
 
 impl CancelSignal {
-    /// Calls the attempts back.
-    pub fn set(&self) {
-        self.is_set.set(true);
+    /// Cancels the request's attempts, including those that begin later.
+    pub fn cancel(&self) {
+        self.is_cancelled.set(true);
         self.changed.notify_waiters();
     }
 
-    /// Whether they were called back.
-    pub fn is_set(&self) -> bool {
-        self.is_set.get()
+    /// Whether the request's attempts are cancelled.
+    pub fn is_cancelled(&self) -> bool {
+        self.is_cancelled.get()
     }
 
-    /// Waits until they are.
-    pub async fn wait(&self) {
-        while !self.is_set() {
+    /// Waits until the request's attempts are cancelled.
+    pub async fn cancelled(&self) {
+        while !self.is_cancelled() {
             self.changed.notified().await;
         }
     }
 
-    /// Runs `work` unless they are called back before it ends, or were before: `None` then.
+    /// Runs `work` to its end. Returns `None` if the request's attempts are cancelled before that, or already
+    /// were.
     pub async fn run_unless_cancelled<T>(&self, work: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
-            () = self.wait() => None,
+            () = self.cancelled() => None,
             done = work => Some(done),
         }
     }
--- a/crates/router/cloverpier_router/src/connection.rs
+++ b/crates/router/cloverpier_router/src/connection.rs
@@ -1,10 +1,9 @@
-//! One HTTP/1.1 connection to an upstream, a peer or the store.
+//! One HTTP/1.1 client connection, to an upstream, a peer or the store.
 //!
-//! Owns the connection and the task that drives it; both end when it is dropped, which is
-//! how a request is cancelled. Tells whether a byte of a request was written, on which the
-//! retry rules depend. Relies on `hyper` at the level of connections: `reqwest`, which
-//! `cloverpierd` uses (`cloverpier_upstream`), does not say whether a byte went out on a kept
-//! connection.
+//! A [`Connection`] owns the TCP connection and the task that drives it. Dropping it closes the connection, which
+//! cancels a request in flight. A failed send reports whether any byte of the request was written, as the retry
+//! rules depend on that. This is the reason for `hyper`'s connection-level API: `reqwest`, which `cloverpierd`
+//! uses (`cloverpier_upstream`), does not report whether a byte was written on a reused connection.
 
 use bytes::Bytes;
 use cloverpier_timers::{Elapsed, Timers};
@@ -21,34 +20,34 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// Bytes that the peer's system has not acknowledged for this long end a connection
-/// (`TCP_USER_TIMEOUT`). A last resort behind the verdicts on silence, which come earlier.
+/// The operating system closes a connection if sent bytes are not acknowledged within this time
+/// (`TCP_USER_TIMEOUT`). It is a fallback: liveness checks and call timeouts normally end the wait earlier.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Bytes that are read ahead from a connection at most: what a caller reads slowly stays beyond that
-/// with the upstream. The head of an answer has to fit.
+/// Maximum number of bytes that are read ahead from a connection. If a caller reads slowly, the bytes beyond that
+/// stay with the upstream. The head of a response has to fit.
 const READ_BUFFER: usize = 32 * 1024;
 
-/// A request with its whole body.
+/// A request whose whole body is in memory.
 pub(crate) type BufferedRequest = Request<Full<Bytes>>;
 
-/// Sending over a connection failed.
+/// The failure to send a request or to receive the head of its response.
 #[derive(Debug)]
 pub(crate) struct SendError {
-    /// Whether no byte of the request was written.
+    /// Whether no byte of the request was written, so that the request can't have run.
     pub was_unsent: bool,
-    /// What happened.
+    /// The HTTP library's error; an I/O error is among its causes.
     pub error: hyper::Error,
 }
 
-/// An open connection, closed when dropped.
+/// An open connection, which is closed when this is dropped.
 #[derive(Debug)]
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
-    /// Requests that it has carried.
+    /// Number of requests that were sent on this connection, including failed sends.
     pub requests: u32,
-    /// How long the other side keeps it when it is idle.
+    /// How long the server keeps the connection open while it is idle; the pool uses it only for a shorter time.
     pub idle_timeout: Duration,
 }
 
@@ -59,11 +58,12 @@
 }
 
 impl Connection {
-    /// Connects.
+    /// Opens a TCP connection within `timeout` and prepares it for HTTP/1.1. `idle_timeout` applies until the
+    /// server announces another one.
     ///
     /// # Errors
     ///
-    /// What the system reports, or [`io::ErrorKind::TimedOut`] after `timeout`.
+    /// The operating system's error, or [`io::ErrorKind::TimedOut`] after `timeout`.
     pub async fn open(
         address: SocketAddr,
         timeout: Duration,
@@ -81,7 +81,7 @@
         let handshake = client.handshake(TokioIo::new(stream)).await;
         let (sender, driver) = handshake.map_err(io::Error::other)?;
         let driver = tokio::task::spawn_local(async move {
-            // Its errors reach whoever waits for an answer.
+            // The task that waits for a response receives the connection's errors.
             let _ = driver.await;
         });
         Ok(Self {
@@ -97,22 +97,22 @@
         self.sender.is_ready()
     }
 
-    /// Whether the connection is closed.
+    /// Whether the connection is closed, by either side.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Waits until the connection has ended its last exchange; false when it cannot be used
-    /// again.
+    /// Waits until the exchange on the connection has ended. Returns false if the connection can't carry another
+    /// request.
     pub async fn wait_until_ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// [`SendError`], which says whether anything was written.
+    /// [`SendError`], which reports whether any byte of the request was written.
     pub async fn send(
         &mut self,
         request: BufferedRequest,
@@ -126,7 +126,7 @@
     }
 }
 
-/// An error with its causes, in one line for people.
+/// Formats an error and its causes in one line, separated by colons.
 pub(crate) fn describe_error(error: &dyn Error) -> String {
     let mut text = error.to_string();
     for cause in causes(error) {
@@ -136,7 +136,7 @@
     text
 }
 
-/// The kind of the system's error among the causes of an error, if there is one.
+/// The kind of the first I/O error among the causes of `error`; `None` if no cause is an I/O error.
 pub(crate) fn find_io_error_kind(error: &dyn Error) -> Option<io::ErrorKind> {
     let mut found = causes(error).filter_map(|cause| cause.downcast_ref::<io::Error>());
     found.next().map(io::Error::kind)
--- a/crates/router/cloverpier_router/src/crashes/verdicts.rs
+++ b/crates/router/cloverpier_router/src/crashes/verdicts.rs
@@ -59,7 +59,7 @@
     let in_flight = router.crashes.in_flight.borrow();
     let requests = in_flight.iter().filter_map(Weak::upgrade);
     for request in requests.filter(|request| request.content_key() == content) {
-        request.stop.set();
+        request.cancel.cancel();
     }
 }
 
--- a/crates/router/cloverpier_router/src/engine_call.rs
+++ b/crates/router/cloverpier_router/src/engine_call.rs
@@ -8,7 +8,7 @@
 use crate::connection::{Connection, describe_error};
 use crate::http_client::{CallError, HttpResponse, get_request};
 use crate::router::Router;
-use crate::send::keep;
+use crate::send::return_to_pool;
 use crate::statements::Call;
 use cloverpier_router_policy::connection_reuse::{CONNECT_TIMEOUT, DEFAULT_IDLE_TIMEOUT};
 use cloverpier_router_policy::prelude::*;
@@ -48,7 +48,7 @@
         };
         let (head, body) = response.into_parts();
         let body = body.collect().await.map_err(|e| broken(&e))?;
-        keep(router, engine, connection);
+        return_to_pool(router, engine, connection);
         let now = router.now();
         router.health.of(engine, now).on_activity(now);
         let answer = HttpResponse {
--- a/crates/router/cloverpier_router/src/http_client.rs
+++ b/crates/router/cloverpier_router/src/http_client.rs
@@ -1,7 +1,7 @@
-//! Calls to one address: probes, searches, the store, peers; simple ones and large answers.
+//! An HTTP client for calls to one address: probes of upstreams, the store, peers.
 //!
-//! Owns at most one kept connection, used again while it is whole. Callers that need to know
-//! whether a byte was written use [`crate::connection`] itself.
+//! The client owns at most one idle connection and reuses it while it is open. Code that depends on whether a byte
+//! of a request was written uses [`crate::connection`] directly.
 
 use crate::connection::{BufferedRequest, Connection, describe_error};
 use crate::wire_names::ResponseParts;
@@ -19,43 +19,43 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A call got no answer.
+/// Why a call has no complete response.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// No connection came up.
+    /// No connection could be opened.
     #[snafu(display("can't connect: {source}"))]
     Connect {
-        /// What the system reports; [`io::ErrorKind::TimedOut`] when nothing came.
+        /// The operating system's error; [`io::ErrorKind::TimedOut`] after the timeout for connecting.
         source: io::Error,
     },
-    /// The connection broke before the answer was whole.
+    /// The connection broke before the response was complete, or the request could not be encoded.
     #[snafu(display("connection broke: {reason}"))]
     Broken {
-        /// What the connection reports.
+        /// The HTTP library's error and its causes.
         reason: String,
     },
-    /// No answer came in time.
-    #[snafu(display("no answer in time"))]
+    /// The response did not arrive within the timeout.
+    #[snafu(display("no response within the timeout"))]
     TimedOut,
-    /// The caller gave the call up before an answer began.
-    #[snafu(display("given up"))]
-    GivenUp,
+    /// The code that made the call cancelled it before the head of a response arrived.
+    #[snafu(display("call cancelled"))]
+    Cancelled,
 }
 
 impl CallError {
-    /// Whether the other side's host has no process at the address. A host or a network that cannot be
-    /// reached, or a connection that is reset as it comes up, says nothing of the process.
+    /// Whether the error proves that no process listens at the address: its host refused the connection. An
+    /// unreachable host or network, or a reset while the connection is opened, proves nothing about the process.
     pub fn is_refused(&self) -> bool {
-        self.connect_error() == Some(io::ErrorKind::ConnectionRefused)
+        self.connect_error_kind() == Some(io::ErrorKind::ConnectionRefused)
     }
 
-    /// Whether a connection was there, if only for a moment, and broke.
+    /// Whether a connection broke, during the call or while it was opened.
     pub fn is_break(&self) -> bool {
-        let is_reset = self.connect_error() == Some(io::ErrorKind::ConnectionReset);
+        let is_reset = self.connect_error_kind() == Some(io::ErrorKind::ConnectionReset);
         is_reset || matches!(self, Self::Broken { .. })
     }
 
-    fn connect_error(&self) -> Option<io::ErrorKind> {
+    fn connect_error_kind(&self) -> Option<io::ErrorKind> {
         match self {
             Self::Connect { source } => Some(source.kind()),
             _ => None,
@@ -63,19 +63,19 @@
     }
 }
 
-/// A whole answer to a simple call.
+/// A response whose whole body is in memory.
 #[derive(Debug)]
 pub struct HttpResponse {
-    /// Its status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Its headers.
+    /// All headers of the response.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The whole body.
     pub body: Bytes,
 }
 
 impl HttpResponse {
-    /// What of it may speak of its sender.
+    /// The parts of the response that the adapter decodes into a statement of the upstream about itself.
     pub fn parts(&self) -> ResponseParts<'_> {
         ResponseParts {
             status: self.status,
@@ -85,82 +85,84 @@
     }
 }
 
-/// Bounds on the answer to a call for something large.
+/// Timeouts of [`HttpClient::download`].
 #[derive(Clone, Copy, Debug)]
 pub struct DownloadTimeouts {
-    /// From the call to the head of its answer, a new connection included.
+    /// From the call to the head of the response, including the time to open a connection.
     pub head: Duration,
-    /// From the head, or a piece of the body, to the next one.
+    /// From the head of the response, or a chunk of its body, to the next chunk.
     pub stall: Duration,
 }
 
-/// Calls one address, over one kept connection.
+/// An HTTP client for one address. It reuses one connection; calls that overlap open connections of their own.
 #[derive(Debug)]
 pub struct HttpClient {
     address: SocketAddr,
     connect_timeout: Duration,
     timers: Timers,
-    kept: RefCell<Option<Connection>>,
+    idle: RefCell<Option<Connection>>,
 }
 
 impl HttpClient {
-    /// A client without a connection yet.
+    /// Creates a client that has no connection yet.
     pub fn new(address: SocketAddr, connect_timeout: Duration, timers: Timers) -> Self {
         Self {
             address,
             connect_timeout,
             timers,
-            kept: RefCell::new(None),
+            idle: RefCell::new(None),
         }
     }
 
-    /// Gets a path, the whole answer within `timeout`.
+    /// Sends a `GET` request and reads the whole response within `timeout`.
     ///
     /// # Errors
     ///
-    /// [`CallError`]; the connection is given up then.
+    /// [`CallError`]; the connection is closed then.
     pub async fn get(&self, path: &str, timeout: Duration) -> Result<HttpResponse, CallError> {
-        let whole = self.within(timeout, self.get_unbounded(path)).await;
-        whole.unwrap_or(Err(CallError::TimedOut))
+        let response = self
+            .with_timeout(timeout, self.get_without_timeout(path))
+            .await;
+        response.unwrap_or(Err(CallError::TimedOut))
     }
 
-    /// Gets something large: its head within `bounds.head`, and then each next piece within
-    /// `bounds.stall`; the whole may take as long as pieces arrive.  The call ends when
-    /// `given_up` completes before the head.
+    /// Sends a `GET` request and reads a response that may be large. The head has to arrive within `timeouts.head`,
+    /// and each chunk of the body within `timeouts.stall`; the total time is not limited. The call is cancelled if
+    /// `cancelled` completes before the head arrives.
     ///
     /// # Errors
     ///
-    /// [`CallError`]; the connection is given up then.
+    /// [`CallError`]; the connection is closed then.
     pub async fn download(
         &self,
         path: &str,
         headers: HeaderMap,
-        bounds: DownloadTimeouts,
-        given_up: impl Future<Output = ()>,
+        timeouts: DownloadTimeouts,
+        cancelled: impl Future<Output = ()>,
     ) -> Result<HttpResponse, CallError> {
         let mut request = get_request(path, self.address)?;
         request.headers_mut().extend(headers);
         let (connection, response) = tokio::select! {
-            sent = self.within(bounds.head, self.send(request)) => sent??,
-            () = given_up => return Err(CallError::GivenUp),
+            sent = self.with_timeout(timeouts.head, self.send(request)) => sent??,
+            () = cancelled => return Err(CallError::Cancelled),
         };
         let (head, mut body) = response.into_parts();
-        let mut whole = BytesMut::new();
-        while let Some(frame) = self.within(bounds.stall, body.frame()).await? {
-            let frame = frame.map_err(|e| broken(&e))?;
-            // Trailers say nothing that a caller needs.
-            if let Ok(piece) = frame.into_data() {
-                whole.extend_from_slice(&piece);
+        let mut buffer = BytesMut::new();
+        while let Some(frame) = self.with_timeout(timeouts.stall, body.frame()).await? {
+            let frame = frame.map_err(|e| connection_broken(&e))?;
+            // Trailers are ignored.
+            if let Ok(chunk) = frame.into_data() {
+                buffer.extend_from_slice(&chunk);
             }
         }
-        Ok(self.finish(connection, head, whole.freeze()))
+        Ok(self.finish(connection, head, buffer.freeze()))
     }
 
-    /// Puts a body of JSON at a path, the whole answer within `timeout`.
+    /// Sends a `PUT` request with a JSON body and reads the whole response within `timeout`.
     ///
     /// # Errors
     ///
-    /// [`CallError`]; what was put may be there all the same, or come to be there later.
+    /// [`CallError`]; the server may still have applied the request, or apply it later.
     pub async fn put(
         &self,
         path: &str,
@@ -171,36 +173,42 @@
             .header(HOST, self.address.to_string())
             .header(CONTENT_TYPE, "application/json")
             .body(Full::new(body))
-            .map_err(|e| broken(&e))?;
-        let whole = self.within(timeout, self.answer_to(request)).await;
-        whole.unwrap_or(Err(CallError::TimedOut))
+            .map_err(|e| connection_broken(&e))?;
+        let response = self
+            .with_timeout(timeout, self.buffered_response(request))
+            .await;
+        response.unwrap_or(Err(CallError::TimedOut))
     }
 
-    /// Makes a call with headers and a body.
+    /// Sends any request, with a `Host` header added, and reads the whole response within `timeout`.
     ///
     /// # Errors
     ///
-    /// [`CallError`].
+    /// [`CallError`]; the server may still have applied the request, or apply it later.
     pub async fn call(
         &self,
         request: Request<Bytes>,
         timeout: Duration,
     ) -> Result<HttpResponse, CallError> {
         let mut request = request.map(Full::new);
-        let host = HeaderValue::from_str(&self.address.to_string()).map_err(|e| broken(&e))?;
+        let host =
+            HeaderValue::from_str(&self.address.to_string()).map_err(|e| connection_broken(&e))?;
         request.headers_mut().insert(HOST, host);
-        let whole = self.within(timeout, self.answer_to(request)).await;
-        whole.unwrap_or(Err(CallError::TimedOut))
+        let response = self
+            .with_timeout(timeout, self.buffered_response(request))
+            .await;
+        response.unwrap_or(Err(CallError::TimedOut))
     }
 
-    async fn get_unbounded(&self, path: &str) -> Result<HttpResponse, CallError> {
-        self.answer_to(get_request(path, self.address)?).await
+    async fn get_without_timeout(&self, path: &str) -> Result<HttpResponse, CallError> {
+        self.buffered_response(get_request(path, self.address)?)
+            .await
     }
 
-    async fn answer_to(&self, request: BufferedRequest) -> Result<HttpResponse, CallError> {
+    async fn buffered_response(&self, request: BufferedRequest) -> Result<HttpResponse, CallError> {
         let (connection, response) = self.send(request).await?;
         let (head, body) = response.into_parts();
-        let body = body.collect().await.map_err(|e| broken(&e))?;
+        let body = body.collect().await.map_err(|e| connection_broken(&e))?;
         Ok(self.finish(connection, head, body.to_bytes()))
     }
 
@@ -208,15 +216,15 @@
         &self,
         request: BufferedRequest,
     ) -> Result<(Connection, Response<Incoming>), CallError> {
-        let mut connection = self.connection().await?;
+        let mut connection = self.take_or_open().await?;
         let sent = connection.send(request).await;
-        let response = sent.map_err(|broke| broken(&broke.error))?;
+        let response = sent.map_err(|failure| connection_broken(&failure.error))?;
         Ok((connection, response))
     }
 
-    /// Keeps the connection of an answer that is whole.
+    /// Keeps the connection for the next call and returns the complete response.
     fn finish(&self, connection: Connection, head: Parts, body: Bytes) -> HttpResponse {
-        *self.kept.borrow_mut() = Some(connection);
+        *self.idle.borrow_mut() = Some(connection);
         HttpResponse {
             status: head.status,
             headers: head.headers,
@@ -224,14 +232,14 @@
         }
     }
 
-    async fn connection(&self) -> Result<Connection, CallError> {
-        let kept = self.kept.borrow_mut().take();
-        if let Some(mut connection) = kept
+    async fn take_or_open(&self) -> Result<Connection, CallError> {
+        let idle = self.idle.borrow_mut().take();
+        if let Some(mut connection) = idle
             && connection.wait_until_ready().await
         {
             return Ok(connection);
         }
-        // It is kept while it is whole, however long it is idle.
+        // The client reuses the connection until it is closed, so it needs no idle timeout.
         let opened = Connection::open(
             self.address,
             self.connect_timeout,
@@ -241,26 +249,26 @@
         opened.await.map_err(|source| CallError::Connect { source })
     }
 
-    async fn within<T>(
+    async fn with_timeout<T>(
         &self,
-        bound: Duration,
-        answer: impl Future<Output = T>,
+        timeout: Duration,
+        work: impl Future<Output = T>,
     ) -> Result<T, CallError> {
-        let answer = self.timers.timeout(bound, answer).await;
-        answer.map_err(|Elapsed| CallError::TimedOut)
+        let result = self.timers.timeout(timeout, work).await;
+        result.map_err(|Elapsed| CallError::TimedOut)
     }
 }
 
-/// A request without a body.
+/// Creates a `GET` request with a `Host` header and without a body.
 pub(crate) fn get_request(path: &str, address: SocketAddr) -> Result<BufferedRequest, CallError> {
     let request = Request::builder()
         .uri(path)
         .header(HOST, address.to_string());
     let request = request.body(Full::new(Bytes::new()));
-    request.map_err(|e| broken(&e))
+    request.map_err(|e| connection_broken(&e))
 }
 
-fn broken(error: &dyn std::error::Error) -> CallError {
+fn connection_broken(error: &dyn std::error::Error) -> CallError {
     CallError::Broken {
         reason: describe_error(error),
     }
--- a/crates/router/cloverpier_router/src/intake.rs
+++ b/crates/router/cloverpier_router/src/intake.rs
@@ -1,7 +1,7 @@
-//! From a caller's bytes to a request that can be relayed, or to its rejection.
+//! Reads a caller's HTTP request into a [`RelayRequest`], or rejects the request.
 //!
-//! Reads headers and body into a [`RelayRequest`]; which request is admitted, on whose account, and
-//! until when it is held is decided in `cloverpier_router_policy::{arrival, deadline}`. Owns nothing.
+//! `cloverpier_router_policy::{arrival, deadline, lifecycle}` decide which requests are admitted, under which
+//! client account, and how long a starting router holds a request. Owns no state.
 
 use crate::buffer_reservation::BufferReservation;
 use crate::cancel_signal::CancelSignal;
@@ -9,7 +9,7 @@
 use crate::relay_request::RelayRequest;
 use crate::responses::{ServerResponse, error_response, refusal_response, strip_hop_by_hop};
 use crate::router::Router;
-use crate::wire_names::PromptSize;
+use crate::wire_names::TokenCounts;
 use bytes::{Bytes, BytesMut};
 use cloverpier_core::hash_of;
 use cloverpier_router_policy::arrival::{
@@ -29,27 +29,31 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Reads a request, or answers it at once.
+/// Reads the headers and the whole body of a request. `now` is the arrival of the request.
+///
+/// # Errors
+///
+/// The error response for the caller if the request is rejected.
 pub(crate) async fn receive_request(
     router: &Rc<Router>,
     request: Request<Incoming>,
     now: Instant,
 ) -> Result<RelayRequest, ServerResponse> {
     let (head, body) = request.into_parts();
-    let id = text_of(&head.headers, &router.wire_names.headers.request_id);
-    // Without an id, requests are distinguished by the caller's connection alone.
+    let id = header_text(&head.headers, &router.wire_names.headers.request_id);
+    // A request without an id has an empty one; its caller can match the response only by the connection.
     let id = id.unwrap_or_default().to_owned();
     let path = head.uri.path().to_owned();
     match read_request(router, head, body, &id, now).await {
         Ok(request) => Ok(request),
         Err(rejection) => {
             log_rejection(router, &id, &path, rejection);
-            Err(rejection_reply(rejection))
+            Err(rejection_response(rejection))
         }
     }
 }
 
-fn status_of(rejection: Rejection) -> StatusCode {
+fn rejection_status(rejection: Rejection) -> StatusCode {
     match rejection {
         Rejection::Starting | Rejection::UnknownService | Rejection::BufferMemoryFull => {
             StatusCode::SERVICE_UNAVAILABLE
@@ -61,8 +65,8 @@
     }
 }
 
-fn rejection_reply(rejection: Rejection) -> ServerResponse {
-    let status = status_of(rejection);
+fn rejection_response(rejection: Rejection) -> ServerResponse {
+    let status = rejection_status(rejection);
     let reason = rejection.to_string();
     match rejection {
         Rejection::BufferMemoryFull => refusal_response(&reason, Refusal::BufferMemoryFull),
@@ -81,7 +85,7 @@
         &RequestRejected {
             request: id,
             path,
-            status: status_of(rejection).as_u16(),
+            status: rejection_status(rejection).as_u16(),
             reason: &rejection.to_string(),
             configuration_version: configuration.map(|c| c.version()),
         },
@@ -95,20 +99,20 @@
     id: &str,
     now: Instant,
 ) -> Result<RelayRequest, Rejection> {
-    let limit = caller_limit(router, &head.headers, id);
-    hold_until_serving(router, now, limit).await;
+    let timeout = caller_timeout(router, &head.headers, id);
+    hold_until_serving(router, now, timeout).await;
     let is_serving = router.store.is_serving();
     let configuration = router.store.configuration().filter(|_| is_serving);
     let configuration = configuration.ok_or(Rejection::Starting)?;
     let names = &router.wire_names.headers;
-    let host = host_of(&head);
+    let host = request_host(&head);
     let route = find_route(&configuration, host, head.uri.path())?;
-    let key = text_of(&head.headers, &names.key);
+    let key = header_text(&head.headers, &names.key);
     let account = find_account(&configuration, &route, key)?;
-    let mut held = BufferReservation::new(&router.buffer_memory, BufferKind::Body);
-    let body = read_body(body, configuration.limits().body_bytes, &mut held).await?;
-    // The configuration may have changed while the body arrived; a route that is gone from
-    // the new one still takes the requests that it admitted.
+    let mut reservation = BufferReservation::new(&router.buffer_memory, BufferKind::Body);
+    let body = read_body(body, configuration.limits().body_bytes, &mut reservation).await?;
+    // The configuration may have changed while the body arrived. If the new configuration does not contain
+    // the route any more, the request still uses the route that admitted it.
     let configuration = router.store.configuration().ok_or(Rejection::Starting)?;
     let route = find_route(&configuration, host, head.uri.path()).unwrap_or(route);
     let service = pick_service(&configuration, &route, &mut router.rng.borrow_mut())?;
@@ -116,12 +120,12 @@
         id: id.to_owned(),
         method: head.method.clone(),
         host: host.to_ascii_lowercase(),
-        target: target_of(&head),
+        target: request_target(&head),
         body,
-        _held: held,
-        deadline: now + limit.effective_timeout(route.timeout),
+        _reservation: reservation,
+        deadline: now + timeout.effective_timeout(route.timeout),
         last_event: last_event(router, &head.headers, id),
-        size: prompt_size(router, &head.headers, id),
+        token_counts: token_counts(router, &head.headers, id),
         prompt: prompt_key(router, &head.headers),
         headers: forwarded_headers(router, head.headers, account.as_deref()),
         priority: priority(&route, account.as_deref()),
@@ -130,112 +134,115 @@
         route,
         configuration_version: configuration.version(),
         arrived: now,
-        stop: CancelSignal::default(),
+        cancel: CancelSignal::default(),
         content_key: OnceCell::new(),
     })
 }
 
-/// Holds a request that arrives before this router can serve it, as long as the rule on that
-/// allows.
-async fn hold_until_serving(router: &Router, arrived: Instant, limit: CallerTimeout) {
+/// Waits until this router has a configuration and a list of upstreams, at most until the deadline that
+/// [`hold_deadline`] computes. Returns at once if calls to the store fail.
+async fn hold_until_serving(router: &Router, arrived: Instant, timeout: CallerTimeout) {
     let store = &router.store;
     let started = router.lifecycle.started();
     while !store.is_serving() {
-        let until = hold_deadline(started, store.fails(), arrived, limit);
-        let Some(until) = until.filter(|until| router.now() < *until) else {
+        let deadline = hold_deadline(started, store.fails(), arrived, timeout);
+        let Some(deadline) = deadline.filter(|deadline| router.now() < *deadline) else {
             return;
         };
         tokio::select! {
             () = store.start_changed() => {}
-            () = router.timers.sleep_until(until) => {}
+            () = router.timers.sleep_until(deadline) => {}
         }
     }
 }
 
-/// The host that a request names, without a port; empty where it names none.
-fn host_of(head: &Parts) -> &str {
+/// The host in the request's target or `Host` header, without a port; empty if the request has no host.
+fn request_host(head: &Parts) -> &str {
     let host = head.uri.host().or_else(|| {
-        // A name that is no text cannot be that of a route, so it counts as none.
+        // No route has a host that is not visible ASCII, so such a `Host` header counts as absent.
         let host = head.headers.get(HOST)?.to_str().ok()?;
         Some(host.split(':').next().unwrap_or(host))
     });
-    // No route is for no host.
+    // No route has an empty host.
     host.unwrap_or_default()
 }
 
+/// Reads a request body of at most `max_bytes` into memory, and adds its length to `reservation`.
 async fn read_body(
     mut body: Incoming,
     max_bytes: usize,
-    held: &mut BufferReservation,
+    reservation: &mut BufferReservation,
 ) -> Result<Bytes, Rejection> {
     if body.size_hint().lower() > max_bytes as u64 {
         return Err(Rejection::BodyTooLong);
     }
-    let mut whole = BytesMut::new();
+    let mut buffer = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        // The cause lies with the caller or its connection; all are one rejection.
+        // All causes are on the caller's side (its connection or a malformed body), so they are one rejection.
         let frame = frame.map_err(|_| Rejection::BodyIncomplete)?;
-        // A frame without data holds trailers, which are not passed on.
+        // A frame without data contains trailers, which are not forwarded.
         let data = frame.into_data().unwrap_or_default();
-        if whole.len() + data.len() > max_bytes {
+        if buffer.len() + data.len() > max_bytes {
             return Err(Rejection::BodyTooLong);
         }
-        if !held.try_grow(data.len()) {
+        if !reservation.try_grow(data.len()) {
             return Err(Rejection::BufferMemoryFull);
         }
-        whole.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
-    Ok(whole.freeze())
+    Ok(buffer.freeze())
 }
 
-fn target_of(head: &Parts) -> String {
+fn request_target(head: &Parts) -> String {
     let target = head.uri.path_and_query();
     target.map_or_else(|| head.uri.path().to_owned(), ToString::to_string)
 }
 
-/// The time that the caller asks for; one that cannot be read is logged and does not count.
-fn caller_limit(router: &Router, headers: &HeaderMap, id: &str) -> CallerTimeout {
+/// The timeout that the caller set by a header. A value that can't be parsed is logged; the route's timeout
+/// applies then.
+fn caller_timeout(router: &Router, headers: &HeaderMap, id: &str) -> CallerTimeout {
     let name = &router.wire_names.headers.deadline_ms;
-    let limit = CallerTimeout::parse(text_of(headers, name));
-    if limit == CallerTimeout::Unreadable {
-        log_unreadable(router, id, name);
+    let timeout = CallerTimeout::parse(header_text(headers, name));
+    if timeout == CallerTimeout::Unreadable {
+        log_ignored_header(router, id, name);
     }
-    limit
+    timeout
 }
 
-/// The last event that the caller has; one that cannot be read is logged and does not count,
-/// so the stream begins anew.
+/// The id of the last event that the caller has received of the stream that it resumes; `None` if the caller
+/// starts a stream. An id that can't be parsed is logged and ignored, so the stream starts from its first event.
 fn last_event(router: &Router, headers: &HeaderMap, id: &str) -> Option<u64> {
     let name = &router.wire_names.headers.last_event;
-    let text = text_of(headers, name)?;
+    let text = header_text(headers, name)?;
     let event = text.trim().parse().ok();
     if event.is_none() {
-        log_unreadable(router, id, name);
+        log_ignored_header(router, id, name);
     }
     event
 }
 
-/// The tokens that the caller declared; where it declared none, or what cannot be read and is
-/// logged, the request counts as one without prompt.
-fn prompt_size(router: &Router, headers: &HeaderMap, id: &str) -> PromptSize {
-    let name = &router.wire_names.headers.prompt_size;
-    let Some(text) = text_of(headers, name) else {
-        return PromptSize::default();
+/// The token counts that the caller declared by a header. Without the header, and with a header that can't be
+/// parsed (which is logged), all counts are 0.
+fn token_counts(router: &Router, headers: &HeaderMap, id: &str) -> TokenCounts {
+    let name = &router.wire_names.headers.token_counts;
+    let Some(text) = header_text(headers, name) else {
+        return TokenCounts::default();
     };
-    (router.wire_names.prompt_size)(text).unwrap_or_else(|| {
-        log_unreadable(router, id, name);
-        PromptSize::default()
+    (router.wire_names.token_counts)(text).unwrap_or_else(|| {
+        log_ignored_header(router, id, name);
+        TokenCounts::default()
     })
 }
 
-/// The prompt, by the part of it that no other prompt shares.
+/// The key of the request's prompt: a hash of the name of the part that no other prompt contains. `None` if the
+/// request does not declare the parts of its prompt.
 fn prompt_key(router: &Router, headers: &HeaderMap) -> Option<PromptKey> {
-    let parts = text_of(headers, &router.wire_names.headers.prompt_parts)?;
-    let own = (router.wire_names.unique_part)(parts)?;
-    Some(PromptKey(hash_of(own)))
+    let parts = header_text(headers, &router.wire_names.headers.prompt_parts)?;
+    let unique_part = (router.wire_names.unique_part)(parts)?;
+    Some(PromptKey(hash_of(unique_part)))
 }
 
-fn log_unreadable(router: &Router, id: &str, header: &HeaderName) {
+fn log_ignored_header(router: &Router, id: &str, header: &HeaderName) {
     let line = UnreadableHeader {
         request: id,
         header: header.as_str(),
@@ -243,8 +250,8 @@
     router.log.info("request.header_ignored", &line);
 }
 
-/// The headers that travel to upstreams: all but those of one connection and those that are
-/// not the caller's to set.
+/// The headers that upstreams receive with every attempt: the caller's headers without hop-by-hop headers and
+/// without those that callers must not set, and the name of the client account.
 fn forwarded_headers(
     router: &Router,
     mut headers: HeaderMap,
@@ -256,7 +263,8 @@
     }
     headers.remove(EXPECT);
     headers.remove(CONTENT_LENGTH);
-    // A name that no header can hold is left out: the request runs without it, as a public one.
+    // An account name that is not a valid header value is left out; the request is then forwarded without an
+    // account, like a request of a public route.
     if let Some(value) = account.and_then(|a| HeaderValue::from_str(&a.name).ok()) {
         let name = router.wire_names.headers.account.clone();
         headers.insert(name, value);
@@ -264,7 +272,7 @@
     headers
 }
 
-/// The text of a header; `None` where it is missing or holds bytes that are no text.
-pub(crate) fn text_of<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+/// The value of a header; `None` if the header is missing or its value contains other bytes than visible ASCII.
+pub(crate) fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/router/cloverpier_router/src/leaving_reports.rs
+++ b/crates/router/cloverpier_router/src/leaving_reports.rs
@@ -61,7 +61,7 @@
     source: &LeavingSource<'_>,
     now: Instant,
 ) {
-    router.last_leaving.set(Some(now));
+    router.last_leaving_at.set(Some(now));
     router.metrics.leavings.count(how);
     let known = router
         .upstreams
@@ -94,7 +94,7 @@
 
 /// Repeats what is new to one peer, for a while after the last leaving was learned.
 pub(crate) fn repeat(router: &Router, now: Instant) {
-    if !is_within_repeat_window(router.last_leaving.get(), now) {
+    if !is_within_repeat_window(router.last_leaving_at.get(), now) {
         return;
     }
     let reports = router.upstreams.borrow().recent_leaving_reports(now);
--- a/crates/router/cloverpier_router/src/lib.rs
+++ b/crates/router/cloverpier_router/src/lib.rs
@@ -121,7 +121,7 @@
         UnreadableEntry, UpstreamChanges, UpstreamList, UpstreamPage,
     };
     pub use crate::start::{StartError, run_router};
-    pub use crate::wire_names::{HeaderNames, Paths, PromptSize, ResponseParts, WireNames};
+    pub use crate::wire_names::{HeaderNames, Paths, ResponseParts, TokenCounts, WireNames};
 }
 
 pub use prelude::*;
--- a/crates/router/cloverpier_router/src/peer_serve.rs
+++ b/crates/router/cloverpier_router/src/peer_serve.rs
@@ -159,7 +159,7 @@
 
 fn bytes_reply(router: &Router, bytes: Bytes) -> ServerResponse {
     router.metrics.version_bytes.inc_by(bytes.len() as u64);
-    Response::new(ResponseBody::whole(bytes))
+    Response::new(ResponseBody::buffered(bytes))
 }
 
 /// The encoding in which a peer may be answered.
--- a/crates/router/cloverpier_router/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -17,7 +17,7 @@
 use crate::responses::{BufferedResponse, ServerResponse, streamed_response};
 use crate::rollouts;
 use crate::router::Router;
-use crate::send::{AttemptHeaders, OpenResponse, keep, send};
+use crate::send::{AttemptHeaders, OpenResponse, return_to_pool, send};
 use crate::singleton;
 use crate::wait::{Awaited, while_alive};
 use bytes::{Bytes, BytesMut};
@@ -104,7 +104,7 @@
             }
             let found = self
                 .request
-                .stop
+                .cancel
                 .run_unless_cancelled(self.find_upstream())
                 .await;
             let upstream = match found.ok_or_else(GivenUp::stopped)? {
@@ -155,7 +155,7 @@
     /// An upstream for the next attempt, and if it limits itself the permit to send it there.
     async fn find_upstream(&self) -> Result<Upstream, NoUpstream> {
         let (router, request) = (self.router, self.request);
-        let search = PermitSearch::new(request.patience(router.now()));
+        let search = PermitSearch::new(request.max_permit_wait(router.now()));
         let limits = &router.upstream_limits;
         let chosen = limits.offer(
             search,
@@ -170,7 +170,7 @@
 
     fn choose(&self, limits: &LimitedUpstreams) -> Result<Upstream, NoUpstream> {
         let now = self.router.now();
-        let connected = self.router.pool.borrow().connected(now);
+        let connected = self.router.pool.borrow().connected_upstreams(now);
         let table = self.router.upstreams.borrow();
         let settings = self.router.settings();
         let versions = rollouts::version_rule(self.router, &self.request.service.name, now);
@@ -274,11 +274,11 @@
                 };
                 return Ok(streamed_response(
                     head,
-                    ResponseBody::pieces(rest.into_stream()),
+                    ResponseBody::streamed(rest.into_stream()),
                 ));
             }
         }
-        keep(self.router, upstream, connection);
+        return_to_pool(self.router, upstream, connection);
         judgement::on_completed(self.router, self.request);
         self.check_status(BufferedResponse::new(head, held.freeze()))
             .map(BufferedResponse::into_response)
--- a/crates/router/cloverpier_router/src/pool.rs
+++ b/crates/router/cloverpier_router/src/pool.rs
@@ -1,7 +1,7 @@
-//! Idle connections to upstreams, kept for the next request.
+//! The pool of idle connections to upstreams.
 //!
-//! Owns the connections that no request uses. Which of them may be used again is decided in
-//! `cloverpier_router_policy::connection_reuse`.
+//! Owns the connections that carry no request. `cloverpier_router_policy::connection_reuse` decides which of them
+//! may be used again.
 
 use crate::connection::Connection;
 use cloverpier_core::UpstreamName;
@@ -10,31 +10,32 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-/// A connection that no request uses.
+/// A connection that carries no request.
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     since: Instant,
 }
 
-impl Idle {
+impl IdleConnection {
     fn is_usable(&self, now: Instant) -> bool {
         let idle = now.saturating_duration_since(self.since);
         self.connection.is_ready() && is_reusable(idle, self.connection.idle_timeout)
     }
 }
 
-/// Idle connections by upstream, the freshest last.
+/// The idle connections to each upstream, the most recently used last.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionPool {
-    idle: HashMap<UpstreamName, Vec<Idle>>,
+    idle: HashMap<UpstreamName, Vec<IdleConnection>>,
 }
 
 impl ConnectionPool {
-    /// Takes the freshest usable connection.
+    /// Removes and returns the most recently used connection that may be used again; `None` if there is none.
+    /// Connections that were used more recently but may not be used again are closed.
     pub fn take(&mut self, upstream: &UpstreamName, now: Instant) -> Option<Connection> {
-        let kept = self.idle.get_mut(upstream)?;
-        while let Some(idle) = kept.pop() {
+        let connections = self.idle.get_mut(upstream)?;
+        while let Some(idle) = connections.pop() {
             if idle.is_usable(now) {
                 return Some(idle.connection);
             }
@@ -42,9 +43,9 @@
         None
     }
 
-    /// Keeps a connection for the next request; where more than `limit` are kept, the longest idle
-    /// ones are closed.
-    pub fn put(
+    /// Adds an idle connection, unless it is closed. If the pool then has more than `limit` connections to the
+    /// upstream, those that have been idle longest are closed.
+    pub fn insert(
         &mut self,
         upstream: &UpstreamName,
         connection: Connection,
@@ -54,28 +55,32 @@
         if connection.is_closed() {
             return;
         }
-        let kept = self.idle.entry(upstream.clone()).or_default();
-        kept.push(Idle {
+        let connections = self.idle.entry(upstream.clone()).or_default();
+        connections.push(IdleConnection {
             connection,
             since: now,
         });
-        let excess = kept.len().saturating_sub(limit);
-        kept.drain(..excess);
+        let excess = connections.len().saturating_sub(limit);
+        connections.drain(..excess);
     }
 
-    /// Upstreams to which a usable connection is kept.
-    pub fn connected(&self, now: Instant) -> HashSet<UpstreamName> {
-        let usable = |kept: &Vec<Idle>| kept.iter().any(|idle| idle.is_usable(now));
-        let upstreams = self.idle.iter().filter(|(_, kept)| usable(kept));
+    /// The upstreams to which the pool has a connection that may be used again.
+    pub fn connected_upstreams(&self, now: Instant) -> HashSet<UpstreamName> {
+        let usable =
+            |connections: &Vec<IdleConnection>| connections.iter().any(|idle| idle.is_usable(now));
+        let upstreams = self
+            .idle
+            .iter()
+            .filter(|(_, connections)| usable(connections));
         upstreams.map(|(upstream, _)| upstream.clone()).collect()
     }
 
-    /// Closes connections that cannot be used again.
+    /// Closes the connections that may not be used again.
     pub fn close_stale(&mut self, now: Instant) {
-        for kept in self.idle.values_mut() {
-            kept.retain(|idle| idle.is_usable(now));
+        for connections in self.idle.values_mut() {
+            connections.retain(|idle| idle.is_usable(now));
         }
-        self.idle.retain(|_, kept| !kept.is_empty());
+        self.idle.retain(|_, connections| !connections.is_empty());
     }
 
     /// Closes all connections to an upstream.
@@ -84,8 +89,8 @@
     }
 }
 
-/// How long the other side keeps an idle connection, by its `Keep-Alive` header; `None` where
-/// it does not say, or says it in another form than `timeout=SECONDS`.
+/// The idle timeout that a server announces in its `Keep-Alive` header; `None` without the header or without a
+/// `timeout=SECONDS` parameter in it.
 pub(crate) fn announced_idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let mut parts = text.split(',').map(str::trim);
--- a/crates/router/cloverpier_router/src/probe.rs
+++ b/crates/router/cloverpier_router/src/probe.rs
@@ -174,7 +174,7 @@
         DeathCause::Unreachable => record::on_death(router, upstream, last_activity, now),
     }
     let is_new = router.upstreams.borrow_mut().suspect(&upstream.name, now);
-    router.suspected.notify_one();
+    router.suspicion_added.notify_one();
     router.pool.borrow_mut().close_all(&upstream.name);
     if !is_new {
         return;
@@ -201,7 +201,7 @@
         if router.upstreams.borrow().may_have_suspects() {
             router.timers.sleep(CHECK_PERIOD).await;
         } else {
-            router.suspected.notified().await;
+            router.suspicion_added.notified().await;
         }
         let now = router.now();
         let due = router.upstreams.borrow_mut().start_due_checks(now);
--- a/crates/router/cloverpier_router/src/relay_request.rs
+++ b/crates/router/cloverpier_router/src/relay_request.rs
@@ -1,9 +1,11 @@
-//! A caller's request as it is relayed. [`crate::intake`] reads it off the wire. Owns all that the
-//! attempts need, so that none of them touches the caller's connection again.
+//! The state of a caller's request while this router relays it.
+//!
+//! [`RelayRequest`] is created by [`crate::intake`] and owns everything that attempts need, so that no attempt
+//! reads from the caller's connection.
 
 use crate::buffer_reservation::BufferReservation;
 use crate::cancel_signal::CancelSignal;
-use crate::wire_names::PromptSize;
+use crate::wire_names::TokenCounts;
 use bytes::Bytes;
 use cloverpier_crashes::{ContentKey, RequestContent};
 use cloverpier_router_policy::permit::patience;
@@ -14,74 +16,77 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A caller's request, whole.
+/// A caller's request with its body, the route and service that were picked for it, and its deadline.
 #[derive(Debug)]
 pub(crate) struct RelayRequest {
-    /// Its id, by the caller; empty where the caller gave none.
+    /// The request id that the caller set; empty if the caller set none.
     pub id: String,
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
-    /// The host that it names, without a port.
+    /// The requested host in lower case, without a port; empty if the request has no host.
     pub host: String,
     /// Path and query, as received.
     pub target: String,
-    /// The headers that travel to upstreams with every attempt.
+    /// The headers that upstreams receive with every attempt.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The whole body, which is kept for retries.
     pub body: Bytes,
-    /// What the body takes of the router's memory.
-    pub _held: BufferReservation,
-    /// The route that took it.
+    /// The share of the router's buffer memory that the body takes.
+    pub _reservation: BufferReservation,
+    /// The route that matches the request's host and path.
     pub route: Arc<Route>,
-    /// The service picked for it.
+    /// The service that was picked at random from the route's targets.
     pub service: Arc<ServiceConfig>,
-    /// The client account that it runs under; `None` on public routes.
+    /// The client account of the caller's key. `None` if the configuration has no client accounts, or on a public
+    /// route for a caller without a known key.
     pub account: Option<Arc<ClientAccount>>,
-    /// The version of the configuration that it was routed by.
+    /// The version of the configuration by which the request was routed.
     pub configuration_version: u64,
-    /// When its head was read.
+    /// When the head of the request was read.
     pub arrived: Instant,
-    /// When its time is over.
+    /// When the request's timeout ends: the shorter one of the route's and the caller's timeouts.
     pub deadline: Instant,
-    /// The last event that the caller has, of a stream that it continues.
+    /// The id of the last event that the caller has received of the stream that it resumes; `None` for a new
+    /// stream.
     pub last_event: Option<u64>,
-    /// Its tokens, as the caller declared them.
-    pub size: PromptSize,
-    /// A hash of the part of its prompt that no other prompt shares.
+    /// The tokens of prompt and response that the caller declared; 0 where it declared none.
+    pub token_counts: TokenCounts,
+    /// A hash of the part of the prompt that no other prompt contains; `None` if the caller declared no parts.
     pub prompt: Option<PromptKey>,
-    /// Its rank, 0 the highest.
+    /// The request's priority, 0 the highest.
     pub priority: u8,
-    /// Calls its attempts back when its content is stopped.
-    pub stop: CancelSignal,
-    /// What its repeats have in common with it, once that was asked for.
+    /// Cancels the attempts of this request once its content is blocked for crashing upstreams.
+    pub cancel: CancelSignal,
+    /// The cached result of [`Self::content_key`].
     pub content_key: OnceCell<ContentKey>,
 }
 
 impl RelayRequest {
-    /// What is left of its time.
+    /// The time left until the deadline; zero once it has passed.
     pub fn time_left(&self, now: Instant) -> Duration {
         self.deadline.saturating_duration_since(now)
     }
 
-    /// The load that it adds to an upstream.
+    /// The load that the request adds to an upstream that runs it.
     pub fn load(&self) -> Load {
         Load {
             requests: 1,
-            unread_tokens: self.size.prompt_tokens,
-            memory_tokens: self.size.prompt_tokens + self.size.max_response_tokens,
+            unread_tokens: self.token_counts.prompt_tokens,
+            memory_tokens: self.token_counts.prompt_tokens + self.token_counts.max_response_tokens,
         }
     }
 
-    /// What its repeats have in common with it; a digest of the body, so only where it is needed.
+    /// The key that all retries of the request share, by which crashes of upstreams are attributed to its content.
+    /// The key is computed on first use only, because that hashes the whole body.
     pub fn content_key(&self) -> ContentKey {
         let key = || ContentKey::of(&self.request_content());
         *self.content_key.get_or_init(key)
     }
 
-    /// All that its repeats have in common with it.
+    /// The properties that are the same in all retries of the request, also in those that the caller sends.
     pub fn request_content(&self) -> RequestContent<'_> {
         RequestContent {
-            // A request without an account has nobody's name.
+            // The name is empty for a request without a client account.
             account: self.account.as_ref().map_or("", |account| &account.name),
             host: &self.host,
             method: self.method.as_str(),
@@ -90,13 +95,13 @@
         }
     }
 
-    /// How long it waits for a permit where every upstream that could take it limits itself.
-    pub fn patience(&self, now: Instant) -> Duration {
+    /// How long the request waits for a permit if all upstreams that could run it limit their request rate.
+    pub fn max_permit_wait(&self, now: Instant) -> Duration {
         patience(self.priority, self.route.objective, self.time_left(now))
     }
 
-    /// Tokens that fit into the KV cache of an engine of its service; `None` for a plain
-    /// service.
+    /// The number of tokens that fit into the KV cache of an engine of the request's service; `None` if the
+    /// service has no model engines.
     pub fn engine_memory(&self) -> Option<u64> {
         self.service.engine.map(|engine| engine.memory_tokens)
     }
--- a/crates/router/cloverpier_router/src/responses.rs
+++ b/crates/router/cloverpier_router/src/responses.rs
@@ -1,7 +1,8 @@
-//! Replies of the router's own, and upstreams' answers as callers get them.
+//! Builds the responses that this router sends: its own error responses, and upstreams' responses as callers
+//! receive them.
 //!
-//! Owns the list of headers that concern one connection only. When a refused caller should
-//! retry is decided in `cloverpier_router_policy::refusal`.
+//! Owns the list of hop-by-hop headers. `cloverpier_router_policy::refusal` decides when a refused caller should
+//! retry.
 
 use crate::body::ResponseBody;
 use bytes::Bytes;
@@ -11,10 +12,10 @@
 use hyper::{Response, StatusCode};
 use std::time::Duration;
 
-/// A reply to a caller.
+/// A response that one of this router's listeners sends to a caller or a peer.
 pub(crate) type ServerResponse = Response<ResponseBody>;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which apply to one connection only and are not forwarded (RFC 9110, 7.6.1).
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -27,9 +28,9 @@
     "upgrade",
 ];
 
-/// Removes headers that concern one connection only, those that `Connection` names among them.
+/// Removes the hop-by-hop headers, including those that the `Connection` header lists.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
-    for name in named_by_connection(headers) {
+    for name in connection_header_names(headers) {
         headers.remove(name);
     }
     for name in HOP_BY_HOP {
@@ -37,55 +38,56 @@
     }
 }
 
-fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
+fn connection_header_names(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all(CONNECTION).iter();
-    // Only what can be the name of a header can be removed from the headers; the rest is skipped.
+    // An entry that is not a valid header name matches no header, so it is skipped.
     let texts = values.filter_map(|v| v.to_str().ok());
     let names = texts.flat_map(|t| t.split(','));
     names.filter_map(|n| n.trim().parse().ok()).collect()
 }
 
-/// A reply of the router's own: a status and what is wrong.
+/// Creates an error response: a status, and a JSON body with an error message.
 pub(crate) fn error_response(status: StatusCode, error: &str) -> ServerResponse {
     let text = serde_json::json!({ "error": error }).to_string();
-    let mut reply = Response::new(ResponseBody::whole(text));
-    *reply.status_mut() = status;
+    let mut response = Response::new(ResponseBody::buffered(text));
+    *response.status_mut() = status;
     let json = HeaderValue::from_static("application/json");
-    reply
+    response
         .headers_mut()
         .insert(hyper::header::CONTENT_TYPE, json);
-    reply
+    response
 }
 
-/// The reply to a refused request, which has not run: why, and when to retry.
+/// Creates a response with status 503 for a request that is refused before it has run. `error` is the message in
+/// the body; `refusal` decides the value of `Retry-After`.
 pub(crate) fn refusal_response(error: &str, refusal: Refusal) -> ServerResponse {
-    let mut reply = error_response(StatusCode::SERVICE_UNAVAILABLE, error);
-    set_retry_after(&mut reply, retry_after(refusal));
-    reply
+    let mut response = error_response(StatusCode::SERVICE_UNAVAILABLE, error);
+    set_retry_after(&mut response, retry_after(refusal));
+    response
 }
 
-/// Says when to ask again, in seconds with fractions.
-pub(crate) fn set_retry_after(reply: &mut ServerResponse, wait: Duration) {
-    let seconds = wait.as_secs_f64();
-    // Digits and a dot are a valid header value.
+/// Sets the `Retry-After` header to `delay` in seconds, with three decimal places.
+pub(crate) fn set_retry_after(response: &mut ServerResponse, delay: Duration) {
+    let seconds = delay.as_secs_f64();
+    // The conversion can't fail, as digits and a dot are valid in a header value.
     if let Ok(value) = HeaderValue::from_str(&format!("{seconds:.3}")) {
-        reply.headers_mut().insert(RETRY_AFTER, value);
+        response.headers_mut().insert(RETRY_AFTER, value);
     }
 }
 
-/// An upstream's whole answer.
+/// An upstream's response whose whole body is in memory.
 #[derive(Clone, Debug)]
 pub(crate) struct BufferedResponse {
-    /// Its status.
+    /// The HTTP status that the upstream set.
     pub status: StatusCode,
-    /// Its headers.
+    /// The upstream's headers, with the hop-by-hop ones.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// The whole body.
     pub body: Bytes,
 }
 
 impl BufferedResponse {
-    /// A whole answer of a head and a body.
+    /// Creates a response from the head that arrived and the body that was read after it.
     pub fn new(head: Parts, body: Bytes) -> Self {
         Self {
             status: head.status,
@@ -94,22 +96,26 @@
         }
     }
 
-    /// The answer as the caller gets it.
+    /// Converts the upstream's response into the response for the caller, without hop-by-hop headers.
     pub fn into_response(self) -> ServerResponse {
-        with_head(self.status, self.headers, ResponseBody::whole(self.body))
+        response_with_head(self.status, self.headers, ResponseBody::buffered(self.body))
     }
 }
 
-/// An upstream's head before a body that comes piece by piece.
+/// Creates the response for the caller from an upstream's head and a body that is streamed.
 pub(crate) fn streamed_response(head: Parts, body: ResponseBody) -> ServerResponse {
-    with_head(head.status, head.headers, body)
+    response_with_head(head.status, head.headers, body)
 }
 
-fn with_head(status: StatusCode, mut headers: HeaderMap, body: ResponseBody) -> ServerResponse {
+fn response_with_head(
+    status: StatusCode,
+    mut headers: HeaderMap,
+    body: ResponseBody,
+) -> ServerResponse {
     strip_hop_by_hop(&mut headers);
     headers.remove(CONTENT_LENGTH);
-    let mut reply = Response::new(body);
-    *reply.status_mut() = status;
-    *reply.headers_mut() = headers;
-    reply
+    let mut response = Response::new(body);
+    *response.status_mut() = status;
+    *response.headers_mut() = headers;
+    response
 }
--- a/crates/router/cloverpier_router/src/router.rs
+++ b/crates/router/cloverpier_router/src/router.rs
@@ -72,15 +72,15 @@
     pub(crate) datagrams: Rc<Datagrams>,
     pub(crate) peers: Peers,
     pub(crate) prompts: Prompts,
-    budgets: RetryBudgets,
+    retry_budgets: RetryBudgets,
     pub(crate) crashes: Crashes,
     pub(crate) rollouts: Rollouts,
     /// `None` where the settings name no work that one router at a time does.
     pub(crate) singleton: Option<Singleton>,
     /// Wakes the checks of suspects.
-    pub(crate) suspected: Notify,
+    pub(crate) suspicion_added: Notify,
     /// When it was learned last that an upstream leaves.
-    pub(crate) last_leaving: Cell<Option<Instant>>,
+    pub(crate) last_leaving_at: Cell<Option<Instant>>,
     pub(crate) copy_pacing: RefCell<CopyPacing>,
     /// What bodies and answers take.
     pub(crate) buffer_memory: Rc<RefCell<BufferMemory>>,
@@ -135,11 +135,11 @@
             datagrams,
             peers: Peers::new(member(&settings)),
             prompts: Prompts::default(),
-            budgets: RetryBudgets::default(),
+            retry_budgets: RetryBudgets::default(),
             crashes: Crashes::new(&settings.crashes),
             rollouts: Rollouts::default(),
-            suspected: Notify::new(),
-            last_leaving: Cell::default(),
+            suspicion_added: Notify::new(),
+            last_leaving_at: Cell::default(),
             copy_pacing: RefCell::new(CopyPacing::default()),
             buffer_memory: Rc::new(RefCell::new(BufferMemory::for_vm(settings.memory_bytes))),
             list_copies: RefCell::default(),
@@ -194,7 +194,8 @@
     /// Counts a caller's request for a service, which adds to the retry budget.
     pub(crate) fn on_request(&self, service: &ServiceName, now: Instant) {
         let bounds = self.budget_bounds();
-        self.budgets.with(service, bounds, |b| b.on_request(now));
+        self.retry_budgets
+            .with(service, bounds, |b| b.on_request(now));
     }
 
     /// Takes a retry of a service from the budget, if it has one left for this router.
@@ -202,12 +203,12 @@
         let peers = self.peers.budget_use(service, now, self.peer_timeout());
         let bounds = self.budget_bounds();
         let take = |budget: &mut RetryBudget| budget.try_take_retry(now, &peers);
-        self.budgets.with(service, bounds, take)
+        self.retry_budgets.with(service, bounds, take)
     }
 
     /// This router's use of each service's retry budget.
     pub(crate) fn budget_use(&self, now: Instant) -> Vec<(ServiceKey, BudgetUse)> {
-        self.budgets.usage(now)
+        self.retry_budgets.usage(now)
     }
 
     /// The operator's bound on versions that are not known to be good; `None` where no roll-outs
--- a/crates/router/cloverpier_router/src/send.rs
+++ b/crates/router/cloverpier_router/src/send.rs
@@ -1,8 +1,8 @@
-//! One attempt at one upstream, up to the head of its answer.
+//! Sends one attempt to one upstream and receives the head of the response.
 //!
-//! Takes a connection, writes the request with the headers that belong to this attempt, and
-//! waits for a head that counts. What a break or an answer proves is decided in
-//! `cloverpier_router_policy::attempt_failure`; this module reads it off the wire.
+//! Takes a connection from the pool or opens one, writes the request with the headers of this attempt, and waits
+//! for a valid response head. `cloverpier_router_policy::attempt_failure` decides which responses are valid and
+//! what a failure proves; this module extracts the inputs from the messages. Owns no state.
 
 use crate::call_kind::CallKind;
 use crate::connection::{
@@ -10,7 +10,7 @@
 };
 use crate::crashes::record;
 use crate::health::UpstreamHealth;
-use crate::intake::text_of;
+use crate::intake::header_text;
 use crate::pool::announced_idle_timeout;
 use crate::probe::{self, DeathCause};
 use crate::relay_request::RelayRequest;
@@ -36,104 +36,107 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// What an attempt carries besides the request.
+/// The values of the headers that differ between the attempts of a request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AttemptHeaders {
-    /// The engine that keeps a replica of the run's KV cache.
+    /// The engine to which the upstream replicates the KV cache of this attempt; `None` if it is not replicated.
     pub replica: Option<Upstream>,
-    /// The replica that the run resumes from, as the platform names it.
+    /// The id of the KV cache replica from which the upstream resumes a stream, in the platform's format; `None`
+    /// if the upstream computes the KV cache itself.
     pub resume_from: Option<String>,
-    /// The last event that need not be sent.
+    /// The last event of the stream that the caller has received already; the upstream sends the events after it.
+    /// `None` for the whole stream.
     pub last_event: Option<u64>,
-    /// The rank at the upstream, 0 the highest.
+    /// The request's priority at the upstream, 0 the highest.
     pub priority: u8,
 }
 
-/// An upstream's answer of which the head has arrived.
+/// A response whose head has arrived and is valid, and whose body follows.
 #[derive(Debug)]
 pub(crate) struct OpenResponse {
-    /// The head.
+    /// The status and the headers.
     pub head: Parts,
-    /// The body to come.
+    /// The body, which is received while it is read.
     pub body: Incoming,
-    /// The connection that it comes over.
+    /// The connection that carries the response; dropping it cancels the response.
     pub connection: Connection,
-    /// The upstream's health.
+    /// The health record of the upstream that responded.
     pub health: Rc<UpstreamHealth>,
 }
 
-/// Sends a request to an upstream and waits for the head of the answer.
+/// Sends a request to an upstream and waits for the head of the response, until the request's deadline.
 ///
 /// # Errors
 ///
-/// [`AttemptFailure`] for everything that is not the upstream's own answer to this request.
+/// [`AttemptFailure`] if no valid response of this upstream to this request arrives.
 pub(crate) async fn send(
     router: &Rc<Router>,
     request: &RelayRequest,
     upstream: &Upstream,
-    extras: &AttemptHeaders,
+    attempt_headers: &AttemptHeaders,
     liveness: &mut Liveness,
 ) -> Result<OpenResponse, AttemptFailure> {
     let health = router.health.of(upstream, router.now());
     loop {
         let mut connection = connect(router, request, upstream).await?;
-        let is_kept = connection.requests > 0;
+        let is_reused = connection.requests > 0;
         let now = router.now();
         if !has_time_to_send(request.time_left(now)) {
             return Err(AttemptFailure::DeadlinePassedUnsent);
         }
-        let message = message(router, request, upstream, extras, now)?;
+        let message = build_request(router, request, upstream, attempt_headers, now)?;
         let awaited = Awaited {
             router,
             upstream,
             health: &health,
             deadline: request.deadline,
-            stop: Some(&request.stop),
+            stop: Some(&request.cancel),
         };
         health.on_activity(now);
         match while_alive(&awaited, liveness, connection.send(message)).await? {
-            // A kept connection that the upstream had closed meanwhile costs nothing.
-            Err(broke) if broke.was_unsent && is_kept => {}
-            Err(broke) => return Err(broken_send(router, upstream, &health, &broke)),
+            // The upstream closed the idle connection before any byte was written, so the request is sent again.
+            Err(failure) if failure.was_unsent && is_reused => {}
+            Err(failure) => return Err(on_send_failure(router, upstream, &health, &failure)),
             Ok(response) => {
                 let call = Call {
                     upstream,
                     via: CallKind::Request(&request.id),
                     sent: now,
                 };
-                return open(router, request, call, response, connection, health);
+                return accept_response(router, request, call, response, connection, health);
             }
         }
     }
 }
 
-fn broken_send(
+/// Converts a failed send into the failure of the attempt. Probes the upstream if its process may be gone.
+fn on_send_failure(
     router: &Rc<Router>,
     upstream: &Upstream,
     health: &Rc<UpstreamHealth>,
-    broke: &SendError,
+    failure: &SendError,
 ) -> AttemptFailure {
-    let error = describe_error(&broke.error);
+    let error = describe_error(&failure.error);
     let now = router.now();
-    let may_be_gone = find_io_error_kind(&broke.error).is_some_and(may_mean_process_gone);
-    if may_be_gone || !broke.was_unsent {
+    let may_be_gone = find_io_error_kind(&failure.error).is_some_and(may_mean_process_gone);
+    if may_be_gone || !failure.was_unsent {
         probe::probe(router, upstream, health, now);
     }
     AttemptFailure::BrokenBeforeResponse {
-        was_unsent: broke.was_unsent,
+        was_unsent: failure.was_unsent,
         error,
     }
 }
 
-/// Takes a kept connection, or opens one.
+/// Takes a connection to the upstream from the pool, or opens a new one. If that fails, declares the upstream dead.
 async fn connect(
     router: &Rc<Router>,
     request: &RelayRequest,
     upstream: &Upstream,
 ) -> Result<Connection, AttemptFailure> {
     let now = router.now();
-    let kept = router.pool.borrow_mut().take(&upstream.name, now);
-    if let Some(connection) = kept {
+    let idle = router.pool.borrow_mut().take(&upstream.name, now);
+    if let Some(connection) = idle {
         return Ok(connection);
     }
     router.metrics.connections.inc();
@@ -158,12 +161,12 @@
     })
 }
 
-/// The request as this upstream gets it.
-fn message(
+/// Builds the HTTP request of one attempt.
+fn build_request(
     router: &Router,
     request: &RelayRequest,
     upstream: &Upstream,
-    extras: &AttemptHeaders,
+    attempt_headers: &AttemptHeaders,
     now: Instant,
 ) -> Result<BufferedRequest, AttemptFailure> {
     let message = Request::builder()
@@ -175,16 +178,16 @@
     })?;
     let headers = message.headers_mut();
     headers.clone_from(&request.headers);
-    set_attempt_headers(router, request, upstream, extras, now, headers)?;
+    set_attempt_headers(router, request, upstream, attempt_headers, now, headers)?;
     Ok(message)
 }
 
-/// Sets the headers that belong to one attempt.
+/// Sets the headers of one attempt, among them the time left until the deadline and the name of the upstream.
 fn set_attempt_headers(
     router: &Router,
     request: &RelayRequest,
     upstream: &Upstream,
-    extras: &AttemptHeaders,
+    attempt_headers: &AttemptHeaders,
     now: Instant,
     headers: &mut HeaderMap,
 ) -> Result<(), AttemptFailure> {
@@ -198,26 +201,30 @@
             error: format!("{name}: {e}"),
         }),
     };
-    let left = request.time_left(now).as_millis().to_string();
-    set(&names.deadline_ms, &left)?;
+    let time_left = request.time_left(now).as_millis().to_string();
+    set(&names.deadline_ms, &time_left)?;
     set(&names.expected_upstream, upstream.name.as_str())?;
     if request.service.engine.is_some() {
-        set(&names.priority, &extras.priority.to_string())?;
+        set(&names.priority, &attempt_headers.priority.to_string())?;
     }
-    if let Some(replica) = &extras.replica {
+    if let Some(replica) = &attempt_headers.replica {
         set(&names.replica_at, &replica.address.to_string())?;
     }
-    if let Some(replica_id) = &extras.resume_from {
+    if let Some(replica_id) = &attempt_headers.resume_from {
         set(&names.resume_from, replica_id)?;
     }
-    if let Some(last) = extras.last_event {
+    if let Some(last) = attempt_headers.last_event {
         set(&names.last_event, &last.to_string())?;
     }
     Ok(())
 }
 
-/// Takes an answer that counts.
-fn open(
+/// Checks the head of a response, and applies what the upstream states in it about itself.
+///
+/// # Errors
+///
+/// [`AttemptFailure`] if the response is not the upstream's valid response to this request.
+fn accept_response(
     router: &Router,
     request: &RelayRequest,
     call: Call<'_>,
@@ -227,14 +234,14 @@
 ) -> Result<OpenResponse, AttemptFailure> {
     let (head, body) = response.into_parts();
     let is_first_on_connection = connection.requests == 1;
-    let seen = answer_head(router, request, &head, is_first_on_connection);
-    let verdict = check_response(&seen);
-    let said = router.hear_reply(call, &head, &verdict);
-    if verdict == Err(AttemptFailure::Misdirected) {
-        on_misdirected(router, call.upstream, &said);
+    let properties = response_head(router, request, &head, is_first_on_connection);
+    let validity = check_response(&properties);
+    let statement = router.hear_reply(call, &head, &validity);
+    if validity == Err(AttemptFailure::Misdirected) {
+        on_misdirected(router, call.upstream, &statement);
     }
-    verdict?;
-    // Only the upstream that the request names runs it, so this is the upstream's own answer.
+    validity?;
+    // An upstream rejects a request that names another upstream, so a valid response is from this upstream.
     health.on_own_answer(router.now());
     record::on_answer(router, call.upstream, call.sent);
     if let Some(limit) = announced_idle_timeout(&head.headers) {
@@ -248,15 +255,15 @@
     })
 }
 
-/// Reads off an answer's head what decides whether it counts.
-fn answer_head(
+/// Extracts the properties of a response's head that decide whether the response is valid.
+fn response_head(
     router: &Router,
     request: &RelayRequest,
     head: &Parts,
     is_first_on_connection: bool,
 ) -> ResponseHead {
     let names = &router.wire_names.headers;
-    let id = match text_of(&head.headers, &names.request_id) {
+    let id = match header_text(&head.headers, &names.request_id) {
         None => RequestIdMatch::Missing,
         Some(id) if id == request.id => RequestIdMatch::Same,
         Some(_) => RequestIdMatch::Other,
@@ -271,32 +278,33 @@
     }
 }
 
-/// Another process answers at the upstream's address; where it names itself, the upstream is
-/// gone.
-fn on_misdirected(router: &Router, upstream: &Upstream, said: &UpstreamStatement) {
-    let answering = said.name.as_ref();
-    if answering.is_some_and(|name| *name != upstream.name) {
-        successors::on_other_name(router, upstream, answering);
+/// Handles a response of another process at the upstream's address. If that process states another name than the
+/// upstream's, the upstream is gone, and all idle connections to it are closed.
+fn on_misdirected(router: &Router, upstream: &Upstream, statement: &UpstreamStatement) {
+    let responding = statement.name.as_ref();
+    if responding.is_some_and(|name| *name != upstream.name) {
+        successors::on_other_name(router, upstream, responding);
         router.pool.borrow_mut().close_all(&upstream.name);
     }
 }
 
-/// Keeps a connection whose answer was read to its end.
-pub(crate) fn keep(router: &Rc<Router>, upstream: &Upstream, mut connection: Connection) {
-    let limit = kept_connections(router, &upstream.service);
+/// Returns a connection to the pool once the exchange on it has ended. The body of the response has been read to
+/// its end.
+pub(crate) fn return_to_pool(router: &Rc<Router>, upstream: &Upstream, mut connection: Connection) {
+    let limit = pool_limit(router, &upstream.service);
     let (router, upstream) = (Rc::clone(router), upstream.name.clone());
     tokio::task::spawn_local(async move {
         if connection.wait_until_ready().await {
             let now = router.now();
             let mut pool = router.pool.borrow_mut();
-            pool.put(&upstream, connection, limit, now);
+            pool.insert(&upstream, connection, limit, now);
         }
     });
 }
 
-/// How many connections this router keeps to an upstream of a service; none to one of a service that is not
-/// configured any more.
-fn kept_connections(router: &Router, service: &ServiceName) -> usize {
+/// Maximum number of idle connections that this router keeps to one upstream of a service; 0 if the configuration
+/// does not contain the service any more.
+fn pool_limit(router: &Router, service: &ServiceName) -> usize {
     let configuration = router.store.configuration();
     let service = configuration.and_then(|c| c.service(service).cloned());
     let routers = router.peers.count() + 1;
--- a/crates/router/cloverpier_router/src/start.rs
+++ b/crates/router/cloverpier_router/src/start.rs
@@ -18,7 +18,7 @@
 use crate::source::ConfigurationSource;
 use crate::store_sync;
 use crate::store_view::Watched;
-use crate::web::{bind, on_caller, on_directory, on_metrics, on_ready, serve};
+use crate::web::{bind, handle_caller, handle_directory, handle_metrics, handle_readiness, serve};
 use cloverpier_observe::{LogProgress, NoFields};
 use cloverpier_router_policy::connection_reuse::IDLE_SWEEP_PERIOD;
 use cloverpier_router_policy::prelude::UpstreamState;
@@ -109,16 +109,24 @@
     spawn_local(peer_reports::receive_messages(cx(), socket));
     spawn_local(heartbeats::send_messages(cx()));
     spawn_local(serve(cx(), at(router, address).await?, peer_serve::on_peer));
-    spawn_local(serve(cx(), at(router, listen.ready).await?, on_ready));
+    spawn_local(serve(
+        cx(),
+        at(router, listen.ready).await?,
+        handle_readiness,
+    ));
     spawn_local(serve(
         cx(),
         at(router, listen.directory).await?,
-        on_directory,
+        handle_directory,
     ));
     if let Some(address) = listen.metrics {
-        spawn_local(serve(cx(), at(router, address).await?, on_metrics));
+        spawn_local(serve(cx(), at(router, address).await?, handle_metrics));
     }
-    spawn_local(serve(cx(), at(router, listen.callers).await?, on_caller));
+    spawn_local(serve(
+        cx(),
+        at(router, listen.callers).await?,
+        handle_caller,
+    ));
     Ok(())
 }
 
--- a/crates/router/cloverpier_router/src/stream/mod.rs
+++ b/crates/router/cloverpier_router/src/stream/mod.rs
@@ -56,7 +56,7 @@
             let since_arrival = router.now().saturating_duration_since(request.arrived);
             router.metrics.first_answer.observe(since_arrival);
             let first = once(async { Ok(piece) });
-            let body = ResponseBody::pieces(first.chain(run.into_stream()));
+            let body = ResponseBody::streamed(first.chain(run.into_stream()));
             streamed_response(head, body)
         }
         FirstPiece::Answer(answer) => {
--- a/crates/router/cloverpier_router/src/stream/open.rs
+++ b/crates/router/cloverpier_router/src/stream/open.rs
@@ -12,7 +12,7 @@
 use crate::prompts::RunningStream;
 use crate::responses::BufferedResponse;
 use crate::rollouts;
-use crate::send::{AttemptHeaders, OpenResponse, keep, send};
+use crate::send::{AttemptHeaders, OpenResponse, return_to_pool, send};
 use cloverpier_crashes::Admission;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::replica::Replica;
@@ -32,7 +32,7 @@
             }
             let request = Rc::clone(&self.request);
             let found = request
-                .stop
+                .cancel
                 .run_unless_cancelled(self.find_upstream())
                 .await;
             let (upstream, extras) = found
@@ -171,7 +171,7 @@
             // Only the timeout can fail here.
             Err(_) => return Err(AttemptFailure::DeadlinePassedSent),
         };
-        keep(&self.router, upstream, opened.connection);
+        return_to_pool(&self.router, upstream, opened.connection);
         judgement::on_completed(&self.router, &self.request);
         let status = opened.head.status.as_u16();
         self.upstream_failure = Some(BufferedResponse::new(opened.head, body));
--- a/crates/router/cloverpier_router/src/stream/pick.rs
+++ b/crates/router/cloverpier_router/src/stream/pick.rs
@@ -36,7 +36,7 @@
         let now = router.now();
         Around {
             home: router.settings().data_centre.clone(),
-            connected: router.pool.borrow().connected(now),
+            connected: router.pool.borrow().connected_upstreams(now),
             versions: rollouts::version_rule(router, &self.request.service.name, now),
             now,
         }
@@ -162,7 +162,7 @@
     /// The engine with the replica of the lost run, or the best of the others.
     async fn pick(&self, around: &Around, reported: &ReportedLoad) -> Result<Picked, NoUpstream> {
         let router = &self.router;
-        let search = PermitSearch::new(self.request.patience(around.now));
+        let search = PermitSearch::new(self.request.max_permit_wait(around.now));
         let choose = |limits: &LimitedUpstreams| {
             let table = router.upstreams.borrow();
             let demand = self.demand(around, reported, limits);
--- a/crates/router/cloverpier_router/src/stream/receive.rs
+++ b/crates/router/cloverpier_router/src/stream/receive.rs
@@ -6,7 +6,7 @@
 use crate::connection::describe_error;
 use crate::crashes::judgement;
 use crate::probe;
-use crate::send::keep;
+use crate::send::return_to_pool;
 use crate::singleton;
 use crate::wait::{Awaited, while_alive};
 use bytes::{Bytes, BytesMut};
@@ -78,7 +78,7 @@
             upstream: &source.upstream,
             health: &source.health,
             deadline: self.request.deadline,
-            stop: (!source.has_events).then_some(&self.request.stop),
+            stop: (!source.has_events).then_some(&self.request.cancel),
         };
         let frame = while_alive(&awaited, &mut source.liveness, source.body.frame()).await?;
         match frame {
@@ -118,7 +118,7 @@
         table.on_result(&source.upstream.name, false);
         drop(table);
         judgement::on_completed(&self.router, &self.request);
-        keep(&self.router, &source.upstream, source.connection);
+        return_to_pool(&self.router, &source.upstream, source.connection);
     }
 
     /// Ends a lost run: dropping its connection cancels it at the upstream.
--- a/crates/router/cloverpier_router/src/wait.rs
+++ b/crates/router/cloverpier_router/src/wait.rs
@@ -77,7 +77,7 @@
 /// Waits for a call back; for ever where none can come.
 async fn stopped(stop: Option<&CancelSignal>) {
     match stop {
-        Some(stop) => stop.wait().await,
+        Some(stop) => stop.cancelled().await,
         None => std::future::pending().await,
     }
 }
@@ -112,7 +112,7 @@
         deadline,
         stop,
     } = awaited;
-    if stop.is_some_and(CancelSignal::is_set) {
+    if stop.is_some_and(CancelSignal::is_cancelled) {
         return Err(AttemptFailure::Stopped);
     }
     if health.is_dead() {
--- a/crates/router/cloverpier_router/src/web.rs
+++ b/crates/router/cloverpier_router/src/web.rs
@@ -1,8 +1,8 @@
-//! The listeners: callers, readiness, directory, metrics, peers.
+//! The router's HTTP listeners, and the handlers for callers, readiness, directory and metrics.
 //!
-//! Owns accepting connections and the limits on what callers may send; each listener has one
-//! handler. Whether a stopping router takes a request is decided in
-//! `cloverpier_router_policy::lifecycle`.
+//! Accepts connections and limits the request heads and the idle time of connections; each listener has one
+//! handler. The handler for peers is in [`crate::peer_serve`]. `cloverpier_router_policy::lifecycle` decides
+//! whether a router that shuts down accepts a request. Owns no state.
 
 use crate::body::ResponseBody;
 use crate::buffer_reservation::BufferReservation;
@@ -36,29 +36,29 @@
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Pause before a port that is taken is tried again, and after a failed accept.
-const BIND_PAUSE: Duration = Duration::from_millis(50);
-/// Tries before a port that is taken ends the start: 3 s, in which a process that ends lets go of
-/// it.
-const MAX_BIND_TRIES: u32 = 60;
-/// Least buffer that the server of connections accepts: hyper's bound.
-const MIN_HEADER_BYTES: usize = 8_192;
+/// Pause before a retry to listen at an address that is in use, and after a failed accept.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Number of retries to listen at an address that is in use, before the router fails to start. They take 3 s, in
+/// which the previous process at the address can exit and release it.
+const MAX_BIND_RETRIES: u32 = 60;
+/// Minimum size in bytes of hyper's read buffer; hyper panics below it.
+const MIN_READ_BUFFER: usize = 8_192;
 
-/// Listens at an address, waiting for a port that is still taken.
+/// Listens at an address. If another process still uses the address, retries for about 3 s.
 pub(crate) async fn bind(timers: &Timers, address: SocketAddr) -> io::Result<TcpListener> {
-    let mut tries = 0;
+    let mut retries = 0;
     loop {
         match TcpListener::bind(address).await {
-            Err(e) if e.kind() == io::ErrorKind::AddrInUse && tries < MAX_BIND_TRIES => {
-                tries += 1;
-                timers.sleep(BIND_PAUSE).await;
+            Err(e) if e.kind() == io::ErrorKind::AddrInUse && retries < MAX_BIND_RETRIES => {
+                retries += 1;
+                timers.sleep(RETRY_PAUSE).await;
             }
             bound => return bound,
         }
     }
 }
 
-/// Accepts connections until the process ends.
+/// Accepts connections until the process exits, and serves the requests on each of them with `handle`.
 pub(crate) async fn serve<H, F>(router: Rc<Router>, listener: TcpListener, handle: H)
 where
     H: Fn(Rc<Router>, Request<Incoming>) -> F + Copy + 'static,
@@ -69,8 +69,8 @@
             Ok((stream, _)) => {
                 tokio::task::spawn_local(serve_connection(Rc::clone(&router), stream, handle));
             }
-            // Out of descriptors, or a connection that ended before it was accepted.
-            Err(_) => router.timers.sleep(BIND_PAUSE).await,
+            // The process has no file descriptors left, or the connection was closed before it was accepted.
+            Err(_) => router.timers.sleep(RETRY_PAUSE).await,
         }
     }
 }
@@ -80,43 +80,51 @@
     H: Fn(Rc<Router>, Request<Incoming>) -> F + Copy + 'static,
     F: Future<Output = ServerResponse> + 'static,
 {
-    // Without it events would wait for acknowledgements; its failure only costs time.
+    // With Nagle's algorithm, small events of a stream would wait for the acknowledgement of earlier ones. A
+    // failure only delays events.
     let _ = stream.set_nodelay(true);
-    // Until a configuration is known, requests are held or refused; the default limits do, also
-    // for what comes over this connection later.
+    // Before the first configuration arrives, requests are held or refused, so the default limits suffice. They
+    // also apply to later requests on the same connection.
     let limits = router.store.configuration().map(|c| c.limits());
     let limits = limits.unwrap_or_default();
     let mut server = http1::Builder::new();
     server
         .timer(TokioTimer::new())
-        // This bound also runs while a connection is idle.
+        // hyper's timer for a request's head also runs while the connection is idle.
         .header_read_timeout(limits.idle_timeout.max(limits.header_timeout))
-        .max_buf_size(limits.header_bytes.max(MIN_HEADER_BYTES));
+        .max_buf_size(limits.header_bytes.max(MIN_READ_BUFFER));
     let service = service_fn(move |request| {
-        let reply = handle(Rc::clone(&router), request);
-        async move { Ok::<_, Infallible>(reply.await) }
+        let response = handle(Rc::clone(&router), request);
+        async move { Ok::<_, Infallible>(response.await) }
     });
-    // Errors of a caller's connection end that connection and concern nobody else.
+    // An error closes this connection only, so it is ignored.
     let stream = TokioIo::new(CallerStream(stream));
     let _ = server.serve_connection(stream, service).await;
 }
 
-/// Takes a caller's request.
-pub(crate) async fn on_caller(router: Rc<Router>, request: Request<Incoming>) -> ServerResponse {
+/// Handles a caller's request: reads it, relays it to an upstream and returns the response.
+pub(crate) async fn handle_caller(
+    router: Rc<Router>,
+    request: Request<Incoming>,
+) -> ServerResponse {
     let in_flight = InFlightGuard::begin(&router.lifecycle);
     let now = router.now();
-    let mut reply = match receive_request(&router, request, now).await {
+    let mut response = match receive_request(&router, request, now).await {
         Ok(request) => relay(&router, Rc::new(request), now).await,
-        Err(reply) => reply,
+        Err(response) => response,
     };
     if router.lifecycle.is_shutting_down() {
         let close = HeaderValue::from_static("close");
-        reply.headers_mut().insert(CONNECTION, close);
+        response.headers_mut().insert(CONNECTION, close);
     }
-    let held = BufferReservation::new(&router.buffer_memory, BufferKind::Response);
-    hold_until_sent(reply.map(|body| body.counted(held)), in_flight)
+    let reservation = BufferReservation::new(&router.buffer_memory, BufferKind::Response);
+    count_until_sent(
+        response.map(|body| body.with_reservation(reservation)),
+        in_flight,
+    )
 }
 
+/// Relays an admitted request, or refuses a stream that may not end before this router exits.
 async fn relay(router: &Rc<Router>, request: Rc<RelayRequest>, now: Instant) -> ServerResponse {
     router.on_request(&request.service.name, now);
     verdicts::track(router, &request);
@@ -132,24 +140,25 @@
     relay_stream(router, &request).await
 }
 
-/// Counts a streamed answer as in flight until its last byte is out.
-fn hold_until_sent(reply: ServerResponse, in_flight: InFlightGuard) -> ServerResponse {
-    reply.map(|body| match body {
-        ResponseBody::Pieces(stream) => ResponseBody::Pieces(Box::pin(Held {
+/// Counts a request as in flight until the last byte of its streamed response is passed to the connection. A
+/// request whose response is buffered counts only until this function returns.
+fn count_until_sent(response: ServerResponse, in_flight: InFlightGuard) -> ServerResponse {
+    response.map(|body| match body {
+        ResponseBody::Streamed(stream) => ResponseBody::Streamed(Box::pin(CountedStream {
             stream,
             _in_flight: in_flight,
         })),
-        whole => whole,
+        buffered => buffered,
     })
 }
 
-/// A stream that holds something until it ends.
-struct Held<S> {
+/// A stream that counts as a request in flight until it is dropped.
+struct CountedStream<S> {
     stream: S,
     _in_flight: InFlightGuard,
 }
 
-impl<S: Stream + Unpin> Stream for Held<S> {
+impl<S: Stream + Unpin> Stream for CountedStream<S> {
     type Item = S::Item;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<S::Item>> {
@@ -157,20 +166,26 @@
     }
 }
 
-/// Answers whether this router takes callers.
-pub(crate) async fn on_ready(router: Rc<Router>, request: Request<Incoming>) -> ServerResponse {
+/// Handles a readiness check: 200 if this router accepts callers' requests, else 503.
+pub(crate) async fn handle_readiness(
+    router: Rc<Router>,
+    request: Request<Incoming>,
+) -> ServerResponse {
     if request.uri().path() != router.wire_names.paths.ready {
         return error_response(StatusCode::NOT_FOUND, "no such path");
     }
     match router.state() {
-        PeerState::Ready => Response::new(ResponseBody::whole("ready\n")),
+        PeerState::Ready => Response::new(ResponseBody::buffered("ready\n")),
         PeerState::Starting => error_response(StatusCode::SERVICE_UNAVAILABLE, "starting"),
         PeerState::Leaving => error_response(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
     }
 }
 
-/// Answers which routers take callers.
-pub(crate) async fn on_directory(router: Rc<Router>, request: Request<Incoming>) -> ServerResponse {
+/// Handles a directory request: responds with the addresses of the routers that accept callers' requests.
+pub(crate) async fn handle_directory(
+    router: Rc<Router>,
+    request: Request<Incoming>,
+) -> ServerResponse {
     let is_known_path = request.uri().path() == router.wire_names.paths.directory;
     if request.method() != Method::GET || !is_known_path {
         return error_response(StatusCode::NOT_FOUND, "no such path");
@@ -184,16 +199,19 @@
     if addresses.is_empty() {
         return refusal_response("no router is known to serve", Refusal::NoReadyRouter);
     }
-    let answer = (router.wire_names.directory_response)(&addresses, settings.directory_keep);
-    let mut reply = Response::new(ResponseBody::whole(answer));
+    let body = (router.wire_names.directory_response)(&addresses, settings.directory_keep);
+    let mut response = Response::new(ResponseBody::buffered(body));
     let json = HeaderValue::from_static("application/json");
-    reply.headers_mut().insert(CONTENT_TYPE, json);
-    reply
+    response.headers_mut().insert(CONTENT_TYPE, json);
+    response
 }
 
-/// Serves metrics as text.
-pub(crate) async fn on_metrics(router: Rc<Router>, _request: Request<Incoming>) -> ServerResponse {
+/// Handles a metrics request: responds with all metrics in the text exposition format, for any path.
+pub(crate) async fn handle_metrics(
+    router: Rc<Router>,
+    _request: Request<Incoming>,
+) -> ServerResponse {
     let in_flight = i64::try_from(router.lifecycle.in_flight()).unwrap_or(i64::MAX);
     router.metrics.in_flight.set(in_flight);
-    Response::new(ResponseBody::whole(router.metrics.text()))
+    Response::new(ResponseBody::buffered(router.metrics.text()))
 }
--- a/crates/router/cloverpier_router/src/wire_names.rs
+++ b/crates/router/cloverpier_router/src/wire_names.rs
@@ -11,7 +11,7 @@
 
 /// Tokens of a request, as its caller declares them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PromptSize {
+pub struct TokenCounts {
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
     /// Tokens of the answer at most.
@@ -57,7 +57,7 @@
     /// The last event that the caller has.
     pub last_event: HeaderName,
     /// Tokens of prompt and answer.
-    pub prompt_size: HeaderName,
+    pub token_counts: HeaderName,
     /// The parts of the prompt.
     pub prompt_parts: HeaderName,
     /// Where a run's memory is copied to as it grows.
@@ -94,7 +94,7 @@
     /// Names a replica of a run's KV cache, by its engine and the run's request id.
     pub replica_id: fn(SocketAddr, &str) -> String,
     /// Reads the tokens of a request.
-    pub prompt_size: fn(&str) -> Option<PromptSize>,
+    pub token_counts: fn(&str) -> Option<TokenCounts>,
     /// The name of the part of a prompt that no other prompt shares, from all its parts.
     pub unique_part: fn(&str) -> Option<&str>,
     /// Reads what an upstream's answer says of the upstream.
