--- a/crates/router/cloverpier_router/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -1,8 +1,8 @@
-//! Requests whose answer is one body.
+//! Relays plain requests: requests of routes without event streams.
 //!
-//! A small answer is read whole before a byte of it goes to the caller, so that an answer
-//! that breaks off can be had from another upstream; the rest of a large one is passed on as
-//! it arrives. [`PlainRun`] owns the attempts of one request.
+//! A small response is buffered completely before the caller receives any byte of it, so that the request can be
+//! retried at another upstream if the response breaks off. Once a response exceeds the buffer, the rest is
+//! forwarded as it arrives. [`PlainRelay`] owns the attempts of one request.
 
 use crate::body::{IncompleteResponse, ResponseBody};
 use crate::buffer_reservation::BufferReservation;
@@ -33,52 +33,53 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Bytes of an answer that are held until it is whole; a longer one is passed on as it arrives.
-const MAX_HELD: usize = 256 * 1024;
+/// Maximum length in bytes of a response body that is buffered completely; a longer one is forwarded as it arrives.
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// Relays a request to one upstream, and to others as far as that is allowed.
+/// Relays a plain request to an upstream, and retries it at others as far as the route's retry rule, the maximum
+/// number of attempts and the retry budget allow.
 pub(crate) async fn relay_plain(router: &Rc<Router>, request: &Rc<RelayRequest>) -> ServerResponse {
-    let mut run = PlainRun::new(router, request);
-    match run.run().await {
-        Ok(reply) => {
-            run.log_end(&Ending::of(reply.status(), RequestEnd::Answered));
-            reply
+    let mut relay = PlainRelay::new(router, request);
+    match relay.relay().await {
+        Ok(response) => {
+            relay.log_end(&Ending::of(response.status(), RequestEnd::Answered));
+            response
         }
         Err(given_up) => {
-            let reply = given_up.reply(router, request);
-            run.log_end(&Ending {
-                status: reply.status(),
+            let response = given_up.reply(router, request);
+            relay.log_end(&Ending {
+                status: response.status(),
                 end: given_up.end(),
                 reason: Some(given_up.logged_reason()),
             });
-            reply
+            response
         }
     }
 }
 
-/// The attempts of one request.
-struct PlainRun<'a> {
+/// The state of relaying one plain request: its attempts so far and their results.
+struct PlainRelay<'a> {
     router: &'a Rc<Router>,
     request: &'a Rc<RelayRequest>,
     attempts: Attempts,
     tried: Vec<UpstreamName>,
-    /// The last failure that an upstream itself answered with.
-    upstream_failure: Option<BufferedResponse>,
-    /// Whether it was counted as a request that began to run.
-    is_counted: bool,
+    /// The last response with a server error status (5xx), which the caller receives if all attempts fail.
+    last_error_response: Option<BufferedResponse>,
+    /// Whether the request was counted for usage metering, which counts each request once.
+    is_metered: bool,
 }
 
-/// What follows a failed attempt.
-enum AfterFailure {
-    /// Another attempt.
+/// The action after a failed attempt.
+enum FailureAction {
+    /// Send another attempt.
     Retry,
-    /// The upstream's own failure goes to the caller.
-    PassOn(BufferedResponse),
-    /// The request is given up.
+    /// Forward the upstream's error response to the caller.
+    ForwardError(BufferedResponse),
+    /// End the request with an error response of this router.
     GiveUp(GivenUp),
 }
 
-impl<'a> PlainRun<'a> {
+impl<'a> PlainRelay<'a> {
     fn new(router: &'a Rc<Router>, request: &'a Rc<RelayRequest>) -> Self {
         let route = &request.route;
         Self {
@@ -86,8 +87,8 @@
             request,
             attempts: Attempts::new(route.retry_rule(), route.max_attempts),
             tried: Vec::new(),
-            upstream_failure: None,
-            is_counted: false,
+            last_error_response: None,
+            is_metered: false,
         }
     }
 
@@ -96,18 +97,18 @@
         log_end(self.router, self.request, &self.attempts, ending, &progress);
     }
 
-    async fn run(&mut self) -> Result<ServerResponse, GivenUp> {
+    async fn relay(&mut self) -> Result<ServerResponse, GivenUp> {
         loop {
             let mut admitted = hold::admit(self.router, self.request).await;
             if admitted.admission == Admission::Blocked {
                 return Err(GivenUp::stopped());
             }
-            let found = self
+            let result = self
                 .request
                 .cancel
                 .run_unless_cancelled(self.find_upstream())
                 .await;
-            let upstream = match found.ok_or_else(GivenUp::stopped)? {
+            let upstream = match result.ok_or_else(GivenUp::stopped)? {
                 Ok(upstream) => upstream,
                 Err(reason) => return self.without_upstream(reason),
             };
@@ -115,54 +116,56 @@
                 continue;
             }
             self.attempts.on_send();
-            let begun = self.router.now();
+            let attempt_started = self.router.now();
             admitted.on_sent();
             let guard = AbandonGuard::begin(self.router, self.request, &upstream);
             let outcome = self.attempt(&upstream).await;
             guard.settle();
             let failure = match outcome {
-                Ok(reply) => {
-                    self.count_begun(begun);
-                    return Ok(reply);
+                Ok(response) => {
+                    self.meter_request(attempt_started);
+                    return Ok(response);
                 }
                 Err(failure) => failure,
             };
             if failure.outcome().may_have_run() {
-                self.count_begun(begun);
+                self.meter_request(attempt_started);
             }
-            match self.after_failure(&upstream, &failure, begun) {
-                AfterFailure::Retry => {}
-                AfterFailure::PassOn(answer) => return Ok(answer.into_response()),
-                AfterFailure::GiveUp(given_up) => return Err(given_up),
+            match self.on_failure(&upstream, &failure, attempt_started) {
+                FailureAction::Retry => {}
+                FailureAction::ForwardError(response) => return Ok(response.into_response()),
+                FailureAction::GiveUp(given_up) => return Err(given_up),
             }
         }
     }
 
+    /// The result of a request for which no upstream is available: the last error response of an upstream, if any,
+    /// else a refusal or an error of this router.
     fn without_upstream(&mut self, reason: NoUpstream) -> Result<ServerResponse, GivenUp> {
-        match self.upstream_failure.take() {
-            Some(answer) => Ok(answer.into_response()),
+        match self.last_error_response.take() {
+            Some(response) => Ok(response.into_response()),
             None => Err(GivenUp::without_upstream(&self.attempts, reason)),
         }
     }
 
-    /// Counts the request, whose run began at a moment; further runs of it count no more.
-    fn count_begun(&mut self, at: Instant) {
-        if !std::mem::replace(&mut self.is_counted, true) {
+    /// Counts the request for usage metering, in the window of `at`, unless an earlier attempt was counted.
+    fn meter_request(&mut self, at: Instant) {
+        if !std::mem::replace(&mut self.is_metered, true) {
             singleton::on_begun(self.router, self.request, at);
         }
     }
 
-    /// An upstream for the next attempt, and if it limits itself the permit to send it there.
+    /// Chooses the upstream for the next attempt. If that upstream limits its request rate, also acquires a permit.
     async fn find_upstream(&self) -> Result<Upstream, NoUpstream> {
         let (router, request) = (self.router, self.request);
         let search = PermitSearch::new(request.max_permit_wait(router.now()));
         let limits = &router.upstream_limits;
-        let chosen = limits.offer(
+        let result = limits.offer(
             search,
             |limits| self.choose(limits).map(Box::new),
             |upstream| router.is_usable(upstream),
         );
-        let upstream = *chosen.await?;
+        let upstream = *result.await?;
         let note = ChoiceNote::of(&self.attempts, router.now());
         log_choice(router, request, &upstream, &note);
         Ok(upstream)
@@ -197,34 +200,43 @@
         }
     }
 
+    /// Sends one attempt and reads the response.
     async fn attempt(&mut self, upstream: &Upstream) -> Result<ServerResponse, AttemptFailure> {
         rollouts::on_sent(self.router, self.request, upstream);
-        let measuring = rollouts::measure(self.router, self.request, upstream, Measure::Response);
+        let measurement = rollouts::measure(self.router, self.request, upstream, Measure::Response);
         let load = LoadGuard::begin(self.router, &upstream.name, self.request.load());
         let sent_at = self.router.now();
-        let mut liveness = Liveness::new(self.bounds(), sent_at);
-        let extras = AttemptHeaders {
+        let mut liveness = Liveness::new(self.liveness_bounds(), sent_at);
+        let attempt_headers = AttemptHeaders {
             priority: self.request.priority,
             ..AttemptHeaders::default()
         };
-        let opened = send(self.router, self.request, upstream, &extras, &mut liveness).await?;
+        let opened = send(
+            self.router,
+            self.request,
+            upstream,
+            &attempt_headers,
+            &mut liveness,
+        )
+        .await?;
         let reply = self
-            .read_answer(upstream, opened, &mut liveness, load)
+            .read_response(upstream, opened, &mut liveness, load)
             .await?;
         let now = self.router.now();
         let mut table = self.router.upstreams.borrow_mut();
         table.on_latency(&upstream.name, now.saturating_duration_since(sent_at));
         table.on_result(&upstream.name, false);
         drop(table);
-        if let Some(measuring) = measuring {
-            measuring.answered();
+        if let Some(measurement) = measurement {
+            measurement.answered();
         }
         let since_arrival = now.saturating_duration_since(self.request.arrived);
         self.router.metrics.first_answer.observe(since_arrival);
         Ok(reply)
     }
 
-    fn bounds(&self) -> LivenessBounds {
+    /// The timeouts after which this attempt probes a silent upstream, declares it dead, or ends for lack of progress.
+    fn liveness_bounds(&self) -> LivenessBounds {
         let route = &self.request.route;
         let has_alternative =
             route.retry_rule().is_idempotent() && self.attempts.sent() < route.max_attempts;
@@ -237,8 +249,9 @@
         )
     }
 
-    /// Reads the answer: whole, unless it is large.
-    async fn read_answer(
+    /// Reads the whole response body into memory. If the body is longer than [`MAX_BUFFERED_BYTES`] or the buffer
+    /// memory is full, returns a response that streams the rest of the body.
+    async fn read_response(
         &mut self,
         upstream: &Upstream,
         opened: OpenResponse,
@@ -256,18 +269,19 @@
             upstream,
             health: &health,
             deadline: self.request.deadline,
-            // A head proves that the upstream has begun to answer.
+            // The head proves that the upstream survives the request, so the attempt is not cancelled any more.
             stop: None,
         };
-        let mut held = BytesMut::new();
-        let mut counted = BufferReservation::new(&self.router.buffer_memory, BufferKind::Response);
-        while let Some(data) = next_data(&awaited, liveness, &mut body).await? {
+        let mut buffer = BytesMut::new();
+        let mut reservation =
+            BufferReservation::new(&self.router.buffer_memory, BufferKind::Response);
+        while let Some(data) = next_chunk(&awaited, liveness, &mut body).await? {
             liveness.on_event(self.router.now());
-            let is_room = counted.try_grow(data.len());
-            held.extend_from_slice(&data);
-            if held.len() > MAX_HELD || !is_room {
-                let rest = LargeRest {
-                    held: Some((held.freeze(), counted)),
+            let is_reserved = reservation.try_grow(data.len());
+            buffer.extend_from_slice(&data);
+            if buffer.len() > MAX_BUFFERED_BYTES || !is_reserved {
+                let rest = StreamedRest {
+                    buffered: Some((buffer.freeze(), reservation)),
                     body,
                     _connection: connection,
                     _load: load,
@@ -280,29 +294,31 @@
         }
         return_to_pool(self.router, upstream, connection);
         judgement::on_completed(self.router, self.request);
-        self.check_status(BufferedResponse::new(head, held.freeze()))
+        self.check_status(BufferedResponse::new(head, buffer.freeze()))
             .map(BufferedResponse::into_response)
     }
 
-    /// An upstream's own failure is kept, to be passed on if no other upstream helps.
+    /// Converts a response with a server error status (5xx) into a failure, and keeps the response for the caller in
+    /// case no other attempt succeeds.
     fn check_status(
         &mut self,
-        answer: BufferedResponse,
+        response: BufferedResponse,
     ) -> Result<BufferedResponse, AttemptFailure> {
-        if !answer.status.is_server_error() {
-            return Ok(answer);
+        if !response.status.is_server_error() {
+            return Ok(response);
         }
-        let status = answer.status.as_u16();
-        self.upstream_failure = Some(answer);
+        let status = response.status.as_u16();
+        self.last_error_response = Some(response);
         Err(AttemptFailure::UpstreamError { status })
     }
 
-    fn after_failure(
+    /// Records a failed attempt and decides how the request continues.
+    fn on_failure(
         &mut self,
         upstream: &Upstream,
         failure: &AttemptFailure,
-        begun: Instant,
-    ) -> AfterFailure {
+        attempt_started: Instant,
+    ) -> FailureAction {
         let now = self.router.now();
         let outcome = failure.outcome();
         self.tried.push(upstream.name.clone());
@@ -311,44 +327,44 @@
         drop(table);
         rollouts::on_failure(self.router, self.request, upstream, failure);
         if let Some(loss) = failure.loss() {
-            let ran_for = now.saturating_duration_since(begun);
+            let ran_for = now.saturating_duration_since(attempt_started);
             record::on_lost(self.router, self.request, upstream, loss, ran_for);
         }
-        let try_take = || self.router.try_take_retry(&upstream.service, now);
+        let try_take_retry = || self.router.try_take_retry(&upstream.service, now);
         let next = self
             .attempts
-            .on_outcome(outcome, !failure.is_past_deadline(), try_take);
+            .on_outcome(outcome, !failure.is_past_deadline(), try_take_retry);
         let attempt = FailedAttempt {
             upstream: Some(&upstream.name),
             failure,
             next,
             last_event: None,
-            begun,
+            begun: attempt_started,
             now,
         };
         log_failure(self.router, self.request, &attempt);
         if *failure == AttemptFailure::Stopped {
-            return AfterFailure::GiveUp(GivenUp::stopped());
+            return FailureAction::GiveUp(GivenUp::stopped());
         }
         if next == NextStep::Retry {
-            return AfterFailure::Retry;
+            return FailureAction::Retry;
         }
-        match self.upstream_failure.take() {
-            Some(answer) => AfterFailure::PassOn(answer),
-            None => AfterFailure::GiveUp(GivenUp::after(failure, next)),
+        match self.last_error_response.take() {
+            Some(response) => FailureAction::ForwardError(response),
+            None => FailureAction::GiveUp(GivenUp::after(failure, next)),
         }
     }
 }
 
-/// The next bytes of an answer's body; `None` at its end.
-async fn next_data(
+/// The next bytes of a response body; `None` at its end.
+async fn next_chunk(
     awaited: &Awaited<'_>,
     liveness: &mut Liveness,
     body: &mut Incoming,
 ) -> Result<Option<Bytes>, AttemptFailure> {
     match while_alive(awaited, liveness, body.frame()).await? {
         None => Ok(None),
-        // A frame without data holds trailers, which are not passed on.
+        // A frame without data contains trailers, which are not forwarded.
         Some(Ok(frame)) => Ok(Some(frame.into_data().unwrap_or_default())),
         Some(Err(e)) => Err(AttemptFailure::ResponseBroken {
             error: e.to_string(),
@@ -356,29 +372,30 @@
     }
 }
 
-/// The rest of a large answer, passed on as it arrives.
-struct LargeRest {
-    held: Option<(Bytes, BufferReservation)>,
+/// A response body that does not fit into the buffer: the bytes that are buffered already, and the rest, which is
+/// forwarded as it arrives.
+struct StreamedRest {
+    buffered: Option<(Bytes, BufferReservation)>,
     body: Incoming,
     _connection: Connection,
     _load: LoadGuard,
 }
 
-impl LargeRest {
+impl StreamedRest {
     fn into_stream(self) -> impl futures_util::Stream<Item = Result<Bytes, IncompleteResponse>> {
         unfold(Some(self), |state| async move {
             let mut rest = state?;
-            // The connection that the bytes go to takes them over.
-            if let Some((held, _counted)) = rest.held.take() {
-                return Some((Ok(held), Some(rest)));
+            // The reservation ends here, as the caller's connection takes over the buffered bytes.
+            if let Some((buffered, _reservation)) = rest.buffered.take() {
+                return Some((Ok(buffered), Some(rest)));
             }
             match rest.body.frame().await? {
                 Ok(frame) => {
-                    // A frame without data holds trailers, which are not passed on.
+                    // A frame without data contains trailers, which are not forwarded.
                     let bytes = frame.into_data().unwrap_or_default();
                     Some((Ok(bytes), Some(rest)))
                 }
-                // Once the answer has begun, the caller sees a broken connection whatever the cause.
+                // The response has begun, so the only way to report the failure is to close the caller's connection.
                 Err(_) => Some((Err(IncompleteResponse), None)),
             }
         })
--- a/crates/router/cloverpier_router/src/send.rs
+++ b/crates/router/cloverpier_router/src/send.rs
@@ -288,8 +288,8 @@
     }
 }
 
-/// Returns a connection to the pool once the exchange on it has ended. The body of the response has been read to
-/// its end.
+/// Returns a connection to the pool once the exchange on it has ended. Callers have read the body of the response
+/// to its end before.
 pub(crate) fn return_to_pool(router: &Rc<Router>, upstream: &Upstream, mut connection: Connection) {
     let limit = pool_limit(router, &upstream.service);
     let (router, upstream) = (Rc::clone(router), upstream.name.clone());
