--- a/crates/router/cloverpier_router/src/budgets.rs
+++ b/crates/router/cloverpier_router/src/budgets.rs
@@ -1,7 +1,7 @@
-//! This router's use of the retry budget, by service.
+//! The retry budgets of this router, one for each service.
 //!
-//! Owns one [`RetryBudget`] a service, made when its first request arrives. Relies on the
-//! bounds being passed in with each use, as settings may change while the process runs.
+//! Owns a [`RetryBudget`] for each service, which is created when the service's first request arrives. Relies on
+//! its user to pass the current bounds with each call, as settings may change while the process runs.
 
 use cloverpier_core::ServiceName;
 use cloverpier_router_policy::prelude::*;
@@ -9,15 +9,15 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
-/// The retry budgets of all services.
+/// The retry budget of each service.
 #[derive(Debug, Default)]
 pub(crate) struct RetryBudgets {
     by_service: RefCell<HashMap<ServiceName, RetryBudget>>,
 }
 
 impl RetryBudgets {
-    /// Uses the budget of a service under the bounds in force.
-    pub fn with<T>(
+    /// Applies the current bounds to the budget of a service, and passes the budget to `act`.
+    pub fn with_budget<T>(
         &self,
         service: &ServiceName,
         bounds: BudgetBounds,
@@ -30,7 +30,7 @@
         act(budget)
     }
 
-    /// The use of each service's budget within its window.
+    /// The requests and retries of this router within the budget's window, for each service.
     pub fn usage(&self, now: Instant) -> Vec<(ServiceKey, BudgetUse)> {
         let mut budgets = self.by_service.borrow_mut();
         let usage = budgets.iter_mut();
--- a/crates/router/cloverpier_router/src/heartbeats.rs
+++ b/crates/router/cloverpier_router/src/heartbeats.rs
@@ -154,7 +154,7 @@
     fn is_due(&mut self, router: &Router, now: Instant) -> bool {
         let passed = |at: Instant| now.saturating_duration_since(at);
         let is_recent = self.last.is_some_and(|at| passed(at) < LARGE_ROLE_PERIOD);
-        let is_settled = passed(router.lifecycle.started()) > SETTLED_AFTER;
+        let is_settled = passed(router.lifecycle.started_at()) > SETTLED_AFTER;
         if router.peers.is_large() && is_recent && is_settled {
             return false;
         }
--- a/crates/router/cloverpier_router/src/intake.rs
+++ b/crates/router/cloverpier_router/src/intake.rs
@@ -143,7 +143,7 @@
 /// [`hold_deadline`] computes. Returns at once if calls to the store fail.
 async fn hold_until_serving(router: &Router, arrived: Instant, timeout: CallerTimeout) {
     let store = &router.store;
-    let started = router.lifecycle.started();
+    let started = router.lifecycle.started_at();
     while !store.is_serving() {
         let deadline = hold_deadline(started, store.fails(), arrived, timeout);
         let Some(deadline) = deadline.filter(|deadline| router.now() < *deadline) else {
--- a/crates/router/cloverpier_router/src/lifecycle.rs
+++ b/crates/router/cloverpier_router/src/lifecycle.rs
@@ -1,85 +1,86 @@
-//! The planned stop, and the requests that it waits for.
+//! The lifecycle of this process: its start, its shutdown, and the requests for which the shutdown waits.
 //!
-//! Owns when the termination signal came, how many requests are in flight and how long streams took
-//! that ended. A request counts until the last byte of its answer is handed to the connection, by
-//! [`InFlightGuard`]. When a stopping router may exit is decided in `cloverpier_router_policy::lifecycle`.
+//! Owns the time of the termination signal, the number of requests in flight and the durations of recent streams. An
+//! [`InFlightGuard`] counts a request; [`crate::web`] holds the guard of a stream until the last byte is passed to
+//! the connection. `cloverpier_router_policy::lifecycle` decides when a router that shuts down may exit.
 
 use cloverpier_router_policy::lifecycle::{StreamDurations, accepts_streams};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Where this process is between start and exit.
+/// The lifecycle state of this process.
 #[derive(Debug)]
 pub(crate) struct Lifecycle {
     incarnation: u64,
-    started: Instant,
+    started_at: Instant,
     stopping_since: Cell<Option<Instant>>,
     in_flight: Rc<Cell<usize>>,
     stream_durations: RefCell<StreamDurations>,
 }
 
 impl Lifecycle {
-    /// A process that has just started; `incarnation` distinguishes it from others at its address.
+    /// Creates the state of a process that starts `now`. For `incarnation` see [`Self::incarnation`].
     pub fn new(incarnation: u64, now: Instant) -> Self {
         Self {
             incarnation,
-            started: now,
+            started_at: now,
             stopping_since: Cell::new(None),
             in_flight: Rc::default(),
             stream_durations: RefCell::default(),
         }
     }
 
-    /// Tells this start of the process from others at the same address, in logs.
+    /// A random number that distinguishes this process from earlier and later ones at the same address.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// When it started.
-    pub fn started(&self) -> Instant {
-        self.started
+    /// When this process started.
+    pub fn started_at(&self) -> Instant {
+        self.started_at
     }
 
-    /// Begins the planned stop.
+    /// Records that the termination signal arrived and the shutdown begins.
     pub fn begin_shutdown(&self, now: Instant) {
         self.stopping_since.set(Some(now));
     }
 
-    /// Whether the planned stop has begun.
+    /// Whether the shutdown has begun.
     pub fn is_shutting_down(&self) -> bool {
         self.stopping_since.get().is_some()
     }
 
-    /// How long ago the planned stop began, if it did.
+    /// The time since the shutdown began; `None` before it.
     pub fn shutdown_elapsed(&self, now: Instant) -> Option<Duration> {
         let since = self.stopping_since.get()?;
         Some(now.saturating_duration_since(since))
     }
 
-    /// Records how long a stream took from its request to its last event.
+    /// Records the duration of a completed stream, from its request to its last event.
     pub fn on_stream_completed(&self, duration: Duration) {
         self.stream_durations.borrow_mut().on_completed(duration);
     }
 
-    /// Whether a new stream is taken.
+    /// Whether a new stream is accepted. `grace` is the time between the termination signal and the kill by the
+    /// platform.
     pub fn accepts_streams(&self, grace: Duration, now: Instant) -> bool {
         let expected = self.stream_durations.borrow().expected();
         accepts_streams(self.shutdown_elapsed(now), expected, grace)
     }
 
-    /// Number of requests in flight.
+    /// The number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 }
 
-/// One request in flight; it ends when this is dropped.
+/// Counts one request as in flight until it is dropped.
 #[derive(Debug)]
 pub(crate) struct InFlightGuard(Rc<Cell<usize>>);
 
 impl InFlightGuard {
-    /// Counts a request.
+    /// Increments the number of requests in flight.
     pub fn begin(lifecycle: &Lifecycle) -> Self {
         let count = &lifecycle.in_flight;
         count.set(count.get() + 1);
--- a/crates/router/cloverpier_router/src/router.rs
+++ b/crates/router/cloverpier_router/src/router.rs
@@ -1,27 +1,28 @@
-//! The state of one router, by owner.
+//! The state of one router, and the component that owns each piece of it.
 //!
-//! [`Router`] only holds the parts together; each part owns its state and says what holds
-//! for it:
+//! [`Router`] only groups the components. Each component owns its state and documents its invariants:
 //!
-//! | part | owns |
+//! | component | owns |
 //! | --- | --- |
-//! | [`StoreView`] | configuration in force, whether upstreams are known, how calls to the store go |
-//! | `upstreams` | the table of upstreams, with load and suspicions |
-//! | [`UpstreamLimits`] | limits that upstreams named, permits to send them requests |
-//! | [`HealthTable`] | last activity and probes of each upstream |
+//! | [`StoreView`] | the configuration in force, whether a list of upstreams was received, whether calls to the store fail |
+//! | [`UpstreamTable`] | the upstreams, with their load and whether they are suspected to be dead |
+//! | [`UpstreamLimits`] | the rate limits that upstreams advertise, and the permits to send requests to those upstreams |
+//! | [`HealthTable`] | the last activity and the probe in progress of each upstream |
 //! | [`ConnectionPool`] | idle connections to upstreams |
-//! | [`Datagrams`] | the way to other routers by datagrams |
-//! | [`Peers`] | peers' last heartbeats, and what they are sent next |
-//! | [`Prompts`] | which engine has read which prompt, and searches for that |
+//! | [`Datagrams`] | the UDP socket for messages to other routers |
+//! | [`Peers`] | the last heartbeats of other routers, and the messages to send to them |
+//! | [`Prompts`] | which engine has read which prompt, and searches for such engines |
 //! | [`RetryBudgets`] | this router's use of each service's retry budget |
-//! | [`Crashes`] | contents of requests that ended upstreams |
-//! | [`Rollouts`] | orders of roll-outs, and what this router saw of them |
-//! | [`Singleton`] | the lease on work that one router at a time does, and that work |
-//! | [`CopyPacing`] | copies of the configuration that the link still carries |
-//! | [`Lifecycle`] | the planned stop and the requests in flight |
+//! | [`Crashes`] | crashes of upstreams by the content of the requests that they were running |
+//! | [`Rollouts`] | ordered roll-outs, and this router's evidence about the new versions |
+//! | [`Singleton`] | the lease on work that only one router at a time does, and the state of that work |
+//! | [`ListCopies`] | the encoded copies of the list of upstreams that were created for peers recently |
+//! | [`CopyPacing`] | when the network link will have transmitted the copies that were sent to peers |
+//! | [`BufferMemory`] | the memory that buffered request and response bodies take |
+//! | [`Lifecycle`] | the start and the shutdown of the process, and the requests in flight |
 //!
-//! One thread uses it all, so the parts are cells that are borrowed for a moment and never
-//! across an `await`.
+//! All code that uses the state runs on one thread, so the components are in cells. They are borrowed briefly and
+//! never across an `await`.
 
 use crate::budgets::RetryBudgets;
 use crate::crashes::state::Crashes;
@@ -54,11 +55,11 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// The state of one router; one thread uses it.
+/// The state of one router, which is used by a single thread.
 #[derive(Debug)]
 pub struct Router {
     settings: RefCell<Rc<RouterSettings>>,
-    /// Waits by the same clock as the present moment's.
+    /// The clock of this router, which counts time while the machine is suspended, and timers by that clock.
     pub(crate) timers: Timers,
     pub(crate) rng: RefCell<fastrand::Rng>,
     pub(crate) wire_names: WireNames,
@@ -75,21 +76,21 @@
     retry_budgets: RetryBudgets,
     pub(crate) crashes: Crashes,
     pub(crate) rollouts: Rollouts,
-    /// `None` where the settings name no work that one router at a time does.
+    /// `None` if the settings enable no work that only one router at a time does.
     pub(crate) singleton: Option<Singleton>,
-    /// Wakes the checks of suspects.
+    /// Wakes the task that checks suspected upstreams when an upstream is declared dead.
     pub(crate) suspicion_added: Notify,
-    /// When it was learned last that an upstream leaves.
+    /// When this router last received a new announcement that an upstream is leaving; `None` before the first.
     pub(crate) last_leaving_at: Cell<Option<Instant>>,
     pub(crate) copy_pacing: RefCell<CopyPacing>,
-    /// What bodies and answers take.
+    /// The memory that the buffered bodies of all requests and responses take.
     pub(crate) buffer_memory: Rc<RefCell<BufferMemory>>,
     pub(crate) list_copies: RefCell<ListCopies>,
     pub(crate) lifecycle: Lifecycle,
 }
 
-/// What a router says of itself when it starts.
-fn member(settings: &RouterSettings) -> MemberUpdate {
+/// The membership update by which a starting router introduces itself to its peers.
+fn initial_member_update(settings: &RouterSettings) -> MemberUpdate {
     MemberUpdate {
         router: settings.listen.peers,
         callers: settings.listen.callers,
@@ -100,7 +101,8 @@
 }
 
 impl Router {
-    /// A router that knows no configuration, upstream or peer yet.
+    /// Creates the state of a starting router, without configuration, upstreams or peers. `rng` provides all random
+    /// decisions, and `timers` the time.
     pub fn new(
         settings: RouterSettings,
         wire_names: WireNames,
@@ -133,7 +135,7 @@
             health: HealthTable::new(timers.clone()),
             pool: RefCell::new(ConnectionPool::default()),
             datagrams,
-            peers: Peers::new(member(&settings)),
+            peers: Peers::new(initial_member_update(&settings)),
             prompts: Prompts::default(),
             retry_budgets: RetryBudgets::default(),
             crashes: Crashes::new(&settings.crashes),
@@ -150,7 +152,7 @@
         }
     }
 
-    /// The present moment.
+    /// The present moment on the router's clock.
     pub(crate) fn now(&self) -> Instant {
         self.timers.now()
     }
@@ -160,17 +162,18 @@
         Rc::clone(&self.settings.borrow())
     }
 
-    /// Puts new settings in force; listeners keep their addresses.
+    /// Replaces the settings in force. Listeners keep their addresses.
     pub(crate) fn set_settings(&self, settings: RouterSettings) {
         *self.settings.borrow_mut() = Rc::new(settings);
     }
 
-    /// The state that is reported to peers, the platform and callers.
+    /// The state that this router reports to peers, to readiness checks and in the directory.
     pub(crate) fn state(&self) -> PeerState {
         router_state(self.lifecycle.is_shutting_down(), self.store.is_serving())
     }
 
-    /// How long after its last heartbeat a peer is considered alive.
+    /// How long after its last heartbeat a peer is considered alive. In a large fleet, where peers do not all send
+    /// heartbeats to each other, the timeout of the membership protocol applies.
     pub(crate) fn peer_timeout(&self) -> Duration {
         if self.peers.is_large() {
             return MEMBER_TIMEOUT;
@@ -179,40 +182,41 @@
         peer_timeout(interval, self.peers.count())
     }
 
-    /// Whether an upstream may still be sent requests.
+    /// Whether requests may still be sent to an upstream.
     pub(crate) fn is_usable(&self, upstream: &Upstream) -> bool {
         let table = self.upstreams.borrow();
         let state = table.get(&upstream.name);
         state.is_some_and(|state| state.is_usable(self.now()))
     }
 
-    /// Reports this router's load at an upstream, or a suspicion of it, to peers at once.
+    /// Sends this router's load at an upstream, and whether the upstream is suspected, to peers without waiting for
+    /// the next heartbeat.
     pub(crate) fn report_to_peers(&self, upstream: &UpstreamName) {
         self.peers.outbox.report_upstream(upstream);
     }
 
-    /// Counts a caller's request for a service, which adds to the retry budget.
+    /// Counts a caller's request for a service, which increases the service's retry budget.
     pub(crate) fn on_request(&self, service: &ServiceName, now: Instant) {
         let bounds = self.budget_bounds();
         self.retry_budgets
-            .with(service, bounds, |b| b.on_request(now));
+            .with_budget(service, bounds, |b| b.on_request(now));
     }
 
-    /// Takes a retry of a service from the budget, if it has one left for this router.
+    /// Takes one retry from a service's budget. Returns false if the budget does not allow this router another one.
     pub(crate) fn try_take_retry(&self, service: &ServiceName, now: Instant) -> bool {
         let peers = self.peers.budget_use(service, now, self.peer_timeout());
         let bounds = self.budget_bounds();
         let take = |budget: &mut RetryBudget| budget.try_take_retry(now, &peers);
-        self.retry_budgets.with(service, bounds, take)
+        self.retry_budgets.with_budget(service, bounds, take)
     }
 
-    /// This router's use of each service's retry budget.
+    /// This router's requests and retries within the window of the retry budget, for each service.
     pub(crate) fn budget_use(&self, now: Instant) -> Vec<(ServiceKey, BudgetUse)> {
         self.retry_budgets.usage(now)
     }
 
-    /// The operator's bound on versions that are not known to be good; `None` where no roll-outs
-    /// are ordered.
+    /// The operator's bound on the requests that a version which may be bad receives during a roll-out. `None` if the
+    /// settings don't enable roll-outs.
     pub(crate) fn exposure_bounds(&self) -> Option<ExposureBounds> {
         self.settings().exposure.map(|exposure| ExposureBounds {
             share: exposure.share,
@@ -220,6 +224,7 @@
         })
     }
 
+    /// The bounds of the retry budgets, from the settings in force.
     fn budget_bounds(&self) -> BudgetBounds {
         let retry = self.settings().retry;
         BudgetBounds {
--- a/crates/router/cloverpier_router/src/signals.rs
+++ b/crates/router/cloverpier_router/src/signals.rs
@@ -1,8 +1,8 @@
-//! Signals: the planned stop and the reload of settings.
+//! Shutdown on SIGTERM, and the reload of the settings file.
 //!
-//! When a stopping router may exit is decided in `cloverpier_router_policy::lifecycle`. The
-//! settings file is read again when it changes or on a hang-up signal; a file with faults is
-//! logged and the former settings stay.
+//! `cloverpier_router_policy::lifecycle` decides when a router that shuts down may exit. The settings file is read
+//! every second and on SIGHUP, and applied if its text has changed. If the new text has errors, they are logged and
+//! the previous settings stay in force. Owns the text that was read last.
 
 use crate::crashes::verdicts;
 use crate::decision_log::Dependency;
@@ -16,10 +16,10 @@
 use std::time::Duration;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// How often the settings file is compared.
-const FILE_PERIOD: Duration = Duration::from_secs(1);
+/// Interval at which the settings file is read and compared with the text that was read last.
+const FILE_CHECK_PERIOD: Duration = Duration::from_secs(1);
 
-/// Waits for a termination signal, then until the process may exit.
+/// Waits for SIGTERM, begins the shutdown, and returns when the process may exit.
 pub(crate) async fn wait_for_shutdown(router: &Rc<Router>, mut terminate: Signal) {
     terminate.recv().await;
     router.lifecycle.begin_shutdown(router.now());
@@ -27,26 +27,27 @@
     let grace = router.settings().grace;
     loop {
         router.timers.sleep(SHUTDOWN_CHECK_PERIOD).await;
-        let Some(shutdown_elapsed) = router.lifecycle.shutdown_elapsed(router.now()) else {
+        let Some(elapsed) = router.lifecycle.shutdown_elapsed(router.now()) else {
             continue;
         };
         let in_flight = router.lifecycle.in_flight();
-        if shutdown_step(shutdown_elapsed, in_flight, grace) == ShutdownStep::Exit {
+        if shutdown_step(elapsed, in_flight, grace) == ShutdownStep::Exit {
             return;
         }
     }
 }
 
-/// The signal that begins a planned stop.
+/// Registers a handler for SIGTERM, which begins the shutdown.
 ///
 /// # Errors
 ///
-/// What the system reports.
+/// The operating system's error if the handler can't be registered.
 pub(crate) fn terminate_signal() -> std::io::Result<Signal> {
     signal(SignalKind::terminate())
 }
 
-/// Reads the settings again whenever their file has changed or a signal says so.
+/// Applies the settings file whenever its text has changed, until the process exits. Returns at once if no handler
+/// for SIGHUP can be registered; the settings are not reloaded then.
 pub(crate) async fn reload_settings(router: Rc<Router>, path: PathBuf) {
     let mut hang_up = match signal(SignalKind::hangup()) {
         Ok(hang_up) => hang_up,
@@ -64,38 +65,38 @@
     loop {
         tokio::select! {
             _ = hang_up.recv() => {}
-            () = router.timers.sleep(FILE_PERIOD) => {}
+            () = router.timers.sleep(FILE_CHECK_PERIOD) => {}
         }
-        if let Some(text) = file.changed_text(&router) {
+        if let Some(text) = file.read_if_changed(&router) {
             apply_settings(&router, &text);
         }
     }
 }
 
-/// The settings file, as read last.
+/// The settings file, with the text that was read last.
 struct SettingsFile<'a> {
     path: &'a Path,
     text: Option<String>,
-    is_lost: bool,
+    is_unreadable: bool,
 }
 
 impl<'a> SettingsFile<'a> {
     fn new(path: &'a Path) -> Self {
         Self {
             path,
-            // Where it cannot be read now, the first text that can be counts as changed.
+            // If the file can't be read now, the first text that can be read counts as changed.
             text: std::fs::read_to_string(path).ok(),
-            is_lost: false,
+            is_unreadable: false,
         }
     }
 
-    /// The file's text where it differs from the one read last.  A file that cannot be read is
-    /// logged once, and the settings stay as they are.
-    fn changed_text(&mut self, router: &Router) -> Option<String> {
+    /// Reads the file, and returns its text if it differs from the text that was read last. An error is logged once
+    /// until the file can be read again, and the settings stay in force.
+    fn read_if_changed(&mut self, router: &Router) -> Option<String> {
         let text = match std::fs::read_to_string(self.path) {
             Ok(text) => text,
             Err(error) => {
-                if !std::mem::replace(&mut self.is_lost, true) {
+                if !std::mem::replace(&mut self.is_unreadable, true) {
                     log_dependency(
                         &router.log,
                         "dependency.lost",
@@ -106,14 +107,15 @@
                 return None;
             }
         };
-        self.is_lost = false;
+        self.is_unreadable = false;
         let is_changed = self.text.as_ref() != Some(&text);
         self.text = Some(text.clone());
         is_changed.then_some(text)
     }
 }
 
-/// Puts new settings in force; listeners stay where they are until a restart.
+/// Parses the text of the settings file and puts the settings in force, or logs its errors. Listeners keep their
+/// addresses until the process is restarted.
 fn apply_settings(router: &Router, text: &str) {
     match RouterSettings::parse(text) {
         Ok(settings) => {
@@ -121,8 +123,8 @@
             verdicts::on_settings(router);
             router.log.info("settings.reloaded", &NoFields {});
         }
-        Err(faults) => {
-            let reason = faults.to_string();
+        Err(errors) => {
+            let reason = errors.to_string();
             let line = Dependency {
                 name: "settings",
                 reason: &reason,
--- a/crates/router/cloverpier_router/src/singleton/keeper.rs
+++ b/crates/router/cloverpier_router/src/singleton/keeper.rs
@@ -214,7 +214,7 @@
     fn begin_work(&self, era: u64, now: Instant) -> Work {
         let singleton = self.singleton;
         let fleet_ms = singleton.fleet_ms(now);
-        let uptime = now.saturating_duration_since(self.router.lifecycle.started());
+        let uptime = now.saturating_duration_since(self.router.lifecycle.started_at());
         let record = self.record.as_ref();
         // A record that was just made holds no journal of anybody.
         let journal = record.map(|r| &r.usage).filter(|usage| usage.written > 0);
--- a/crates/router/cloverpier_router/src/singleton/reports.rs
+++ b/crates/router/cloverpier_router/src/singleton/reports.rs
@@ -43,7 +43,7 @@
     to.extend(singleton.holder.get().filter(|holder| *holder != sender));
     to.sort_unstable();
     to.dedup();
-    let started = router.lifecycle.started();
+    let started = router.lifecycle.started_at();
     let pieces = split_into_reports(singleton.own_usage.borrow().windows());
     for windows in pieces {
         let report = FleetReport {
--- a/crates/router/cloverpier_router/src/start.rs
+++ b/crates/router/cloverpier_router/src/start.rs
@@ -1,7 +1,7 @@
-//! Starts the parts of a router, in one visible place.
+//! Starts the tasks of a router.
 //!
-//! Each part is a task on one thread; removing a part is removing a line. Listeners come first,
-//! so that a port that is taken ends the start.
+//! All tasks run on one thread. The listeners start first, so that the start fails if an address is in use. Owns no
+//! state.
 
 use crate::crashes::judgement;
 use crate::decision_log::log_dependency;
@@ -30,33 +30,34 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::task::spawn_local;
 
-/// A router could not start.
+/// Why a router could not start.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// An address cannot be listened at.
+    /// The router can't listen at one of the addresses in its settings.
     #[snafu(display("can't listen at {address}: {source}"))]
     Listen {
-        /// The address.
+        /// The address, as configured.
         address: SocketAddr,
-        /// What the system reports.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// Signals cannot be received.
+    /// The handler for SIGTERM can't be registered.
     #[snafu(display("can't receive signals: {source}"))]
     Signals {
-        /// What the system reports.
+        /// The operating system's error.
         source: io::Error,
     },
 }
 
-/// Runs a router until a planned stop has ended.
+/// Runs a router until its shutdown is complete.
 ///
-/// It has to run inside a [`tokio::task::LocalSet`].  `settings_path` is the file that is
-/// read again when it changes.
+/// Has to be called inside a [`tokio::task::LocalSet`]. `settings_path` is the settings file, which is reloaded when
+/// its text changes; with `None`, the settings of `router` stay in force. `log_progress` provides the number of log
+/// lines that were dropped.
 ///
 /// # Errors
 ///
-/// [`StartError`] when an address cannot be listened at.
+/// [`StartError`] if the router can't listen at one of its addresses or can't handle SIGTERM.
 pub async fn run_router(
     router: Router,
     source: impl ConfigurationSource + 'static,
@@ -66,7 +67,7 @@
 ) -> Result<(), StartError> {
     let router = Rc::new(router);
     let terminate = signals::terminate_signal().context(SignalsSnafu)?;
-    listen(&router).await?;
+    start_listeners(&router).await?;
     start_store_loops(&router, Rc::new(source));
     singleton::start(&router, platform);
     for watched in [Watched::Configuration, Watched::Upstreams] {
@@ -75,7 +76,7 @@
     spawn_local(resume::watch_resumes(Rc::clone(&router)));
     spawn_local(probe::check_suspects(Rc::clone(&router)));
     spawn_local(judgement::judge_lost(Rc::clone(&router)));
-    spawn_local(sweep(Rc::clone(&router), log_progress));
+    spawn_local(remove_stale_state(Rc::clone(&router), log_progress));
     if let Some(path) = settings_path {
         spawn_local(signals::reload_settings(Rc::clone(&router), path));
     }
@@ -85,52 +86,63 @@
     Ok(())
 }
 
+/// Starts the tasks that read from the store or write to it.
 fn start_store_loops(router: &Rc<Router>, source: Rc<impl ConfigurationSource + 'static>) {
-    let both = || (Rc::clone(router), Rc::clone(&source));
-    let (cx, from) = both();
-    spawn_local(store_sync::watch_configuration(cx, from));
-    let (cx, from) = both();
-    spawn_local(store_sync::watch_upstreams(cx, from));
-    let (cx, from) = both();
-    spawn_local(store_sync::watch_rollouts(cx, from));
-    let (cx, from) = both();
-    spawn_local(rollout_steps::take_steps(cx, from));
-    let (cx, from) = both();
-    spawn_local(store_sync::ping_store(cx, from));
+    let handles = || (Rc::clone(router), Rc::clone(&source));
+    let (router, source) = handles();
+    spawn_local(store_sync::watch_configuration(router, source));
+    let (router, source) = handles();
+    spawn_local(store_sync::watch_upstreams(router, source));
+    let (router, source) = handles();
+    spawn_local(store_sync::watch_rollouts(router, source));
+    let (router, source) = handles();
+    spawn_local(rollout_steps::take_steps(router, source));
+    let (router, source) = handles();
+    spawn_local(store_sync::ping_store(router, source));
 }
 
-async fn listen(router: &Rc<Router>) -> Result<(), StartError> {
+/// Binds the addresses for peers, readiness checks, directory requests, metrics and callers, and starts the tasks that
+/// serve them.
+async fn start_listeners(router: &Rc<Router>) -> Result<(), StartError> {
     let listen = router.settings().listen.clone();
     let address = listen.peers;
     let socket = UdpSocket::bind(address).await;
     let socket = Rc::new(socket.context(ListenSnafu { address })?);
-    let cx = || Rc::clone(router);
+    let router_handle = || Rc::clone(router);
     router.datagrams.attach(Rc::clone(&socket));
-    spawn_local(peer_reports::receive_messages(cx(), socket));
-    spawn_local(heartbeats::send_messages(cx()));
-    spawn_local(serve(cx(), at(router, address).await?, peer_serve::on_peer));
+    spawn_local(peer_reports::receive_messages(router_handle(), socket));
+    spawn_local(heartbeats::send_messages(router_handle()));
     spawn_local(serve(
-        cx(),
-        at(router, listen.ready).await?,
+        router_handle(),
+        bind_listener(router, address).await?,
+        peer_serve::on_peer,
+    ));
+    spawn_local(serve(
+        router_handle(),
+        bind_listener(router, listen.ready).await?,
         handle_readiness,
     ));
     spawn_local(serve(
-        cx(),
-        at(router, listen.directory).await?,
+        router_handle(),
+        bind_listener(router, listen.directory).await?,
         handle_directory,
     ));
     if let Some(address) = listen.metrics {
-        spawn_local(serve(cx(), at(router, address).await?, handle_metrics));
+        spawn_local(serve(
+            router_handle(),
+            bind_listener(router, address).await?,
+            handle_metrics,
+        ));
     }
     spawn_local(serve(
-        cx(),
-        at(router, listen.callers).await?,
+        router_handle(),
+        bind_listener(router, listen.callers).await?,
         handle_caller,
     ));
     Ok(())
 }
 
-async fn at(router: &Router, address: SocketAddr) -> Result<TcpListener, StartError> {
+async fn bind_listener(router: &Router, address: SocketAddr) -> Result<TcpListener, StartError> {
     bind(&router.timers, address)
         .await
         .context(ListenSnafu { address })
@@ -140,13 +152,14 @@
     let reason = format!("incarnation {:016x}", router.lifecycle.incarnation());
     log_dependency(&router.log, "process.started", "process", &reason);
     for work in &router.settings().unknown_work {
-        let reason = "this release does not know such work; nobody does it here";
+        let reason = "this release does not support this kind of work; this router does not do it";
         log_dependency(&router.log, "settings.unknown-work", work, reason);
     }
 }
 
-/// Drops what cannot be used again, until the process ends.
-async fn sweep(router: Rc<Router>, log_progress: LogProgress) {
+/// Periodically closes stale idle connections, removes the state of upstreams that are gone, and updates the metric
+/// of dropped log lines. Runs until the process exits.
+async fn remove_stale_state(router: Rc<Router>, log_progress: LogProgress) {
     loop {
         router.timers.sleep(IDLE_SWEEP_PERIOD).await;
         router.pool.borrow_mut().close_stale(router.now());
--- a/crates/router/cloverpier_router/src/store_sync.rs
+++ b/crates/router/cloverpier_router/src/store_sync.rs
@@ -97,7 +97,7 @@
 
 /// Whether this router reads from the store although it has just started.
 fn is_first_read_due(router: &Router, random: f64) -> bool {
-    let started = router.lifecycle.started();
+    let started = router.lifecycle.started_at();
     let starting = StartupState {
         is_seed: is_seed(router),
         age: router.now().saturating_duration_since(started),
