--- a/crates/router/cloverpier_router/src/choice_log.rs
+++ b/crates/router/cloverpier_router/src/choice_log.rs
@@ -77,7 +77,7 @@
             prompt: request.prompt,
             resumes_after: note.resumes_after,
             from_replica: note.from_replica,
-            apart: note.apart,
+            is_isolated: note.apart,
             leaving: out.leaving,
             waiting: out.waiting,
             limited: limited.limited,
--- a/crates/router/cloverpier_router/src/crashes/hold.rs
+++ b/crates/router/cloverpier_router/src/crashes/hold.rs
@@ -99,7 +99,7 @@
     let line = RequestHeld {
         request: &request.id,
         content: content.to_string(),
-        ends: router
+        crash_count: router
             .crashes
             .cases
             .borrow()
--- a/crates/router/cloverpier_router/src/crashes/judgement.rs
+++ b/crates/router/cloverpier_router/src/crashes/judgement.rs
@@ -91,10 +91,10 @@
     let line = CrashRecorded {
         content: attempt.content.to_string(),
         upstream: upstream_name(router, attempt.crash_id.upstream),
-        start_ms: attempt.crash_id.time_ms,
-        ended_beside,
-        ran_well: attempt.has_completed,
-        ends: judged.crash_count,
+        start_time_ms: attempt.crash_id.time_ms,
+        concurrent_failures: ended_beside,
+        has_completed: attempt.has_completed,
+        crash_count: judged.crash_count,
         evidence: judged.evidence,
         age_ms: ms_since(attempt.upstream.at, now),
     };
@@ -112,7 +112,7 @@
         let line = CrashDiscarded {
             content: attempt.content.to_string(),
             upstream: upstream_name(router, attempt.crash_id.upstream),
-            start_ms: attempt.crash_id.time_ms,
+            start_time_ms: attempt.crash_id.time_ms,
             reason,
             age_ms: ms_since(attempt.upstream.at, now),
         };
--- a/crates/router/cloverpier_router/src/crashes/verdicts.rs
+++ b/crates/router/cloverpier_router/src/crashes/verdicts.rs
@@ -52,7 +52,7 @@
     }
     let stopped = router.crashes.cases.borrow().registry.blocked(now).len();
     let stopped = i64::try_from(stopped).unwrap_or(i64::MAX);
-    router.metrics.stopped_contents.set(stopped);
+    router.metrics.blocked_contents.set(stopped);
 }
 
 fn call_back(router: &Router, content: ContentKey) {
@@ -78,7 +78,7 @@
     });
     let line = ContentStopped {
         content: content.to_string(),
-        ends: ends.collect(),
+        crashes: ends.collect(),
         from,
     };
     router.log.info("content.stopped", &line);
--- a/crates/router/cloverpier_router/src/datagrams.rs
+++ b/crates/router/cloverpier_router/src/datagrams.rs
@@ -3,7 +3,7 @@
 //! [`Datagrams`] owns the way to the socket; what waits for the next round of sending is in
 //! [`crate::outbox`]. A datagram that is lost costs little: whatever matters is repeated, or asked for again.
 
-use crate::decision_log::log_dependency;
+use crate::decision_log::log_named_event;
 use crate::metrics::CounterByKind;
 use crate::peer_messages::{PeerMessage, encode};
 use cloverpier_observe::Log;
@@ -46,7 +46,7 @@
             return;
         };
         if let Err(error) = socket.writable().await {
-            log_dependency(&self.log, "peer.unsent", "peers", &error.to_string());
+            log_named_event(&self.log, "peer.unsent", "peers", &error.to_string());
         }
     }
 
@@ -58,7 +58,7 @@
         let bytes = match encode(message) {
             Ok(bytes) => bytes,
             Err(error) => {
-                log_dependency(&self.log, "peer.unsent", "peers", &error.to_string());
+                log_named_event(&self.log, "peer.unsent", "peers", &error.to_string());
                 return;
             }
         };
--- a/crates/router/cloverpier_router/src/decision_log.rs
+++ b/crates/router/cloverpier_router/src/decision_log.rs
@@ -1,7 +1,7 @@
-//! The log lines of decisions, each with the inputs that decided it.
+//! The log lines about decisions, each with the inputs of the decision.
 //!
-//! The names of events and fields are what on-call engineers search for, so they stay
-//! when the code's names change: `rename` holds the older one.
+//! On-call engineers search for the names of events and fields, so these names stay the same when fields are renamed
+//! in the code: a `rename` attribute keeps the old name. Owns no state.
 
 mod duties;
 mod upstreams;
@@ -16,97 +16,114 @@
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-/// Whole milliseconds since a moment.
+/// The time from `then` to `now` in whole milliseconds; 0 if `then` is later.
 pub(crate) fn ms_since(then: Instant, now: Instant) -> u64 {
     ms(now.saturating_duration_since(then))
 }
 
-/// Whole milliseconds of a duration.
+/// A duration in whole milliseconds.
 pub(crate) fn ms(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// A request was sent to an upstream.
+/// An upstream was chosen for an attempt.
 #[derive(Serialize)]
 pub(crate) struct UpstreamChosen<'a> {
+    /// The request id; empty if the caller set none.
     pub request: &'a str,
     pub route: &'a str,
     pub service: &'a str,
     #[serde(rename = "server")]
     pub upstream: &'a str,
+    /// The number of the attempt, from 1.
     pub attempt: u32,
+    /// This router's requests at the upstream.
     pub own_requests: u32,
+    /// The requests of other routers at the upstream, by their reports.
     pub peer_requests: u32,
+    /// Prompt tokens of the requests of all routers there that the upstream has not read yet.
     pub unread_tokens: u32,
-    /// Engines that were asked for their load and answered.
+    /// Number of engines that responded to the load query before the choice.
     pub loads_reported: usize,
-    /// What the upstream answered: requests there, and tokens in its KV cache.
+    /// Requests and KV cache tokens in the upstream's response to the load query; `None` without a response.
     pub reported_requests: Option<u32>,
     pub reported_memory: Option<u32>,
+    /// The engine to which the KV cache of the stream is replicated.
     #[serde(rename = "backup")]
     pub replica: Option<&'a str>,
-    /// The same for all requests with the same prompt, as after a caller's retry.
+    /// A hash of the prompt, the same for all requests with the same prompt, as after a caller's retry.
     pub prompt: Option<PromptKey>,
+    /// For a stream, the last event that the caller has received; the upstream sends the events after it.
     pub resumes_after: Option<u64>,
+    /// Whether the stream is resumed from a replica of its KV cache.
     #[serde(rename = "from_copy")]
     pub from_replica: bool,
-    /// Whether it was chosen for having the fewest others, as the request may be what ends upstreams.
-    pub apart: bool,
-    /// Upstreams of the service that got nothing, as they have said in answers that they leave.
+    /// Whether the request's content is suspected of crashing upstreams. An upstream with few other requests was chosen
+    /// then.
+    #[serde(rename = "apart")]
+    pub is_isolated: bool,
+    /// Number of upstreams of the service that were excluded because they announced that they are leaving.
     pub leaving: usize,
-    /// The same, as they want nothing for now.
+    /// Number of upstreams of the service that were excluded because they requested a pause (`Retry-After`).
     pub waiting: usize,
-    /// Upstreams of the service that limit themselves, and those of them that got nothing as there was no
-    /// permit.
+    /// Number of upstreams of the service that limit their request rate, and how many of them were excluded because no
+    /// permit was available.
     pub limited: usize,
     pub without_permit: usize,
+    /// The versions of the configuration and of the list of upstreams that the choice was based on.
     #[serde(rename = "catalog_version")]
     pub configuration_version: u64,
     #[serde(rename = "fleet_revision")]
     pub upstreams_revision: u64,
+    /// Milliseconds since the request arrived.
     pub age_ms: u64,
 }
 
-/// A send failed.
+/// An attempt failed.
 #[derive(Serialize)]
 pub(crate) struct SendFailed<'a> {
     pub request: &'a str,
     #[serde(rename = "server")]
     pub upstream: &'a str,
     pub outcome: AttemptOutcome,
+    /// The [`AttemptFailure`] as text.
     pub reason: &'a str,
+    /// What the router does next.
     pub next: NextStep,
+    /// For a stream, the last event that the caller has received.
     pub last_event: Option<u64>,
-    /// How long ago the request was sent there.
+    /// Milliseconds since the attempt began.
     pub attempt_ms: u64,
-    /// What repeats of the request have in common, where it may have run without an answer.
+    /// The key that all retries of the request share; set if the request may have run without a response.
     pub content: Option<String>,
+    /// Milliseconds since the request arrived.
     pub age_ms: u64,
 }
 
-/// How a request ended; the words are those of log lines and of the counter `requests`.
+/// How a request ended. The names in log lines are also the kinds of the metric `requests`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "&'static str")]
 pub(crate) enum RequestEnd {
-    /// The caller got an upstream's whole answer.
+    /// The caller received an upstream's complete response.
     Answered,
-    /// The caller got a stream to its end.
+    /// The caller received a stream up to its end.
     Completed,
-    /// A stream broke off and could not continue.
+    /// A stream was cut and could not be resumed at another upstream.
     BrokenOff,
     /// The caller closed the connection.
     CallerLeft,
-    /// The caller got "not run".
+    /// The caller received the response that the request has not run.
     Refused,
-    /// The same, when its time was over.
+    /// Like [`Self::Refused`], because the request's deadline passed.
     RefusedLate,
-    /// The caller got "may have run".
+    /// The caller received an error response that leaves open whether the request ran.
     Failed,
-    /// The same, when its time was over.
+    /// Like [`Self::Failed`], because the request's deadline passed.
     TimedOut,
-    /// The request was turned down at arrival.
+    /// The request was rejected on arrival.
     Rejected,
-    /// The answer says not to send it again: its content ends upstreams.
+    /// The request was blocked because its content crashes upstreams. The caller received an error response that
+    /// forbids a retry.
     Stopped,
 }
 
@@ -127,54 +144,65 @@
     }
 }
 
-/// A request ended.
+/// A request that was admitted ended.
 #[derive(Serialize)]
 pub(crate) struct RequestEnded<'a> {
     pub request: &'a str,
     pub route: &'a str,
+    /// The HTTP status that the caller received.
     pub status: u16,
     pub end: RequestEnd,
-    /// What decided that the request was given up.
+    /// Why the request failed; `None` if the caller received an upstream's response or closed the connection.
     pub reason: Option<&'a str>,
-    pub sent: u32,
+    /// Number of attempts.
+    #[serde(rename = "sent")]
+    pub attempts: u32,
+    /// Number of stream events that were sent to the caller; 0 for a plain request.
     pub events: u64,
+    /// Milliseconds from the arrival of the request to the first event; `None` without events.
     pub first_event_ms: Option<u64>,
+    /// The longest time between two events in milliseconds.
     pub longest_pause_ms: u64,
+    /// Milliseconds since the request arrived.
     pub age_ms: u64,
 }
 
-/// A request was turned down before it was sent anywhere.
+/// A request was rejected before it was sent to any upstream.
 #[derive(Serialize)]
 pub(crate) struct RequestRejected<'a> {
     pub request: &'a str,
     pub path: &'a str,
+    /// The HTTP status that the caller received.
     pub status: u16,
     pub reason: &'a str,
+    /// The version of the configuration in force; `None` before the first one.
     #[serde(rename = "catalog_version")]
     pub configuration_version: Option<u64>,
 }
 
-/// A header that cannot be read was treated as absent.
+/// A header of a request was ignored because its value can't be parsed.
 #[derive(Serialize)]
 pub(crate) struct UnreadableHeader<'a> {
     pub request: &'a str,
+    /// The name of the header.
     pub header: &'a str,
 }
 
-/// The machine was suspended, and goes on.
+/// The machine resumed after a suspension.
 #[derive(Serialize)]
 pub(crate) struct MachineResumed {
     pub suspended_ms: u64,
 }
 
-/// Something outside was lost or came back.
+/// An event of something that has a name, such as the store, a settings file or an upstream.
 #[derive(Serialize)]
-pub(crate) struct Dependency<'a> {
+pub(crate) struct NamedEvent<'a> {
+    /// The name of the dependency or object that the event is about.
     pub name: &'a str,
     pub reason: &'a str,
 }
 
-/// Logs that something outside was lost, came back, or could not be read.
-pub(crate) fn log_dependency(log: &Log, event: &'static str, name: &str, reason: &str) {
-    log.info(event, &Dependency { name, reason });
+/// Logs an event with the name of the dependency or object that it is about, and the reason.
+pub(crate) fn log_named_event(log: &Log, event: &'static str, name: &str, reason: &str) {
+    log.info(event, &NamedEvent { name, reason });
 }
--- a/crates/router/cloverpier_router/src/decision_log/upstreams.rs
+++ b/crates/router/cloverpier_router/src/decision_log/upstreams.rs
@@ -1,132 +1,154 @@
-//! Log lines on what is known of upstreams and of the contents that end them.
+//! Log lines about the state of upstreams, and about request contents that crash upstreams.
 //!
-//! As the parent module says, the names of events and fields stay.
+//! The names of events and fields are outer names; see the parent module. Owns no state.
 
 use cloverpier_crashes::{Admission, DiscardReason};
 use serde::Serialize;
 
-/// An upstream ended while it ran a request, as this router saw.
+/// This router recorded that an upstream crashed while it was running a request of this router.
 #[derive(Serialize)]
 pub(crate) struct CrashRecorded {
+    /// The key of the request's content.
     pub content: String,
     #[serde(rename = "server")]
     pub upstream: String,
-    /// When it had started, as a Unix time in milliseconds; 0 where it does not say.
-    pub start_ms: u64,
-    /// Others of its service that ended at about the same time; nothing where they were many.
-    pub ended_beside: Option<usize>,
-    /// Whether the content ran to its end a moment before, so that the end does not count.
-    pub ran_well: bool,
-    /// Ends that are known of the content.
-    pub ends: usize,
-    /// What is known against it, in thousandths of an end that nothing else explains.
+    /// The start of the crashed process as a Unix time in milliseconds; 0 if the upstream does not report it.
+    #[serde(rename = "start_ms")]
+    pub start_time_ms: u64,
+    /// Number of other upstreams of the service that failed at about the same time; `None` if there were too many to
+    /// list.
+    #[serde(rename = "ended_beside")]
+    pub concurrent_failures: Option<usize>,
+    /// Whether a request with this content completed shortly before; the crash does not count against the content
+    /// then.
+    #[serde(rename = "ran_well")]
+    pub has_completed: bool,
+    /// Number of crashes that count against the content.
+    #[serde(rename = "ends")]
+    pub crash_count: usize,
+    /// The sum of the weights of these crashes, in thousandths. A crash has full weight (1000) if nothing but the
+    /// content explains it.
     pub evidence: u32,
-    /// How long ago the attempt broke off.
+    /// Milliseconds since the attempt was lost.
     pub age_ms: u64,
 }
 
-/// An attempt was lost at an upstream, and no end is counted for it.
+/// An attempt was lost at an upstream, and no crash is recorded for it.
 #[derive(Serialize)]
 pub(crate) struct CrashDiscarded {
+    /// The key of the request's content.
     pub content: String,
     #[serde(rename = "server")]
     pub upstream: String,
-    /// When it had started, as a Unix time in milliseconds; 0 where it does not say.
-    pub start_ms: u64,
+    /// The start of the upstream's process as a Unix time in milliseconds; 0 if the upstream does not report it.
+    #[serde(rename = "start_ms")]
+    pub start_time_ms: u64,
     pub reason: DiscardReason,
-    /// How long ago the attempt was lost.
+    /// Milliseconds since the attempt was lost.
     pub age_ms: u64,
 }
 
-/// A request has waited until it was known whether the upstreams ended at which it was lost.
+/// A request was held until it was resolved whether its content crashed the upstreams at which attempts were lost.
 #[derive(Serialize)]
 pub(crate) struct RequestHeld<'a> {
+    /// The request id.
     pub request: &'a str,
+    /// The key of the request's content.
     pub content: String,
-    /// Ends that are known of the content.
-    pub ends: usize,
+    /// Number of crashes that count against the content.
+    #[serde(rename = "ends")]
+    pub crash_count: usize,
     pub held_ms: u64,
-    /// How it goes on.
+    /// Whether and how the request is sent after the wait.
     pub admission: Admission,
 }
 
-/// A content is sent to no upstream any more.
+/// A request content was blocked: requests with it are not sent to upstreams any more.
 #[derive(Serialize)]
 pub(crate) struct ContentStopped<'a> {
+    /// The key of the blocked content.
     pub content: String,
-    /// The upstreams that ended, and when.
-    pub ends: Vec<String>,
-    /// By whom this router learned of the last of them.
+    /// The crashed upstreams, and how long ago each of them crashed.
+    #[serde(rename = "ends")]
+    pub crashes: Vec<String>,
+    /// The source of the change, such as a peer or the settings.
     pub from: &'a str,
 }
 
-/// A content that was stopped may be sent again.
+/// A request content is not blocked any more.
 #[derive(Serialize)]
 pub(crate) struct ContentCleared<'a> {
+    /// The key of the unblocked content.
     pub content: String,
+    /// The source of the change, such as a peer or the settings.
     pub from: &'a str,
 }
 
-/// What is believed of an upstream has changed.
+/// An upstream was suspected to be dead, found to be alive, replaced or restarted.
 #[derive(Serialize)]
 pub(crate) struct UpstreamStateChanged<'a> {
     #[serde(rename = "server")]
     pub upstream: &'a str,
     pub address: String,
     pub reason: &'a str,
+    /// Milliseconds since the upstream's last activity when it was suspected, or the time for which it was suspected
+    /// when it was found to be alive. 0 for other events.
     pub silent_ms: u64,
 }
 
-/// This router has learned that an upstream leaves, otherwise than by its entry.
+/// This router learned from a response or a peer that an upstream is leaving.
 #[derive(Serialize)]
 pub(crate) struct UpstreamLeaving<'a> {
     #[serde(rename = "server")]
     pub upstream: &'a str,
     pub address: String,
-    /// The call whose answer said so, or `peer`.
+    /// The kind of call whose response announced it, or `peer`.
     pub via: &'a str,
-    /// The request's id, if it was one.
+    /// The request id, if the call was a caller's request.
     pub request: Option<&'a str>,
-    /// The peer that said so.
+    /// The peer that reported it; `None` if a response announced it.
     pub peer: Option<String>,
-    /// Since when the first router has known it.
+    /// Milliseconds since the announcement arrived at the first router.
     pub age_ms: u64,
 }
 
-/// An upstream has turned a request away and wants nothing for a time.
+/// An upstream rejected a call and requested a pause (`Retry-After`), during which this VM sends it no requests.
 #[derive(Serialize)]
 pub(crate) struct UpstreamPaused<'a> {
     #[serde(rename = "server")]
     pub upstream: &'a str,
+    /// The length of the pause in milliseconds.
     pub wait_ms: u64,
-    /// The call whose answer said so.
+    /// The kind of call whose response requested the pause.
     pub via: &'a str,
-    /// The request's id, if it was one.
+    /// The request id, if the call was a caller's request.
     pub request: Option<&'a str>,
 }
 
-/// An upstream limits itself, names another rate than before, or none any more.
+/// An upstream started to limit its request rate, changed the limit, or ended it.
 #[derive(Serialize)]
 pub(crate) struct RateLimitChanged<'a> {
     #[serde(rename = "server")]
     pub upstream: &'a str,
-    /// Requests a second that it takes from all routers together; nothing where it is not limited
-    /// any more.
+    /// The number of requests per second that the upstream accepts from all routers together; `None` if it does not
+    /// limit its request rate any more.
     pub rate: Option<f64>,
-    pub former_rate: Option<f64>,
-    /// The call whose answer said so, or `peer`.
+    /// The rate before the change; `None` if the upstream did not limit its request rate.
+    #[serde(rename = "former_rate")]
+    pub previous_rate: Option<f64>,
+    /// The kind of call whose response contained the change, or `peer`.
     pub via: &'a str,
-    /// The request's id, if it was one.
+    /// The request id, if the call was a caller's request.
     pub request: Option<&'a str>,
-    /// The peer that said so.
+    /// The peer that reported the change; `None` if a response contained it.
     pub peer: Option<String>,
-    /// How long ago it reached the first router.
+    /// Milliseconds since the change arrived at the first router.
     pub age_ms: u32,
-    /// The router that hands out permits for it, as far as this one knows.
+    /// The router that grants permits for the upstream, according to this router's list of live routers.
     pub limiter: Option<String>,
 }
 
-/// A router that should hand out permits does not answer, so that another one is asked.
+/// A limiter, which is a router that grants permits for upstreams, did not reply. Another router is used in its place.
 #[derive(Serialize)]
 pub(crate) struct LimiterUnresponsive {
     pub limiter: String,
--- a/crates/router/cloverpier_router/src/decision_log/versions.rs
+++ b/crates/router/cloverpier_router/src/decision_log/versions.rs
@@ -1,70 +1,83 @@
-//! Log lines on the store, on versions that travel between routers, and on prompts that are searched.
+//! Log lines about the store, about versions of the configuration and of the list of upstreams that routers send each
+//! other, and about prompt searches.
 //!
-//! As the parent module says, the names of events and fields stay.
+//! The names of events and fields are outer names; see the parent module. Owns no state.
 
 use cloverpier_router_policy::prelude::*;
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// This router begins or ends to watch the store.
+/// This router started or stopped watching the store.
 #[derive(Serialize)]
 pub(crate) struct WatcherRoleChanged {
     #[serde(rename = "follows")]
     pub watches: bool,
+    /// Number of other routers that are alive.
     pub live_peers: usize,
-    pub reason: WatcherRole,
+    /// The role that this router has now.
+    #[serde(rename = "reason")]
+    pub role: WatcherRole,
 }
 
-/// A newer version was put in force.
+/// A newer version of the configuration or of the list of upstreams was put in force.
 #[derive(Serialize)]
 pub(crate) struct VersionApplied<'a> {
+    /// Which of the two.
     pub what: &'a str,
     pub version: u64,
+    /// The peer that sent the version, or the store.
     pub from: &'a str,
 }
 
-/// A newer version was fetched from a peer.
+/// A newer version of the configuration or of the list of upstreams was fetched from a peer.
 #[derive(Serialize)]
 pub(crate) struct VersionFetched<'a> {
+    /// Which of the two.
     pub what: &'a str,
+    /// The peer.
     pub from: SocketAddr,
-    /// Bytes of the reply's body, as they were on the wire.
+    /// Length of the response's body as transmitted.
     pub bytes: usize,
+    /// Milliseconds from the request to the last byte of the response.
     pub took_ms: u64,
 }
 
-/// A newer version could not be fetched from a peer.
+/// A newer version of the configuration or of the list of upstreams could not be fetched from a peer.
 #[derive(Serialize)]
 pub(crate) struct FetchFailed<'a> {
     pub name: &'a str,
     pub reason: &'a str,
+    /// Which of the two.
     pub what: &'a str,
+    /// The peer.
     pub from: SocketAddr,
+    /// Milliseconds from the request to the failure.
     pub took_ms: u64,
 }
 
-/// A configuration was handed to a peer.
+/// A copy of the configuration was sent to a peer.
 #[derive(Serialize)]
 pub(crate) struct VersionServed<'a> {
     pub what: &'a str,
     pub version: u64,
+    /// Length of the copy as transmitted.
     pub bytes: usize,
 }
 
-/// A search for the engine that has read a prompt has ended.
+/// A search for an engine that has read a prompt ended.
 #[derive(Debug, Serialize)]
 pub(crate) struct PromptSearched<'a> {
-    /// The request that goes on with the prompt.
+    /// The id of the request that continues the prompt.
     pub request: &'a str,
-    /// The service.
+    /// The service whose engines were queried.
     pub service: &'a str,
-    /// The prompt.
+    /// A hash of the prompt.
     pub prompt: PromptKey,
-    /// Engines that were asked recently, for any prompt.
+    /// Number of engines that were queried recently, for this prompt or others.
     #[serde(rename = "engines_asked_of_late")]
-    pub engines_asked: usize,
-    /// Whether one of them has it.
+    pub recently_queried: usize,
+    /// Whether the location of the prompt is known after the search.
     pub found: bool,
-    /// How long it took, in milliseconds.
+    /// The duration of the search in milliseconds.
     pub took_ms: u64,
 }
--- a/crates/router/cloverpier_router/src/gossip.rs
+++ b/crates/router/cloverpier_router/src/gossip.rs
@@ -5,7 +5,7 @@
 //! sends. Owns no state: [`crate::peers`] does.
 
 use crate::crashes::reports as crash_reports;
-use crate::decision_log::log_dependency;
+use crate::decision_log::log_named_event;
 use crate::heartbeats::store_age_ms;
 use crate::leaving_reports;
 use crate::limit_reports;
@@ -41,7 +41,7 @@
         .borrow_mut()
         .check_predecessors(was_paused, now);
     for dead in &step.dead {
-        log_dependency(
+        log_named_event(
             &router.log,
             "peer.dead",
             &dead.to_string(),
@@ -280,7 +280,7 @@
         // Whoever learns of the revision fetches them.
         Ok(_) => false,
         Err(error) => {
-            log_dependency(&router.log, "peer.unsent", "peers", &error.to_string());
+            log_named_event(&router.log, "peer.unsent", "peers", &error.to_string());
             false
         }
     }
--- a/crates/router/cloverpier_router/src/leaving_reports.rs
+++ b/crates/router/cloverpier_router/src/leaving_reports.rs
@@ -62,7 +62,7 @@
     now: Instant,
 ) {
     router.last_leaving_at.set(Some(now));
-    router.metrics.leavings.count(how);
+    router.metrics.leaving_upstreams.count(how);
     let known = router
         .upstreams
         .borrow()
--- a/crates/router/cloverpier_router/src/lib.rs
+++ b/crates/router/cloverpier_router/src/lib.rs
@@ -1,30 +1,30 @@
-//! The router: the process that takes callers' requests to upstreams.
+//! The router: the process that forwards callers' requests to upstreams.
 //!
-//! It carries out what `cloverpier_router_policy` decides, and holds no rule of its own. One
-//! thread runs it all, so its state is shared by [`std::rc::Rc`] and borrowed for moments;
-//! `router` says which part owns what. The names on the wire (headers, paths, bodies) come
-//! as [`WireNames`], and configuration and upstreams through a [`ConfigurationSource`].
+//! This crate does the I/O and applies the decisions of `cloverpier_router_policy`; it contains no decision rules of
+//! its own. All tasks run on one thread, so they share state by [`std::rc::Rc`] and borrow it briefly; the module
+//! `router` lists which component owns which state. A platform's adapter provides the names on the wire (headers,
+//! paths, bodies) as [`WireNames`], and the configuration and the upstreams through a [`ConfigurationSource`].
 //!
 //! | concern | modules |
 //! | --- | --- |
-//! | start, stop | `start`, `stop`, `lifecycle` |
-//! | a request, in the order in which it meets them | `web`, `intake`, `buffer_reservation`, `relay_request`, then `plain` or `stream`, `send`, `wait`, `outcome`, `reply` |
+//! | start, shutdown | `start`, `signals`, `lifecycle` |
+//! | a request, in the order of processing | `web`, `intake`, `buffer_reservation`, `relay_request`, then `plain` or `stream`, `send`, `wait`, `outcome`, `responses` |
 //! | engines that have read a prompt | `prompts`, `prompt_search` |
-//! | questions to engines on their load | `load_query`, `engine_call` |
-//! | requests that end upstreams | `crashes`, `cancel_signal` |
+//! | queries for engines' load | `load_query`, `engine_call` |
+//! | requests that crash upstreams | `crashes`, `cancel_signal` |
 //! | upstreams' health | `health`, `probe`, `successors`, `restart`, `load_guard` |
-//! | what upstreams say of themselves | `statements`, `leaving_reports`, `limit_reports`, `upstream_limits` |
+//! | upstreams' statements about themselves | `statements`, `leaving_reports`, `limit_reports`, `upstream_limits` |
 //! | the store | `source`, `store_sync`, `store_view`, `store_events`, `upstream_updates` |
 //! | roll-outs of new versions | `rollout_state`, `rollouts`, `rollout_steps`, `rollout_store` |
-//! | work that one router at a time does | `singleton` |
+//! | work that only one router at a time does | `singleton` |
 //! | other routers | `peers`, `outbox`, `datagrams`, `heartbeats`, `gossip`, `peer_reports`, `peer_fetch`, `peer_serve`, `list_copies`, `configuration_copies`, [`peer_messages`] |
 //! | connections | `connection`, `pool`, `http_client`, `body` |
-//! | logs and metrics | `decision_log`, `choice_log`, `beliefs`, `via`, `metrics` |
-//! | work beside the thread that serves | `background` |
+//! | logs and metrics | `decision_log`, `choice_log`, `beliefs`, `call_kind`, `metrics` |
+//! | CPU-heavy work on another thread | `background` |
 //!
-//! HTTP is spoken by `hyper` at the level of connections: what may be repeated
-//! turns on whether a request was written, whether an answer ended cleanly and
-//! whether anything came after it, which clients with built-in pools hide.
+//! The crate uses `hyper` at the level of connections. Whether a request may be retried depends on whether any byte of
+//! the request was written, whether the response ended cleanly and whether more data followed the response. HTTP
+//! clients with built-in connection pools do not report these.
 //!
 //! ```
 //! use cloverpier_router::peer_messages::{Change, PeerMessage, decode, encode};
@@ -107,7 +107,7 @@
 mod web;
 mod wire_names;
 
-/// What users of the crate need daily.
+/// The items that most users of the crate need; the crate root exports them, too.
 pub mod prelude {
     pub use crate::background::run_in_background;
     pub use crate::http_client::{CallError, DownloadTimeouts, HttpClient, HttpResponse};
--- a/crates/router/cloverpier_router/src/metrics.rs
+++ b/crates/router/cloverpier_router/src/metrics.rs
@@ -1,8 +1,8 @@
-//! Counters and latency histograms of the router, in the usual text exposition format.
+//! The router's metrics, in the text exposition format of Prometheus.
 //!
-//! Owns all metrics of the process. Names, kinds and help texts are what dashboards rely on;
-//! a golden file of the adapter's tests holds them. They are not `cadence`'s, as readers
-//! fetch them here.
+//! Owns all metrics of the process. Dashboards rely on their names, kinds and help texts, which a golden file of the
+//! adapter's tests pins. `prometheus-client` keeps them, and not `cadence`, because scrapers pull them from this
+//! process.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -13,29 +13,29 @@
 use prometheus_client::registry::Registry;
 use std::time::Duration;
 
-/// The label of a counter that is kept by kind.
+/// The label that distinguishes the counters of a [`CounterByKind`].
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct Kind {
     kind: &'static str,
 }
 
-/// A counter for each kind of a thing.
+/// A family of counters, with the kind of the counted event as the label.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CounterByKind(Family<Kind, Counter>);
 
 impl CounterByKind {
-    /// Counts one of a kind.
+    /// Increments the counter of a kind by 1.
     pub fn count(&self, kind: &'static str) {
         self.add(kind, 1);
     }
 
-    /// Counts some of a kind.
+    /// Increments the counter of a kind by `count`.
     pub fn add(&self, kind: &'static str, count: u64) {
         self.0.get_or_create(&Kind { kind }).inc_by(count);
     }
 }
 
-/// Latencies in seconds, from 1 ms to about 33 s.
+/// A histogram of latencies in seconds, with buckets from 1 ms to about 33 s.
 #[derive(Clone, Debug)]
 pub(crate) struct Latency(Histogram);
 
@@ -46,64 +46,66 @@
 }
 
 impl Latency {
-    /// Notes how long something took.
-    pub fn observe(&self, took: Duration) {
-        self.0.observe(took.as_secs_f64());
+    /// Records one duration.
+    pub fn observe(&self, duration: Duration) {
+        self.0.observe(duration.as_secs_f64());
     }
 }
 
-/// All metrics of a router.
+/// All metrics of a router, and the registry that encodes them.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Requests by how they ended.
+    /// Requests from callers, by how they ended.
     pub requests: CounterByKind,
-    /// Sends to upstreams by outcome.
-    pub sends: CounterByKind,
-    /// Streams that went on elsewhere, by cause.
-    pub resumed: CounterByKind,
-    /// Calls to the platform's store by outcome.
+    /// Failed attempts at upstreams, by outcome.
+    pub failed_attempts: CounterByKind,
+    /// Streams that were resumed at another upstream, by the outcome of the lost attempt.
+    pub resumed_streams: CounterByKind,
+    /// Calls to the platform's store, by outcome.
     pub store_calls: CounterByKind,
-    /// Probes, checks and searches by outcome.
+    /// Probes, checks, load queries and cache queries to upstreams, by outcome.
     pub probes: CounterByKind,
-    /// Fetches of versions from peers by outcome.
+    /// Fetches of configurations and lists of upstreams from peers, by outcome.
     pub version_fetches: CounterByKind,
-    /// Steps of roll-outs by stage.
+    /// Stages that roll-outs reached, and orders that were given or withdrawn.
     pub rollouts: CounterByKind,
-    /// Upstreams that ended under requests: ends seen and reported by peers, contents stopped and cleared.
+    /// Crashes of upstreams that were running a request: crashes that this router recorded or peers reported, requests
+    /// held, and request contents blocked or unblocked.
     pub crashes: CounterByKind,
-    /// Upstreams that leave, as an answer or a peer said.
-    pub leavings: CounterByKind,
-    /// Times that upstreams began to want nothing.
-    pub waits: Counter,
-    /// Limits that upstreams named: begun, changed, ended.
+    /// Upstreams that announced that they are leaving, by whether a response or a peer reported the announcement.
+    pub leaving_upstreams: CounterByKind,
+    /// Pauses (`Retry-After`) that upstreams requested; a request during a pause does not count again.
+    pub pause_requests: Counter,
+    /// Rate limits that upstreams advertise, by whether a limit began, changed or ended.
     pub upstream_limits: CounterByKind,
-    /// Permits for upstreams that limit themselves, got and handed out.
+    /// Permits to send requests to upstreams that limit their request rate, by the outcome of the permit request.
     pub permits: CounterByKind,
-    /// The lease on work that one router at a time does, and that work.
+    /// Events of the lease on work that only one router at a time does, and of that work.
     pub singleton: CounterByKind,
-    /// Contents that are stopped.
-    pub stopped_contents: Gauge,
-    /// Datagrams sent to peers, and their bytes, by what they say.
+    /// Number of request contents that are blocked at present.
+    pub blocked_contents: Gauge,
+    /// Datagrams sent to peers, by kind of message.
     pub peer_datagrams: CounterByKind,
+    /// Bytes in datagrams sent to peers, by kind of message.
     pub peer_bytes: CounterByKind,
-    /// Bytes of versions handed to peers.
+    /// Bytes of configurations and lists of upstreams sent to peers.
     pub version_bytes: Counter,
-    /// New connections to upstreams.
+    /// Connections opened to upstreams, including failed ones.
     pub connections: Counter,
-    /// Times that the machine was suspended.
+    /// Number of suspensions of the machine.
     pub suspensions: Counter,
-    /// Log lines dropped.
+    /// Number of log lines that were dropped.
     pub dropped_lines: Gauge,
-    /// Requests in flight.
+    /// Number of requests in flight, updated when the metrics are requested.
     pub in_flight: Gauge,
-    /// From arrival to the answer, or to the first event of a stream.
-    pub first_answer: Latency,
-    /// From the last event of a lost run to the first one of the next.
+    /// Time from the arrival of a request to a valid response, or to the first event of a stream.
+    pub first_response: Latency,
+    /// Time from the last event of a lost attempt of a stream to the first event of the next attempt.
     pub resume_pause: Latency,
-    /// From the last sign of life to the verdict that an upstream is dead.
-    pub detection: Latency,
-    /// From the request for a version to its last byte from a peer.
+    /// Time from an upstream's last activity to the moment when the upstream is declared dead.
+    pub failure_detection: Latency,
+    /// Time from the request for a configuration or a list of upstreams to the last byte of the peer's response.
     pub version_fetch: Latency,
 }
 
@@ -112,19 +114,19 @@
         let mut metrics = Self {
             registry: Registry::with_prefix("cloverpier"),
             requests: CounterByKind::default(),
-            sends: CounterByKind::default(),
-            resumed: CounterByKind::default(),
+            failed_attempts: CounterByKind::default(),
+            resumed_streams: CounterByKind::default(),
             store_calls: CounterByKind::default(),
             probes: CounterByKind::default(),
             version_fetches: CounterByKind::default(),
             rollouts: CounterByKind::default(),
             crashes: CounterByKind::default(),
-            leavings: CounterByKind::default(),
-            waits: Counter::default(),
+            leaving_upstreams: CounterByKind::default(),
+            pause_requests: Counter::default(),
             upstream_limits: CounterByKind::default(),
             permits: CounterByKind::default(),
             singleton: CounterByKind::default(),
-            stopped_contents: Gauge::default(),
+            blocked_contents: Gauge::default(),
             peer_datagrams: CounterByKind::default(),
             peer_bytes: CounterByKind::default(),
             version_bytes: Counter::default(),
@@ -132,9 +134,9 @@
             suspensions: Counter::default(),
             dropped_lines: Gauge::default(),
             in_flight: Gauge::default(),
-            first_answer: Latency::default(),
+            first_response: Latency::default(),
             resume_pause: Latency::default(),
-            detection: Latency::default(),
+            failure_detection: Latency::default(),
             version_fetch: Latency::default(),
         };
         metrics.register();
@@ -154,17 +156,21 @@
     fn register_requests(&mut self) {
         let registry = &mut self.registry;
         registry.register("requests", "Requests by end", self.requests.0.clone());
-        registry.register("sends", "Sends to servers by outcome", self.sends.0.clone());
+        registry.register(
+            "sends",
+            "Sends to servers by outcome",
+            self.failed_attempts.0.clone(),
+        );
         registry.register(
             "resumed",
             "Streams resumed by cause",
-            self.resumed.0.clone(),
+            self.resumed_streams.0.clone(),
         );
         registry.register("in_flight", "Requests in flight", self.in_flight.clone());
         registry.register(
             "first_answer_seconds",
             "To the first byte",
-            self.first_answer.0.clone(),
+            self.first_response.0.clone(),
         );
         registry.register(
             "resume_pause_seconds",
@@ -180,14 +186,18 @@
         registry.register(
             "detection_seconds",
             "Silence to verdict",
-            self.detection.0.clone(),
+            self.failure_detection.0.clone(),
         );
         registry.register(
             "leavings",
             "Servers that said they leave",
-            self.leavings.0.clone(),
+            self.leaving_upstreams.0.clone(),
+        );
+        registry.register(
+            "waits",
+            "Servers that want nothing",
+            self.pause_requests.clone(),
         );
-        registry.register("waits", "Servers that want nothing", self.waits.clone());
         registry.register(
             "server_limits",
             "Limits that servers named",
@@ -234,7 +244,7 @@
         registry.register(
             "stopped_contents",
             "Requests that are stopped, by content",
-            self.stopped_contents.clone(),
+            self.blocked_contents.clone(),
         );
     }
 
@@ -268,10 +278,10 @@
         );
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics in the text exposition format.
     pub fn text(&self) -> String {
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a string can't fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
--- a/crates/router/cloverpier_router/src/outcome.rs
+++ b/crates/router/cloverpier_router/src/outcome.rs
@@ -196,7 +196,7 @@
             status: ending.status.as_u16(),
             end: ending.end,
             reason: ending.reason,
-            sent: attempts.sent(),
+            attempts: attempts.sent(),
             events: progress.events,
             first_event_ms: progress.first_event.map(|at| ms_since(request.arrived, at)),
             longest_pause_ms: ms(progress.longest_pause),
@@ -224,7 +224,7 @@
 /// Counts and logs a failed attempt.
 pub(crate) fn log_failure(router: &Router, request: &RelayRequest, attempt: &FailedAttempt<'_>) {
     let outcome = attempt.failure.outcome();
-    router.metrics.sends.count(outcome_name(outcome));
+    router.metrics.failed_attempts.count(outcome_name(outcome));
     router.log.info(
         "send.failed",
         &SendFailed {
--- a/crates/router/cloverpier_router/src/peer_reports.rs
+++ b/crates/router/cloverpier_router/src/peer_reports.rs
@@ -6,7 +6,7 @@
 
 use crate::crashes::record;
 use crate::crashes::reports as crash_reports;
-use crate::decision_log::log_dependency;
+use crate::decision_log::log_named_event;
 use crate::gossip::{self, member_of};
 use crate::leaving_reports;
 use crate::limit_reports;
@@ -40,7 +40,7 @@
             Err(error) => {
                 if !std::mem::replace(&mut is_reported, true) {
                     let name = sender.to_string();
-                    log_dependency(&router.log, "peer.unreadable", &name, &error.to_string());
+                    log_named_event(&router.log, "peer.unreadable", &name, &error.to_string());
                 }
             }
         }
--- a/crates/router/cloverpier_router/src/peer_serve.rs
+++ b/crates/router/cloverpier_router/src/peer_serve.rs
@@ -8,7 +8,7 @@
 use crate::background::run_in_background;
 use crate::body::ResponseBody;
 use crate::configuration_copies::CopyEncoding;
-use crate::decision_log::{VersionServed, log_dependency};
+use crate::decision_log::{VersionServed, log_named_event};
 use crate::peer_messages::{CodecError, UpstreamsReply, compress, encode};
 use crate::responses::{ServerResponse, error_response, set_retry_after};
 use crate::router::Router;
@@ -48,7 +48,7 @@
     };
     served
         .unwrap_or_else(|error| {
-            log_dependency(&router.log, "peer.unsent", "peers", &error.to_string());
+            log_named_event(&router.log, "peer.unsent", "peers", &error.to_string());
             None
         })
         .unwrap_or_else(|| error_response(StatusCode::NOT_FOUND, "no such version"))
--- a/crates/router/cloverpier_router/src/plain.rs
+++ b/crates/router/cloverpier_router/src/plain.rs
@@ -231,7 +231,7 @@
             measurement.answered();
         }
         let since_arrival = now.saturating_duration_since(self.request.arrived);
-        self.router.metrics.first_answer.observe(since_arrival);
+        self.router.metrics.first_response.observe(since_arrival);
         Ok(reply)
     }
 
--- a/crates/router/cloverpier_router/src/probe.rs
+++ b/crates/router/cloverpier_router/src/probe.rs
@@ -180,7 +180,7 @@
         return;
     }
     let silent = now.saturating_duration_since(last_activity);
-    router.metrics.detection.observe(silent);
+    router.metrics.failure_detection.observe(silent);
     log_belief(
         &router.log,
         "server.suspected",
--- a/crates/router/cloverpier_router/src/prompt_search.rs
+++ b/crates/router/cloverpier_router/src/prompt_search.rs
@@ -36,7 +36,7 @@
             request: &request.id,
             service: service.as_str(),
             prompt,
-            engines_asked: router.prompts.searches.borrow().recently_queried(),
+            recently_queried: router.prompts.searches.borrow().recently_queried(),
             found: is_located(router, prompt),
             took_ms: ms_since(begun, router.now()),
         },
--- a/crates/router/cloverpier_router/src/rollout_store.rs
+++ b/crates/router/cloverpier_router/src/rollout_store.rs
@@ -3,7 +3,7 @@
 //! The routers that decide write the status in turns, under the revision that they know; what the
 //! store holds goes before what anybody decided. Owns no state; [`crate::rollouts`] does.
 
-use crate::decision_log::log_dependency;
+use crate::decision_log::log_named_event;
 use crate::rollout_steps::next_step;
 use crate::rollouts::apply_views;
 use crate::router::Router;
@@ -121,7 +121,7 @@
 fn on_write_failed(router: &Router, service: &ServiceName, error: &SourceError) {
     router.metrics.store_calls.count("failed");
     let reason = format!("status not written: {error}");
-    log_dependency(&router.log, "rollout.unwritten", service.as_str(), &reason);
+    log_named_event(&router.log, "rollout.unwritten", service.as_str(), &reason);
 }
 
 /// Applies what the store says of an order.
@@ -150,7 +150,7 @@
         RolloutChange::Unreadable { name, reason } => {
             // An object whose name cannot be read takes no order back: the line has no name.
             let name = name.unwrap_or_default();
-            log_dependency(&router.log, "rollout.unreadable", &name, &reason);
+            log_named_event(&router.log, "rollout.unreadable", &name, &reason);
             match withdrawn(router, &name) {
                 Some(stored) => new_view(stored.service, stored.revision + 1, None, bounds),
                 None => return,
--- a/crates/router/cloverpier_router/src/signals.rs
+++ b/crates/router/cloverpier_router/src/signals.rs
@@ -5,8 +5,8 @@
 //! the previous settings stay in force. Owns the text that was read last.
 
 use crate::crashes::verdicts;
-use crate::decision_log::Dependency;
-use crate::decision_log::log_dependency;
+use crate::decision_log::NamedEvent;
+use crate::decision_log::log_named_event;
 use crate::router::Router;
 use cloverpier_observe::NoFields;
 use cloverpier_router_policy::lifecycle::{SHUTDOWN_CHECK_PERIOD, ShutdownStep, shutdown_step};
@@ -52,7 +52,7 @@
     let mut hang_up = match signal(SignalKind::hangup()) {
         Ok(hang_up) => hang_up,
         Err(error) => {
-            log_dependency(
+            log_named_event(
                 &router.log,
                 "dependency.lost",
                 "signals",
@@ -97,7 +97,7 @@
             Ok(text) => text,
             Err(error) => {
                 if !std::mem::replace(&mut self.is_unreadable, true) {
-                    log_dependency(
+                    log_named_event(
                         &router.log,
                         "dependency.lost",
                         "settings",
@@ -125,7 +125,7 @@
         }
         Err(errors) => {
             let reason = errors.to_string();
-            let line = Dependency {
+            let line = NamedEvent {
                 name: "settings",
                 reason: &reason,
             };
--- a/crates/router/cloverpier_router/src/singleton/keeper.rs
+++ b/crates/router/cloverpier_router/src/singleton/keeper.rs
@@ -6,7 +6,7 @@
 use super::platform::{LeaseRecord, RecordWritten, SingletonPlatform, StoredRecord};
 use super::state::{Singleton, Work};
 use super::{count, reports};
-use crate::decision_log::log_dependency;
+use crate::decision_log::log_named_event;
 use crate::decision_log::{LeaseChanged, ms};
 use crate::router::Router;
 use cloverpier_core::{jitter, wall_ms};
@@ -237,7 +237,7 @@
     async fn after_failure(&mut self, reason: &str) {
         count(&self.router.metrics, "store-failed");
         if self.pause == INITIAL_PAUSE {
-            log_dependency(&self.router.log, "lease.uncertain", "lease", reason);
+            log_named_event(&self.router.log, "lease.uncertain", "lease", reason);
         }
         let pause = jitter(&mut self.router.rng.borrow_mut(), self.pause);
         self.pause = (self.pause * 2).min(MAX_PAUSE);
--- a/crates/router/cloverpier_router/src/singleton/work.rs
+++ b/crates/router/cloverpier_router/src/singleton/work.rs
@@ -6,7 +6,7 @@
 use super::count;
 use super::platform::{ServiceScaling, SignedBy, SingletonPlatform};
 use super::state::Singleton;
-use crate::decision_log::log_dependency;
+use crate::decision_log::log_named_event;
 use crate::decision_log::{EnginesOrdered, UsageReported};
 use crate::router::Router;
 use crate::source::SourceError;
@@ -164,7 +164,7 @@
         };
         count(&self.router.metrics, "call-failed");
         let since = *self.failing_since.get_or_insert_with(|| {
-            log_dependency(
+            log_named_event(
                 &self.router.log,
                 "dependency.lost",
                 name,
@@ -177,7 +177,7 @@
             self.failing_since = None;
             let until = now + duration * UNFIT_FOR;
             self.singleton.unfit_until.set(Some(until));
-            log_dependency(&self.router.log, "lease.left", name, &error.to_string());
+            log_named_event(&self.router.log, "lease.left", name, &error.to_string());
         }
     }
 
@@ -211,7 +211,7 @@
             Ok(scaling) => self.scaling = Some((version, scaling)),
             Err(error) => {
                 let reason = error.to_string();
-                log_dependency(&self.router.log, "dependency.lost", "scaling", &reason);
+                log_named_event(&self.router.log, "dependency.lost", "scaling", &reason);
             }
         }
     }
--- a/crates/router/cloverpier_router/src/start.rs
+++ b/crates/router/cloverpier_router/src/start.rs
@@ -4,7 +4,7 @@
 //! state.
 
 use crate::crashes::judgement;
-use crate::decision_log::log_dependency;
+use crate::decision_log::log_named_event;
 use crate::heartbeats;
 use crate::peer_fetch;
 use crate::peer_reports;
@@ -150,10 +150,10 @@
 
 fn log_start(router: &Router) {
     let reason = format!("incarnation {:016x}", router.lifecycle.incarnation());
-    log_dependency(&router.log, "process.started", "process", &reason);
+    log_named_event(&router.log, "process.started", "process", &reason);
     for work in &router.settings().unknown_work {
         let reason = "this release does not support this kind of work; this router does not do it";
-        log_dependency(&router.log, "settings.unknown-work", work, reason);
+        log_named_event(&router.log, "settings.unknown-work", work, reason);
     }
 }
 
--- a/crates/router/cloverpier_router/src/statements.rs
+++ b/crates/router/cloverpier_router/src/statements.rs
@@ -6,7 +6,7 @@
 
 use crate::beliefs::log_wait;
 use crate::call_kind::CallKind;
-use crate::decision_log::log_dependency;
+use crate::decision_log::log_named_event;
 use crate::leaving_reports;
 use crate::limit_reports;
 use crate::restart::on_named_start;
@@ -94,7 +94,7 @@
     take_limit(router, call, &upstream, said, has_run);
     if let Some(reason) = &said.unreadable {
         let name = upstream.name.as_str();
-        log_dependency(&router.log, "server.unreadable", name, reason);
+        log_named_event(&router.log, "server.unreadable", name, reason);
     }
     order
 }
@@ -118,7 +118,7 @@
         .borrow_mut()
         .on_wait(&upstream.name, time, router.now());
     if is_new {
-        router.metrics.waits.inc();
+        router.metrics.pause_requests.inc();
         log_wait(&router.log, upstream, time, via);
     }
 }
--- a/crates/router/cloverpier_router/src/store_events.rs
+++ b/crates/router/cloverpier_router/src/store_events.rs
@@ -5,7 +5,7 @@
 //! `cloverpier_router_policy::store_watch`.
 
 use crate::configuration_copies::HeldConfiguration;
-use crate::decision_log::{VersionApplied, WatcherRoleChanged, log_dependency};
+use crate::decision_log::{VersionApplied, WatcherRoleChanged, log_named_event};
 use crate::router::Router;
 use crate::store_view::{StoreLoop, Watched};
 use cloverpier_router_policy::store_watch::{OwnWatcherState, max_backoff, watcher_role};
@@ -38,7 +38,7 @@
 pub(crate) fn on_store_lost(router: &Router, store_loop: StoreLoop, reason: &str) {
     let failed = router.store.fails();
     if !router.store.set_fails(store_loop, true) {
-        log_dependency(&router.log, "dependency.lost", store_loop.name(), reason);
+        log_named_event(&router.log, "dependency.lost", store_loop.name(), reason);
     }
     report_change_of_calls(router, failed);
 }
@@ -47,7 +47,7 @@
 pub(crate) fn on_store_regained(router: &Router, store_loop: StoreLoop) {
     let failed = router.store.fails();
     if router.store.set_fails(store_loop, false) {
-        log_dependency(
+        log_named_event(
             &router.log,
             "dependency.regained",
             store_loop.name(),
@@ -91,7 +91,7 @@
         let line = WatcherRoleChanged {
             watches: role.watches(),
             live_peers: peers.len(),
-            reason: role,
+            role,
         };
         router.log.info("store.following", &line);
     }
--- a/crates/router/cloverpier_router/src/store_sync.rs
+++ b/crates/router/cloverpier_router/src/store_sync.rs
@@ -9,7 +9,7 @@
 //! from the former revision received nothing for 5 s, past a change and a leaving.
 
 use crate::configuration_copies::HeldConfiguration;
-use crate::decision_log::log_dependency;
+use crate::decision_log::log_named_event;
 use crate::gossip::spread_upstreams;
 use crate::rollout_store::{apply_change, read_orders};
 use crate::router::Router;
@@ -345,7 +345,7 @@
     router.metrics.store_calls.count("ping-failed");
     on_ping_result(router, false);
     if !std::mem::replace(is_silent, true) {
-        log_dependency(&router.log, "store.silent", "ping", &error.to_string());
+        log_named_event(&router.log, "store.silent", "ping", &error.to_string());
     }
 }
 
--- a/crates/router/cloverpier_router/src/stream/mod.rs
+++ b/crates/router/cloverpier_router/src/stream/mod.rs
@@ -54,7 +54,7 @@
     match run.first_piece().await {
         FirstPiece::Events(head, piece) => {
             let since_arrival = router.now().saturating_duration_since(request.arrived);
-            router.metrics.first_answer.observe(since_arrival);
+            router.metrics.first_response.observe(since_arrival);
             let first = once(async { Ok(piece) });
             let body = ResponseBody::streamed(first.chain(run.into_stream()));
             streamed_response(head, body)
@@ -335,7 +335,10 @@
             return Err(GivenUp::after(failure, next));
         }
         if self.progress.events > 0 {
-            self.router.metrics.resumed.count(outcome_name(outcome));
+            self.router
+                .metrics
+                .resumed_streams
+                .count(outcome_name(outcome));
         }
         Ok(())
     }
--- a/crates/router/cloverpier_router/src/upstream_limits/learn.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/learn.rs
@@ -132,7 +132,7 @@
         let line = RateLimitChanged {
             upstream: upstream.name.as_str(),
             rate: to.map(Rate::as_per_second),
-            former_rate: from.map(Rate::as_per_second),
+            previous_rate: from.map(Rate::as_per_second),
             via,
             request,
             peer,
--- a/crates/router/cloverpier_router/src/upstream_updates.rs
+++ b/crates/router/cloverpier_router/src/upstream_updates.rs
@@ -4,7 +4,7 @@
 //! (`cloverpier_router_policy::upstream_table`); what follows for this router's connections, runs
 //! and versions is done here. Owns no state.
 
-use crate::decision_log::log_dependency;
+use crate::decision_log::log_named_event;
 use crate::restart;
 use crate::rollouts;
 use crate::router::Router;
@@ -69,5 +69,5 @@
         1 => first.reason.clone(),
         count => format!("{}; and {} entries more", first.reason, count - 1),
     };
-    log_dependency(&router.log, "server.unreadable", name, &reason);
+    log_named_event(&router.log, "server.unreadable", name, &reason);
 }
--- a/crates/router/cloverpier_router/src/wire_names.rs
+++ b/crates/router/cloverpier_router/src/wire_names.rs
@@ -1,6 +1,7 @@
-//! Names and formats on the wire that differ between deployments, as data.
+//! The names and formats on the wire that differ between platforms.
 //!
-//! Filled by the adapter of a platform; the router knows each by its meaning alone.
+//! The platform's adapter provides them as [`WireNames`]; the router refers to them only by their meaning. Owns no
+//! state.
 
 use cloverpier_router_policy::load_query::EngineReport;
 use cloverpier_router_policy::prelude::UpstreamStatement;
@@ -9,98 +10,103 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Tokens of a request, as its caller declares them.
+/// The token counts that a caller declares for a request to a model engine; 0 if the caller declares none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TokenCounts {
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the answer at most.
+    /// Maximum number of tokens in the response.
     pub max_response_tokens: u32,
 }
 
-/// An upstream's answer, as far as it has arrived.
+/// The parts of an upstream's response that can contain statements of the upstream about itself.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseParts<'a> {
-    /// Its status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Its headers.
+    /// All headers of the response.
     pub headers: &'a HeaderMap,
-    /// Its body, where that is whole and speaks of the upstream: the answer to a question.
+    /// The whole body of a response to a probe, check or query, which describes the upstream. `None` for the response
+    /// to a caller's request.
     pub body: Option<&'a [u8]>,
 }
 
-/// Names of headers, each by its meaning.
+/// The names of headers. A name is the same in callers' requests and in requests to upstreams.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// The id of one request of a caller; also on answers.
+    /// The id that a caller gives a request. Upstreams repeat the id in their responses.
     pub request_id: HeaderName,
-    /// Milliseconds that are left for the request.
+    /// The milliseconds that are left until the request's deadline.
     pub deadline_ms: HeaderName,
-    /// The caller's key.
+    /// The API key that identifies the client account of a caller.
     pub key: HeaderName,
-    /// The name of the client account that holds the key, for upstreams.
+    /// The name of the client account to which the key belongs. The router sets this header in requests to upstreams.
     pub account: HeaderName,
-    /// The name of the upstream that is meant.
+    /// The name of the upstream to which a request is sent. Another process at the address rejects the request.
     pub expected_upstream: HeaderName,
-    /// The name of the upstream that answered a health check.
+    /// The name of the upstream that sent a response: a response to a probe or check, or the rejection of a request
+    /// for another upstream.
     pub responding_upstream: HeaderName,
-    /// Set in all answers of an upstream that leaves.
+    /// Set in all responses of an upstream that announces that it is leaving.
     pub leaving: HeaderName,
-    /// Names how many requests a second an upstream in need takes from all routers together.
-    pub limit: HeaderName,
-    /// Set by an upstream that did not run the request.
+    /// The number of requests per second that an upstream accepts from all routers together. Only upstreams that limit
+    /// their request rate set this header.
+    pub rate_limit: HeaderName,
+    /// Set in the response of an upstream that did not run the request.
     pub not_run: HeaderName,
-    /// The upstream's mark on its answers.
+    /// The signature by which upstreams mark their responses. The router checks only that a successful response has
+    /// one.
     pub signature: HeaderName,
-    /// The rank of a request at an upstream.
+    /// The priority of a request at an engine, 0 the highest.
     pub priority: HeaderName,
-    /// The last event that the caller has.
+    /// The id of the last event of a stream that the caller has received.
     pub last_event: HeaderName,
-    /// Tokens of prompt and answer.
+    /// The number of tokens in the prompt, and the maximum number of tokens in the response.
     pub token_counts: HeaderName,
-    /// The parts of the prompt.
+    /// The names of all parts of the prompt.
     pub prompt_parts: HeaderName,
-    /// Where a run's memory is copied to as it grows.
+    /// The address of the engine to which the KV cache of a stream is replicated while it grows.
     pub replica_at: HeaderName,
-    /// Where the copy of a run's memory lies.
+    /// The id of the KV cache replica from which a stream is resumed.
     pub resume_from: HeaderName,
 }
 
-/// Paths of calls.
+/// The paths of HTTP requests about routers and engines, as opposed to callers' requests to services.
 #[derive(Clone, Debug)]
 pub struct Paths {
-    /// Whether this router takes callers; asked of this router.
+    /// Served by this router: whether the router accepts callers' requests.
     pub ready: &'static str,
-    /// Which routers take callers; asked of this router.
+    /// Served by this router: the addresses of the routers that accept callers' requests.
     pub directory: &'static str,
-    /// How busy a model engine is, and whether it answers at all; asked of an engine.
+    /// Served by model engines: the engine's load. Probes request this path, too.
     pub engine_report: &'static str,
-    /// Which prompts an engine has read recently; asked of an engine.
+    /// Served by model engines: the prompts in the engine's cache. The path may have a query string.
     pub engine_cache: &'static str,
 }
 
-/// Everything on the wire that differs between deployments.
+/// The names and formats on the wire that differ between platforms.
 #[derive(Clone, Debug)]
 pub struct WireNames {
-    /// Names of headers.
+    /// The names of headers.
     pub headers: HeaderNames,
-    /// Headers that only routers and upstreams set. What a caller wrote there does not reach an
-    /// upstream, which would act on it: reserve memory, fetch another run's KV cache.
+    /// Headers that only routers and upstreams may set. The router removes them from callers' requests, as an upstream
+    /// would act on them, for example reserve memory or fetch the KV cache of another request.
     pub not_forwarded: Vec<HeaderName>,
-    /// Paths of calls.
+    /// The paths of HTTP requests about routers and engines.
     pub paths: Paths,
-    /// Writes the directory's answer: addresses, and how long they may be kept.
+    /// Encodes the response to a directory request, from addresses and the time for which callers may keep them.
     pub directory_response: fn(&[SocketAddr], Duration) -> Vec<u8>,
-    /// Names a replica of a run's KV cache, by its engine and the run's request id.
+    /// Formats the id of a KV cache replica, from the address of the engine that has the replica and the request id.
     pub replica_id: fn(SocketAddr, &str) -> String,
-    /// Reads the tokens of a request.
+    /// Parses the header of token counts; `None` if the header is malformed.
     pub token_counts: fn(&str) -> Option<TokenCounts>,
-    /// The name of the part of a prompt that no other prompt shares, from all its parts.
+    /// Extracts, from the header of prompt parts, the name of the part that no other prompt contains.
     pub unique_part: fn(&str) -> Option<&str>,
-    /// Reads what an upstream's answer says of the upstream.
+    /// Decodes what a response states about the upstream that sent it.
     pub statement: fn(&ResponseParts<'_>) -> UpstreamStatement,
-    /// Reads an engine's answer on its load; nothing where it is not such an answer.
+    /// Decodes an engine's response to a load query; `None` if the body has another format.
     pub engine_load: fn(&[u8]) -> Option<EngineReport>,
-    /// Reads an engine's answer on what it has cached: the names of parts of prompts.
+    /// Decodes an engine's response to a cache query into the names of the prompt parts in its cache; empty if the body
+    /// has another format.
     pub cached_prompt_parts: fn(&[u8]) -> Vec<String>,
 }
--- a/crates/router/cloverpier_router/tests/call_errors.rs
+++ b/crates/router/cloverpier_router/tests/call_errors.rs
@@ -1,18 +1,18 @@
-//! What a call without an answer proves about the process that was called.
+//! What a failed call proves about the process at the called address.
 
 use cloverpier_router::prelude::CallError;
 use std::io;
 
-fn connect(kind: io::ErrorKind) -> CallError {
+fn connect_error(kind: io::ErrorKind) -> CallError {
     CallError::Connect {
         source: io::Error::from(kind),
     }
 }
 
-/// Guards against upstreams that are held for ended as their host or network cannot be reached.
+/// Guards against declaring an upstream's process gone when only its host or network can't be reached.
 #[test]
 fn only_a_refused_connection_proves_that_no_process_listens() {
-    assert!(connect(io::ErrorKind::ConnectionRefused).is_refused());
+    assert!(connect_error(io::ErrorKind::ConnectionRefused).is_refused());
     let others = [
         io::ErrorKind::HostUnreachable,
         io::ErrorKind::NetworkUnreachable,
@@ -21,15 +21,15 @@
         io::ErrorKind::AddrNotAvailable,
     ];
     for kind in others {
-        assert!(!connect(kind).is_refused(), "{kind:?}");
+        assert!(!connect_error(kind).is_refused(), "{kind:?}");
     }
 }
 
 #[test]
-fn a_connection_that_is_reset_as_it_comes_up_broke() {
+fn a_reset_while_connecting_counts_as_a_broken_connection() {
     let reason = "reset".to_owned();
     assert!(CallError::Broken { reason }.is_break());
-    assert!(connect(io::ErrorKind::ConnectionReset).is_break());
-    assert!(!connect(io::ErrorKind::ConnectionRefused).is_break());
+    assert!(connect_error(io::ErrorKind::ConnectionReset).is_break());
+    assert!(!connect_error(io::ErrorKind::ConnectionRefused).is_break());
     assert!(!CallError::TimedOut.is_break());
 }
--- a/crates/standins/cloverpier_router_standin/src/upstream/state.rs
+++ b/crates/standins/cloverpier_router_standin/src/upstream/state.rs
@@ -83,7 +83,7 @@
         }
         if let Some(rate) = self.limit {
             self.note_statement(id, Said::Limit(rate));
-            headers.push((self.names.limit.to_string(), rate.to_string()));
+            headers.push((self.names.rate_limit.to_string(), rate.to_string()));
         }
         headers
     }
