--- a/crates/router/cloverpier_router/src/crashes/verdicts.rs
+++ b/crates/router/cloverpier_router/src/crashes/verdicts.rs
@@ -3,7 +3,7 @@
 //! The verdicts are the book's (`cloverpier_crashes`). Owns no state: [`super::state`] does.
 
 use super::neighbours::upstream_name;
-use crate::decision_log::{ContentCleared, ContentStopped};
+use crate::decision_log::{ContentBlocked, ContentUnblocked};
 use crate::relay_request::RelayRequest;
 use crate::router::Router;
 use cloverpier_crashes::prelude::*;
@@ -44,7 +44,7 @@
     }
     for content in &changed.unblocked {
         router.metrics.crashes.count("cleared");
-        let line = ContentCleared {
+        let line = ContentUnblocked {
             content: content.to_string(),
             from,
         };
@@ -76,7 +76,7 @@
         let upstream = upstream_name(router, end.id.upstream);
         format!("{upstream}, {} ms ago", end.age_ms)
     });
-    let line = ContentStopped {
+    let line = ContentBlocked {
         content: content.to_string(),
         crashes: ends.collect(),
         from,
--- a/crates/router/cloverpier_router/src/decision_log.rs
+++ b/crates/router/cloverpier_router/src/decision_log.rs
@@ -3,11 +3,11 @@
 //! On-call engineers search for the names of events and fields, so these names stay the same when fields are renamed
 //! in the code: a `rename` attribute keeps the old name. Owns no state.
 
-mod duties;
+mod coordination;
 mod upstreams;
 mod versions;
 
-pub(crate) use duties::*;
+pub(crate) use coordination::*;
 pub(crate) use upstreams::*;
 pub(crate) use versions::*;
 
--- a/crates/router/cloverpier_router/src/decision_log/duties.rs
+++ b/crates/router/cloverpier_router/src/decision_log/coordination.rs
@@ -1,4 +1,4 @@
-//! Log lines about roll-outs, and about work that only one router at a time does.
+//! Log lines about work that the routers coordinate: roll-outs, and work that only one router at a time does.
 //!
 //! The names of events and fields are outer names; see the parent module. Owns no state.
 
--- a/crates/router/cloverpier_router/src/decision_log/upstreams.rs
+++ b/crates/router/cloverpier_router/src/decision_log/upstreams.rs
@@ -65,7 +65,7 @@
 
 /// A request content was blocked: requests with it are not sent to upstreams any more.
 #[derive(Serialize)]
-pub(crate) struct ContentStopped<'a> {
+pub(crate) struct ContentBlocked<'a> {
     /// The key of the blocked content.
     pub content: String,
     /// The crashed upstreams, and how long ago each of them crashed.
@@ -77,7 +77,7 @@
 
 /// A request content is not blocked any more.
 #[derive(Serialize)]
-pub(crate) struct ContentCleared<'a> {
+pub(crate) struct ContentUnblocked<'a> {
     /// The key of the unblocked content.
     pub content: String,
     /// The source of the change, such as a peer or the settings.
--- a/crates/router/cloverpier_router/src/http_client.rs
+++ b/crates/router/cloverpier_router/src/http_client.rs
@@ -1,4 +1,4 @@
-//! An HTTP client for calls to one address: probes of upstreams, the store, peers.
+//! An HTTP client for calls to one address: an upstream to probe, the platform's store, another router.
 //!
 //! The client owns at most one idle connection and reuses it while it is open. Code that depends on whether a byte
 //! of a request was written uses [`crate::connection`] directly.
--- a/crates/router/cloverpier_router/src/intake.rs
+++ b/crates/router/cloverpier_router/src/intake.rs
@@ -167,7 +167,7 @@
     host.unwrap_or_default()
 }
 
-/// Reads a request body of at most `max_bytes` into memory, and adds its length to `reservation`.
+/// Reads a request body of at most `max_bytes` into memory. `reservation` grows with the bytes that arrive.
 async fn read_body(
     mut body: Incoming,
     max_bytes: usize,
@@ -251,7 +251,8 @@
 }
 
 /// The headers that upstreams receive with every attempt: the caller's headers without hop-by-hop headers and
-/// without those that callers must not set, and the name of the client account.
+/// without those that callers must not set, and the name of the client account. `Expect` and `Content-Length` are
+/// left out, too: the whole body has arrived, and the HTTP library sets its length.
 fn forwarded_headers(
     router: &Router,
     mut headers: HeaderMap,
--- a/crates/router/cloverpier_router/src/lib.rs
+++ b/crates/router/cloverpier_router/src/lib.rs
@@ -44,7 +44,6 @@
 mod background;
 mod beliefs;
 mod body;
-mod budgets;
 mod buffer_reservation;
 mod call_kind;
 mod caller_stream;
@@ -84,6 +83,7 @@
 mod responses;
 mod restart;
 mod resume;
+mod retry_budgets;
 mod rollout_state;
 mod rollout_steps;
 mod rollout_store;
--- a/crates/router/cloverpier_router/src/lifecycle.rs
+++ b/crates/router/cloverpier_router/src/lifecycle.rs
@@ -1,8 +1,8 @@
 //! The lifecycle of this process: its start, its shutdown, and the requests for which the shutdown waits.
 //!
 //! Owns the time of the termination signal, the number of requests in flight and the durations of recent streams. An
-//! [`InFlightGuard`] counts a request; [`crate::web`] holds the guard of a stream until the last byte is passed to
-//! the connection. `cloverpier_router_policy::lifecycle` decides when a router that shuts down may exit.
+//! [`InFlightGuard`] counts a request; [`crate::web`] holds the guard of a streamed response until the last byte is
+//! passed to the connection. `cloverpier_router_policy::lifecycle` decides when a router that shuts down may exit.
 
 use cloverpier_router_policy::lifecycle::{StreamDurations, accepts_streams};
 use std::cell::{Cell, RefCell};
@@ -14,7 +14,7 @@
 pub(crate) struct Lifecycle {
     incarnation: u64,
     started_at: Instant,
-    stopping_since: Cell<Option<Instant>>,
+    shutdown_since: Cell<Option<Instant>>,
     in_flight: Rc<Cell<usize>>,
     stream_durations: RefCell<StreamDurations>,
 }
@@ -25,7 +25,7 @@
         Self {
             incarnation,
             started_at: now,
-            stopping_since: Cell::new(None),
+            shutdown_since: Cell::new(None),
             in_flight: Rc::default(),
             stream_durations: RefCell::default(),
         }
@@ -43,17 +43,17 @@
 
     /// Records that the termination signal arrived and the shutdown begins.
     pub fn begin_shutdown(&self, now: Instant) {
-        self.stopping_since.set(Some(now));
+        self.shutdown_since.set(Some(now));
     }
 
     /// Whether the shutdown has begun.
     pub fn is_shutting_down(&self) -> bool {
-        self.stopping_since.get().is_some()
+        self.shutdown_since.get().is_some()
     }
 
     /// The time since the shutdown began; `None` before it.
     pub fn shutdown_elapsed(&self, now: Instant) -> Option<Duration> {
-        let since = self.stopping_since.get()?;
+        let since = self.shutdown_since.get()?;
         Some(now.saturating_duration_since(since))
     }
 
--- a/crates/router/cloverpier_router/src/metrics.rs
+++ b/crates/router/cloverpier_router/src/metrics.rs
@@ -15,13 +15,13 @@
 
 /// The label that distinguishes the counters of a [`CounterByKind`].
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub(crate) struct Kind {
+pub(crate) struct KindLabel {
     kind: &'static str,
 }
 
 /// A family of counters, with the kind of the counted event as the label.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct CounterByKind(Family<Kind, Counter>);
+pub(crate) struct CounterByKind(Family<KindLabel, Counter>);
 
 impl CounterByKind {
     /// Increments the counter of a kind by 1.
@@ -31,7 +31,7 @@
 
     /// Increments the counter of a kind by `count`.
     pub fn add(&self, kind: &'static str, count: u64) {
-        self.0.get_or_create(&Kind { kind }).inc_by(count);
+        self.0.get_or_create(&KindLabel { kind }).inc_by(count);
     }
 }
 
--- a/crates/router/cloverpier_router/src/pool.rs
+++ b/crates/router/cloverpier_router/src/pool.rs
@@ -93,7 +93,7 @@
 /// `timeout=SECONDS` parameter in it.
 pub(crate) fn announced_idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
-    let mut parts = text.split(',').map(str::trim);
-    let seconds = parts.find_map(|p| p.strip_prefix("timeout="))?;
+    let mut parameters = text.split(',').map(str::trim);
+    let seconds = parameters.find_map(|p| p.strip_prefix("timeout="))?;
     Some(Duration::from_secs(seconds.trim().parse().ok()?))
 }
--- a/crates/router/cloverpier_router/src/responses.rs
+++ b/crates/router/cloverpier_router/src/responses.rs
@@ -12,7 +12,7 @@
 use hyper::{Response, StatusCode};
 use std::time::Duration;
 
-/// A response that one of this router's listeners sends to a caller or a peer.
+/// A response that one of this router's listeners sends.
 pub(crate) type ServerResponse = Response<ResponseBody>;
 
 /// Hop-by-hop headers, which apply to one connection only and are not forwarded (RFC 9110, 7.6.1).
--- a/crates/router/cloverpier_router/src/router.rs
+++ b/crates/router/cloverpier_router/src/router.rs
@@ -24,7 +24,6 @@
 //! All code that uses the state runs on one thread, so the components are in cells. They are borrowed briefly and
 //! never across an `await`.
 
-use crate::budgets::RetryBudgets;
 use crate::crashes::state::Crashes;
 use crate::datagrams::Datagrams;
 use crate::health::HealthTable;
@@ -34,6 +33,7 @@
 use crate::peers::Peers;
 use crate::pool::ConnectionPool;
 use crate::prompts::Prompts;
+use crate::retry_budgets::RetryBudgets;
 use crate::rollout_state::Rollouts;
 use crate::singleton::state::Singleton;
 use crate::store_view::StoreView;
--- a/crates/router/cloverpier_router/src/web.rs
+++ b/crates/router/cloverpier_router/src/web.rs
@@ -186,8 +186,8 @@
     router: Rc<Router>,
     request: Request<Incoming>,
 ) -> ServerResponse {
-    let is_known_path = request.uri().path() == router.wire_names.paths.directory;
-    if request.method() != Method::GET || !is_known_path {
+    let is_directory_path = request.uri().path() == router.wire_names.paths.directory;
+    if request.method() != Method::GET || !is_directory_path {
         return error_response(StatusCode::NOT_FOUND, "no such path");
     }
     let settings = router.settings();
