--- a/crates/router/cloverpier_router/src/decision_log/coordination.rs
+++ b/crates/router/cloverpier_router/src/decision_log/coordination.rs
@@ -37,10 +37,11 @@
     /// Attempts at the previous versions by the same routers.
     #[serde(rename = "sent_to_former")]
     pub sent_to_previous: u32,
-    /// The evidence against the target version; only set if this router rolled the version back.
+    /// The kind of regression for which this router rolled the target version back. This field and the following five
+    /// are `None` in all other cases.
     #[serde(rename = "fault")]
     pub regression: Option<String>,
-    /// The route with the regression; `None` for all routes together.
+    /// The route with the regression; also `None` if the regression is found in all routes together.
     pub route: Option<RouteKey>,
     /// The number of bad responses of the target version, and the number of all its responses.
     #[serde(rename = "bad")]
--- a/crates/router/cloverpier_router/src/metrics.rs
+++ b/crates/router/cloverpier_router/src/metrics.rs
@@ -70,8 +70,8 @@
     pub version_fetches: CounterByKind,
     /// Stages that roll-outs reached, and orders that were given or withdrawn.
     pub rollouts: CounterByKind,
-    /// Crashes of upstreams that were running a request: crashes that this router recorded or peers reported, requests
-    /// held, and request contents blocked or unblocked.
+    /// Crashes of upstreams that were running a request: crashes that this router recorded or peers reported, lost
+    /// attempts without a recorded crash, requests held, and request contents blocked or unblocked.
     pub crashes: CounterByKind,
     /// Upstreams that announced that they are leaving, by whether a response or a peer reported the announcement.
     pub leaving_upstreams: CounterByKind,
--- a/crates/router/cloverpier_router/src/start.rs
+++ b/crates/router/cloverpier_router/src/start.rs
@@ -1,6 +1,7 @@
 //! Starts the tasks of a router.
 //!
-//! All tasks run on one thread. The listeners start first, so that the start fails if an address is in use. Owns no
+//! Each component of the router is a task, and all tasks run on one thread. To remove a component, remove the line
+//! that starts its task here. The listeners start first, so that the start fails if an address is in use. Owns no
 //! state.
 
 use crate::crashes::judgement;
