--- a/crates/router/cloverpier_router/src/http_client.rs
+++ b/crates/router/cloverpier_router/src/http_client.rs
@@ -19,7 +19,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Why a call has no complete response.
+/// Why a call has no complete response. Log lines contain the messages as reasons, and tests match them.
 #[derive(Debug, Snafu)]
 pub enum CallError {
     /// No connection could be opened.
@@ -35,7 +35,7 @@
         reason: String,
     },
     /// The response did not arrive within the timeout.
-    #[snafu(display("no response within the timeout"))]
+    #[snafu(display("no answer in time"))]
     TimedOut,
     /// The code that made the call cancelled it before the head of a response arrived.
     #[snafu(display("call cancelled"))]
