--- a/crates/router/cloverpier_router/src/choice_log.rs
+++ b/crates/router/cloverpier_router/src/choice_log.rs
@@ -81,7 +81,7 @@
             prompt: request.prompt,
             resumes_after: inputs.resumes_after,
             from_replica: inputs.from_replica,
-            apart: inputs.is_isolated,
+            is_isolated: inputs.is_isolated,
             leaving: exclusions.leaving,
             waiting: exclusions.waiting,
             limited: limited.limited,
--- a/crates/router/cloverpier_router/src/crashes/admission.rs
+++ b/crates/router/cloverpier_router/src/crashes/admission.rs
@@ -43,7 +43,7 @@
             .attempt
             .get_or_insert_with(|| InFlightAttempt::begin(router, request));
         let tracker = router.crashes.tracker.borrow();
-        let (content, now) = (request.content(), router.now());
+        let (content, now) = (request.content_key(), router.now());
         let neighbours = |crashed: &UpstreamEvent| neighbour_counts(router, crashed);
         let hold = tracker.hold_admitted(content, attempt.number, now, neighbours);
         let must_wait = hold.until(now, request.deadline, now).is_some();
@@ -64,7 +64,7 @@
     if crashes.tracker.borrow().is_empty() {
         return Admitted::UNRESTRICTED;
     }
-    let content = request.content();
+    let content = request.content_key();
     let held_since = router.now();
     let mut is_held = false;
     while let Some(until) = held_until(router, request, held_since) {
@@ -96,19 +96,19 @@
 fn held_until(router: &Router, request: &RelayRequest, held_since: Instant) -> Option<Instant> {
     let now = router.now();
     let tracker = router.crashes.tracker.borrow();
-    let hold = tracker.hold(request.content(), now, |crashed| {
+    let hold = tracker.hold(request.content_key(), now, |crashed| {
         neighbour_counts(router, crashed)
     });
     hold.until(held_since, request.deadline, now)
 }
 
 fn log_hold(router: &Router, request: &RelayRequest, admission: Admission, held_for: Duration) {
-    let content = request.content();
+    let content = request.content_key();
     let now = router.now();
     let line = RequestHeld {
         request: &request.id,
         content: content.to_string(),
-        ends: router
+        crash_count: router
             .crashes
             .tracker
             .borrow()
--- a/crates/router/cloverpier_router/src/crashes/block_changes.rs
+++ b/crates/router/cloverpier_router/src/crashes/block_changes.rs
@@ -5,7 +5,7 @@
 //! does.
 
 use super::neighbours::upstream_name;
-use crate::decision_log::{ContentCleared, ContentStopped};
+use crate::decision_log::{ContentBlocked, ContentUnblocked};
 use crate::relay_request::RelayRequest;
 use crate::router::Router;
 use cloverpier_crashes::prelude::*;
@@ -48,7 +48,7 @@
     }
     for content in &changed.unblocked {
         router.metrics.crashes.count("cleared");
-        let line = ContentCleared {
+        let line = ContentUnblocked {
             content: content.to_string(),
             from,
         };
@@ -56,14 +56,14 @@
     }
     let blocked = router.crashes.tracker.borrow().registry.blocked(now).len();
     let blocked = i64::try_from(blocked).unwrap_or(i64::MAX);
-    router.metrics.stopped_contents.set(blocked);
+    router.metrics.blocked_contents.set(blocked);
 }
 
 fn cancel_attempts(router: &Router, content: ContentKey) {
     let tracked = router.crashes.requests.borrow();
     let requests = tracked.iter().filter_map(Weak::upgrade);
-    for request in requests.filter(|request| request.content() == content) {
-        request.stop.set();
+    for request in requests.filter(|request| request.content_key() == content) {
+        request.cancel.cancel();
     }
 }
 
@@ -80,9 +80,9 @@
         let upstream = upstream_name(router, crash.id.upstream);
         format!("{upstream}, {} ms ago", crash.age_ms)
     });
-    let line = ContentStopped {
+    let line = ContentBlocked {
         content: content.to_string(),
-        ends: crashes.collect(),
+        crashes: crashes.collect(),
         from,
     };
     router.log.info("content.stopped", &line);
--- a/crates/router/cloverpier_router/src/crashes/in_flight.rs
+++ b/crates/router/cloverpier_router/src/crashes/in_flight.rs
@@ -20,7 +20,7 @@
 impl InFlightAttempt {
     /// Registers an attempt that is admitted now.
     pub(super) fn begin(router: &Rc<Router>, request: &RelayRequest) -> Self {
-        let content = request.content();
+        let content = request.content_key();
         let number = router.crashes.tracker.borrow_mut().on_admitted(content);
         Self {
             router: Rc::clone(router),
--- a/crates/router/cloverpier_router/src/crashes/record.rs
+++ b/crates/router/cloverpier_router/src/crashes/record.rs
@@ -35,14 +35,14 @@
         return;
     }
     let attempt = LostAttempt {
-        content: request.content(),
+        content: request.content_key(),
         loss,
         has_completed: false,
         crash_id: crash_id_of(upstream),
         upstream: upstream_event(upstream, now),
         ran_for,
     };
-    let content = request.repeated_part();
+    let content = request.request_content();
     router
         .crashes
         .update(|tracker| tracker.on_lost(&content, attempt));
--- a/crates/router/cloverpier_router/src/crashes/resolution.rs
+++ b/crates/router/cloverpier_router/src/crashes/resolution.rs
@@ -7,7 +7,7 @@
 use super::block_changes::apply_block_changes;
 use super::neighbours::{neighbour_counts, upstream_name};
 use super::reports;
-use crate::decision_log::{CrashDismissed, CrashRecorded, ms_since};
+use crate::decision_log::{CrashDiscarded, CrashRecorded, ms_since};
 use crate::probe::probe;
 use crate::relay_request::RelayRequest;
 use crate::router::Router;
@@ -76,7 +76,7 @@
 pub(crate) fn on_completed(router: &Router, request: &RelayRequest) {
     let now = router.now();
     let mut tracker = router.crashes.tracker.borrow_mut();
-    let disregarded = tracker.on_completed(&request.repeated_part(), now);
+    let disregarded = tracker.on_completed(&request.request_content(), now);
     drop(tracker);
     if let Some(content) = disregarded {
         reports::send_to_all(router, &[content], now);
@@ -93,10 +93,10 @@
     let line = CrashRecorded {
         content: attempt.content.to_string(),
         upstream: upstream_name(router, attempt.crash_id.upstream),
-        start_ms: attempt.crash_id.time_ms,
-        ended_beside: concurrent_failures,
-        ran_well: attempt.has_completed,
-        ends: crash.crash_count,
+        start_time_ms: attempt.crash_id.time_ms,
+        concurrent_failures,
+        has_completed: attempt.has_completed,
+        crash_count: crash.crash_count,
         evidence: crash.evidence,
         age_ms: ms_since(attempt.upstream.at, now),
     };
@@ -111,10 +111,10 @@
         router.crashes.tracker_changed.notify_waiters();
     }
     for DiscardedAttempt { attempt, reason } in discarded {
-        let line = CrashDismissed {
+        let line = CrashDiscarded {
             content: attempt.content.to_string(),
             upstream: upstream_name(router, attempt.crash_id.upstream),
-            start_ms: attempt.crash_id.time_ms,
+            start_time_ms: attempt.crash_id.time_ms,
             reason,
             age_ms: ms_since(attempt.upstream.at, now),
         };
--- a/crates/router/cloverpier_router/src/datagrams.rs
+++ b/crates/router/cloverpier_router/src/datagrams.rs
@@ -4,8 +4,8 @@
 //! next round of sending. Datagrams are neither acknowledged nor retransmitted here: senders of messages that
 //! must arrive repeat them, or receivers request the content again.
 
-use crate::decision_log::log_dependency;
-use crate::metrics::ByKind;
+use crate::decision_log::log_named_event;
+use crate::metrics::CounterByKind;
 use crate::peer_messages::{PeerMessage, encode};
 use cloverpier_observe::Log;
 use std::cell::OnceCell;
@@ -20,14 +20,14 @@
     socket: OnceCell<Rc<UdpSocket>>,
     log: Log,
     /// Counts sent datagrams, by kind of message.
-    sent: ByKind,
+    sent: CounterByKind,
     /// Counts sent bytes, by kind of message.
-    bytes: ByKind,
+    bytes: CounterByKind,
 }
 
 impl Datagrams {
     /// Creates a sender without a socket. `sent` and `bytes` are the metrics for datagrams and bytes.
-    pub fn new(log: Log, sent: ByKind, bytes: ByKind) -> Self {
+    pub fn new(log: Log, sent: CounterByKind, bytes: CounterByKind) -> Self {
         Self {
             socket: OnceCell::new(),
             log,
@@ -49,7 +49,7 @@
             return;
         };
         if let Err(error) = socket.writable().await {
-            log_dependency(&self.log, "peer.unsent", "peers", &error.to_string());
+            log_named_event(&self.log, "peer.unsent", "peers", &error.to_string());
         }
     }
 
@@ -61,7 +61,7 @@
         let bytes = match encode(message) {
             Ok(bytes) => bytes,
             Err(error) => {
-                log_dependency(&self.log, "peer.unsent", "peers", &error.to_string());
+                log_named_event(&self.log, "peer.unsent", "peers", &error.to_string());
                 return;
             }
         };
--- a/crates/router/cloverpier_router/src/engine_query.rs
+++ b/crates/router/cloverpier_router/src/engine_query.rs
@@ -4,12 +4,12 @@
 //! engine needs no new connection. Owns no state. Relies on the calling module for a timeout: dropping the future
 //! ends the query.
 
-use crate::connection::{Connection, describe};
-use crate::http_client::{CallError, HttpAnswer, get_request};
+use crate::call_kind::CallKind;
+use crate::connection::{Connection, describe_error};
+use crate::http_client::{CallError, HttpResponse, get_request};
 use crate::router::Router;
-use crate::send::keep;
+use crate::send::return_to_pool;
 use crate::statements::Call;
-use crate::via::Via;
 use cloverpier_router_policy::connection_reuse::{CONNECT_TIMEOUT, DEFAULT_IDLE_TIMEOUT};
 use cloverpier_router_policy::prelude::*;
 use http_body_util::BodyExt;
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub(crate) struct EngineResponse {
     /// The HTTP response, with any status.
-    pub response: HttpAnswer,
+    pub response: HttpResponse,
     /// Whether the response was sent by an earlier incarnation of the engine than the newest known one, so that
     /// its content is out of date.
     pub is_of_previous_incarnation: bool,
@@ -35,7 +35,7 @@
     router: &Rc<Router>,
     engine: &Upstream,
     path: &str,
-    via: Via<'_>,
+    via: CallKind<'_>,
 ) -> Result<EngineResponse, CallError> {
     loop {
         let mut connection = connect(router, engine).await?;
@@ -51,10 +51,10 @@
         };
         let (head, body) = response.into_parts();
         let body = body.collect().await.map_err(|e| connection_broken(&e))?;
-        keep(router, engine, connection);
+        return_to_pool(router, engine, connection);
         let now = router.now();
         router.health.of(engine, now).on_activity(now);
-        let http_response = HttpAnswer {
+        let http_response = HttpResponse {
             status: head.status,
             headers: head.headers,
             body: body.to_bytes(),
@@ -93,6 +93,6 @@
 
 fn connection_broken(error: &dyn std::error::Error) -> CallError {
     CallError::Broken {
-        reason: describe(error),
+        reason: describe_error(error),
     }
 }
--- a/crates/router/cloverpier_router/src/gossip.rs
+++ b/crates/router/cloverpier_router/src/gossip.rs
@@ -5,7 +5,7 @@
 //! state; [`crate::peers`] holds the members and the reports of watchers.
 
 use crate::crashes::reports as crash_reports;
-use crate::decision_log::log_dependency;
+use crate::decision_log::log_named_event;
 use crate::heartbeats::store_age_ms;
 use crate::leaving_reports;
 use crate::limit_reports;
@@ -44,7 +44,7 @@
         .borrow_mut()
         .check_predecessors(was_paused, now);
     for dead in &check.dead {
-        log_dependency(
+        log_named_event(
             &router.log,
             "peer.dead",
             &dead.to_string(),
@@ -294,7 +294,7 @@
         // Peers fetch these changes when this router reports the new revision.
         Ok(_) => false,
         Err(error) => {
-            log_dependency(&router.log, "peer.unsent", "peers", &error.to_string());
+            log_named_event(&router.log, "peer.unsent", "peers", &error.to_string());
             false
         }
     }
--- a/crates/router/cloverpier_router/src/heartbeats.rs
+++ b/crates/router/cloverpier_router/src/heartbeats.rs
@@ -165,7 +165,7 @@
         let is_recent = self
             .last
             .is_some_and(|at| passed(at) < LARGE_FLEET_ROLE_PERIOD);
-        let has_discovered_members = passed(router.lifecycle.started()) > MEMBER_DISCOVERY_TIME;
+        let has_discovered_members = passed(router.lifecycle.started_at()) > MEMBER_DISCOVERY_TIME;
         if router.peers.is_large() && is_recent && has_discovered_members {
             return false;
         }
--- a/crates/router/cloverpier_router/src/leaving_reports.rs
+++ b/crates/router/cloverpier_router/src/leaving_reports.rs
@@ -4,11 +4,11 @@
 //! reports, and `cloverpier_router_policy::dissemination` decides when they are sent again. Owns no state;
 //! the table of upstreams holds the announcements, and [`Router`] the time when the last new one arrived.
 
+use crate::call_kind::CallKind;
 use crate::outbox::Recipients;
 use crate::peer_messages::{LeavingReports, PeerMessage};
 use crate::router::Router;
 use crate::upstream_log::{LeavingSource, log_leaving};
-use crate::via::Via;
 use cloverpier_router_policy::dissemination::{
     is_within_repeat_window, may_have_missed_facts, sends_missed_facts,
 };
@@ -24,7 +24,7 @@
     router: &Router,
     upstream: &Upstream,
     start_time_ms: Option<u64>,
-    via: Via<'_>,
+    via: CallKind<'_>,
     now: Instant,
 ) {
     let mut table = router.upstreams.borrow_mut();
@@ -63,8 +63,8 @@
     source: &LeavingSource<'_>,
     now: Instant,
 ) {
-    router.last_leaving.set(Some(now));
-    router.metrics.leavings.count(label);
+    router.last_leaving_at.set(Some(now));
+    router.metrics.leaving_upstreams.count(label);
     let reports = router
         .upstreams
         .borrow()
@@ -98,7 +98,7 @@
 /// Sends recent reports to one random peer, if the last new announcement arrived within 3 s. Called at each
 /// sending interval, because datagrams are lost.
 pub(crate) fn repeat(router: &Router, now: Instant) {
-    if !is_within_repeat_window(router.last_leaving.get(), now) {
+    if !is_within_repeat_window(router.last_leaving_at.get(), now) {
         return;
     }
     let reports = router.upstreams.borrow().recent_leaving_reports(now);
--- a/crates/router/cloverpier_router/src/load_query.rs
+++ b/crates/router/cloverpier_router/src/load_query.rs
@@ -4,11 +4,11 @@
 //! load a response stands for. The platform's adapter decodes the responses ([`crate::wire_names`]). Owns no
 //! state.
 
+use crate::call_kind::CallKind;
 use crate::engine_query::{EngineResponse, query_engine};
 use crate::probe::{self, FailureEvidence};
 use crate::relay_request::RelayRequest;
 use crate::router::Router;
-use crate::via::Via;
 use cloverpier_router_policy::load_query::QUERY_TIMEOUT;
 use cloverpier_router_policy::prelude::*;
 use futures_util::future::join_all;
@@ -39,7 +39,7 @@
 /// `probes` counts the cases separately, and the log line of the choice has the number of engines that reported.
 async fn query_engine_load(router: &Rc<Router>, engine: &Upstream) -> Option<EngineReport> {
     let path = router.wire_names.paths.engine_report;
-    let response = query_engine(router, engine, path, Via::LoadQuestion);
+    let response = query_engine(router, engine, path, CallKind::LoadQuery);
     let result = router.timers.timeout(QUERY_TIMEOUT, response).await;
     let (report, outcome) = match result {
         Ok(Ok(engine)) if engine.response.status.is_success() => read_report(router, &engine),
--- a/crates/router/cloverpier_router/src/outcome.rs
+++ b/crates/router/cloverpier_router/src/outcome.rs
@@ -6,7 +6,7 @@
 
 use crate::decision_log::{RequestEnd, RequestEnded, SendFailed, ms, ms_since};
 use crate::relay_request::RelayRequest;
-use crate::reply::{Reply, own_reply, refusal_reply};
+use crate::responses::{ServerResponse, error_response, refusal_response};
 use crate::router::Router;
 use cloverpier_core::UpstreamName;
 use cloverpier_router_policy::prelude::*;
@@ -71,15 +71,15 @@
     }
 
     /// The reply to the caller. Only a refusal (503) promises that the request has not run.
-    pub fn reply(&self, router: &Router, request: &RelayRequest) -> Reply {
+    pub fn reply(&self, router: &Router, request: &RelayRequest) -> ServerResponse {
         match self.end() {
             RequestEnd::Refused | RequestEnd::RefusedLate => {
-                refusal_reply(&self.reason, self.refusal(router, request))
+                refusal_response(&self.reason, self.refusal(router, request))
             }
             // Callers don't retry after status 400, and it does not promise that the request has not run.
-            RequestEnd::Stopped => own_reply(StatusCode::BAD_REQUEST, &self.reason),
-            RequestEnd::TimedOut => own_reply(StatusCode::GATEWAY_TIMEOUT, &self.reason),
-            _ => own_reply(StatusCode::BAD_GATEWAY, &self.reason),
+            RequestEnd::Stopped => error_response(StatusCode::BAD_REQUEST, &self.reason),
+            RequestEnd::TimedOut => error_response(StatusCode::GATEWAY_TIMEOUT, &self.reason),
+            _ => error_response(StatusCode::BAD_GATEWAY, &self.reason),
         }
     }
 
@@ -198,7 +198,7 @@
             status: summary.status.as_u16(),
             end: summary.end,
             reason: summary.reason,
-            sent: attempts.sent(),
+            attempts: attempts.sent(),
             events: progress.events,
             first_event_ms: progress.first_event.map(|at| ms_since(request.arrived, at)),
             longest_pause_ms: ms(progress.longest_pause),
@@ -227,7 +227,7 @@
 /// Counts and logs a failed attempt.
 pub(crate) fn log_failure(router: &Router, request: &RelayRequest, attempt: &FailedAttempt<'_>) {
     let outcome = attempt.failure.outcome();
-    router.metrics.sends.count(outcome_name(outcome));
+    router.metrics.failed_attempts.count(outcome_name(outcome));
     router.log.info(
         "send.failed",
         &SendFailed {
@@ -238,7 +238,8 @@
             next: attempt.next,
             last_event: attempt.last_event,
             attempt_ms: ms_since(attempt.started_at, attempt.now),
-            content: (outcome == AttemptOutcome::Unknown).then(|| request.content().to_string()),
+            content: (outcome == AttemptOutcome::Unknown)
+                .then(|| request.content_key().to_string()),
             age_ms: ms_since(request.arrived, attempt.now),
         },
     );
--- a/crates/router/cloverpier_router/src/peer_serve.rs
+++ b/crates/router/cloverpier_router/src/peer_serve.rs
@@ -6,11 +6,11 @@
 //! [`crate::peer_messages`] defines the bodies.
 
 use crate::background::run_in_background;
-use crate::body::ReplyBody;
+use crate::body::ResponseBody;
 use crate::configuration_copies::CopyEncoding;
-use crate::decision_log::{VersionServed, log_dependency};
+use crate::decision_log::{VersionServed, log_named_event};
 use crate::peer_messages::{CodecError, UpstreamsReply, compress, encode};
-use crate::reply::{Reply, own_reply, set_retry_after};
+use crate::responses::{ServerResponse, error_response, set_retry_after};
 use crate::router::Router;
 use crate::store_view::WatchedData;
 use bytes::Bytes;
@@ -41,7 +41,10 @@
 
 /// Serves a peer's request for the configuration or the upstreams. The status is 404 if this router has
 /// received none yet, if the path is unknown, or if the reply can't be encoded.
-pub(crate) async fn serve_version(router: Rc<Router>, request: Request<Incoming>) -> Reply {
+pub(crate) async fn serve_version(
+    router: Rc<Router>,
+    request: Request<Incoming>,
+) -> ServerResponse {
     let served = match request.uri().path() {
         CONFIGURATION_PATH => configuration_reply(&router, request.headers()).await,
         UPSTREAMS_PATH if router.store.has_upstreams() => {
@@ -51,10 +54,10 @@
     };
     served
         .unwrap_or_else(|error| {
-            log_dependency(&router.log, "peer.unsent", "peers", &error.to_string());
+            log_named_event(&router.log, "peer.unsent", "peers", &error.to_string());
             None
         })
-        .unwrap_or_else(|| own_reply(StatusCode::NOT_FOUND, "no such version"))
+        .unwrap_or_else(|| error_response(StatusCode::NOT_FOUND, "no such version"))
 }
 
 /// The response with a copy of the configuration, or a refusal with the time after which the peer should send
@@ -62,7 +65,7 @@
 async fn configuration_reply(
     router: &Router,
     headers: &HeaderMap,
-) -> Result<Option<Reply>, CodecError> {
+) -> Result<Option<ServerResponse>, CodecError> {
     let Some(configuration) = router.store.configuration_with_copies() else {
         return Ok(None);
     };
@@ -87,7 +90,7 @@
 async fn upstreams_reply(
     router: &Router,
     request: &Request<Incoming>,
-) -> Result<Reply, CodecError> {
+) -> Result<ServerResponse, CodecError> {
     let form = accepted_form(request.headers());
     let after = requested_after(request);
     let encoding = accepted_encoding(request.headers());
@@ -145,27 +148,27 @@
 
 /// The refusal of a copy of this many bytes if the link is still busy with earlier copies; `None` if the copy
 /// may be sent, which is then recorded.
-fn pacing_refusal(router: &Router, bytes: usize) -> Option<Reply> {
+fn pacing_refusal(router: &Router, bytes: usize) -> Option<ServerResponse> {
     let link = LinkRate::from_mbps(router.settings().link_mbps);
     let mut pacing = router.copy_pacing.borrow_mut();
     let CopyStep::Refuse(wait) = pacing.step(bytes, link, router.now()) else {
         return None;
     };
-    let mut reply = own_reply(StatusCode::SERVICE_UNAVAILABLE, "other copies come first");
+    let mut reply = error_response(StatusCode::SERVICE_UNAVAILABLE, "other copies come first");
     set_retry_after(&mut reply, wait);
     Some(reply)
 }
 
-fn set_encoding(reply: &mut Reply, encoding: CopyEncoding) {
+fn set_encoding(reply: &mut ServerResponse, encoding: CopyEncoding) {
     if encoding == CopyEncoding::Compressed {
         let gzip = HeaderValue::from_static(GZIP);
         reply.headers_mut().insert(CONTENT_ENCODING, gzip);
     }
 }
 
-fn bytes_reply(router: &Router, bytes: Bytes) -> Reply {
+fn bytes_reply(router: &Router, bytes: Bytes) -> ServerResponse {
     router.metrics.version_bytes.inc_by(bytes.len() as u64);
-    Response::new(ReplyBody::whole(bytes))
+    Response::new(ResponseBody::buffered(bytes))
 }
 
 /// The encoding of the response to a peer, as the headers of its request allow.
--- a/crates/router/cloverpier_router/src/probe.rs
+++ b/crates/router/cloverpier_router/src/probe.rs
@@ -6,6 +6,7 @@
 //! `cloverpier_router_policy::{liveness, suspicion}` decide when probes and checks are sent and what a response
 //! means. Owns no state.
 
+use crate::call_kind::CallKind;
 use crate::crashes::record;
 use crate::decision_log::{ms, ms_since};
 use crate::health::UpstreamHealth;
@@ -15,7 +16,6 @@
 use crate::successors;
 use crate::upstream_limits::Permission;
 use crate::upstream_log::log_upstream_change;
-use crate::via::Via;
 use cloverpier_core::UpstreamName;
 use cloverpier_router_policy::permit::PROBE_PERMIT_TIMEOUT;
 use cloverpier_router_policy::prelude::*;
@@ -120,7 +120,7 @@
         Ok(response) => {
             let call = Call {
                 upstream,
-                via: Via::Probe,
+                via: CallKind::Probe,
                 sent,
             };
             // If the response is from a newer incarnation, the attempts at the previous one fail here, although
@@ -194,13 +194,13 @@
         FailureEvidence::Unreachable => record::on_suspicion(router, upstream, last_activity, now),
     }
     let is_new = router.upstreams.borrow_mut().suspect(&upstream.name, now);
-    router.suspected.notify_one();
+    router.suspicion_added.notify_one();
     router.pool.borrow_mut().close_all(&upstream.name);
     if !is_new {
         return;
     }
     let silence = now.saturating_duration_since(last_activity);
-    router.metrics.detection.observe(silence);
+    router.metrics.failure_detection.observe(silence);
     log_upstream_change(
         &router.log,
         "server.suspected",
@@ -223,7 +223,7 @@
         if router.upstreams.borrow().may_have_suspects() {
             router.timers.sleep(CHECK_PERIOD).await;
         } else {
-            router.suspected.notified().await;
+            router.suspicion_added.notified().await;
         }
         let now = router.now();
         let due = router.upstreams.borrow_mut().start_due_checks(now);
@@ -262,7 +262,7 @@
     };
     let call = Call {
         upstream: &upstream,
-        via: Via::Check,
+        via: CallKind::Check,
         sent: sent_at,
     };
     let said = router
--- a/crates/router/cloverpier_router/src/prompt_search.rs
+++ b/crates/router/cloverpier_router/src/prompt_search.rs
@@ -5,11 +5,11 @@
 //! how many at once, and how long the request waits. The results are recorded in [`crate::prompts`]. Owns no
 //! state.
 
+use crate::call_kind::CallKind;
 use crate::decision_log::{PromptSearched, ms_since};
 use crate::engine_query::query_engine;
 use crate::relay_request::RelayRequest;
 use crate::router::Router;
-use crate::via::Via;
 use cloverpier_core::{ServiceName, hash_of};
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::prompt_search::{
@@ -37,7 +37,7 @@
             request: &request.id,
             service: service.as_str(),
             prompt,
-            engines_asked: router.prompts.searches.borrow().recently_queried(),
+            recently_queried: router.prompts.searches.borrow().recently_queried(),
             found: is_located(router, prompt),
             took_ms: ms_since(started_at, router.now()),
         },
@@ -90,13 +90,14 @@
 /// other prompt; the hash of that part's name is the prompt's key.
 async fn query_cached_parts(router: Rc<Router>, engine: Upstream) {
     let path = router.wire_names.paths.engine_cache;
-    let query = query_engine(&router, &engine, path, Via::CacheQuestion);
+    let query = query_engine(&router, &engine, path, CallKind::CacheQuery);
     let result = router.timers.timeout(RESPONSE_TIMEOUT, query).await;
     match result {
         Ok(Ok(engine_response)) if engine_response.response.status.is_success() => {
             router.metrics.probes.count("cache");
             if !engine_response.is_of_previous_incarnation {
-                let cached_parts = (router.wire_names.cached_parts)(&engine_response.response.body);
+                let cached_parts =
+                    (router.wire_names.cached_prompt_parts)(&engine_response.response.body);
                 record_cached_parts(&router, &engine, &cached_parts);
             }
         }
--- a/crates/router/cloverpier_router/src/rollout_store.rs
+++ b/crates/router/cloverpier_router/src/rollout_store.rs
@@ -5,7 +5,7 @@
 //! takes precedence over the decisions of routers. Owns no state but the pending writes of
 //! [`crate::rollout_steps::drive_rollouts`]; [`crate::rollout_state`] owns the orders.
 
-use crate::decision_log::log_dependency;
+use crate::decision_log::log_named_event;
 use crate::rollout_steps::next_step;
 use crate::rollouts::apply_views;
 use crate::router::Router;
@@ -136,7 +136,7 @@
 fn on_write_failed(router: &Router, service: &ServiceName, error: &SourceError) {
     router.metrics.store_calls.count("failed");
     let reason = format!("status not written: {error}");
-    log_dependency(&router.log, "rollout.unwritten", service.as_str(), &reason);
+    log_named_event(&router.log, "rollout.unwritten", service.as_str(), &reason);
 }
 
 /// Applies a change of an order in the store to the registry. `from` is the source of the change, as named in log
@@ -166,7 +166,7 @@
         RolloutChange::Unreadable { name, reason } => {
             // Without a readable name the log line has an empty one, and no order is withdrawn.
             let name = name.unwrap_or_default();
-            log_dependency(&router.log, "rollout.unreadable", &name, &reason);
+            log_named_event(&router.log, "rollout.unreadable", &name, &reason);
             match remove_stored(router, &name) {
                 Some(stored) => new_view(stored.service, stored.revision + 1, None, bounds),
                 None => return,
--- a/crates/router/cloverpier_router/src/singleton/keeper.rs
+++ b/crates/router/cloverpier_router/src/singleton/keeper.rs
@@ -7,7 +7,7 @@
 use super::platform::{LeaseRecord, RecordWriteResult, SingletonPlatform, StoredRecord};
 use super::state::{HolderWork, Singleton};
 use super::{count, reports};
-use crate::decision_log::log_dependency;
+use crate::decision_log::log_named_event;
 use crate::decision_log::{LeaseChanged, ms};
 use crate::router::Router;
 use cloverpier_core::{jitter, wall_ms};
@@ -225,7 +225,7 @@
     fn start_work(&self, era: u64, now: Instant) -> HolderWork {
         let singleton = self.singleton;
         let fleet_ms = singleton.fleet_ms(now);
-        let uptime = now.saturating_duration_since(self.router.lifecycle.started());
+        let uptime = now.saturating_duration_since(self.router.lifecycle.started_at());
         let record = self.record.as_ref();
         // A journal without a time of writing is the empty one of the initial record.
         let journal = record.map(|r| &r.usage).filter(|usage| usage.written > 0);
@@ -249,7 +249,7 @@
     async fn after_failure(&mut self, reason: &str) {
         count(&self.router.metrics, "store-failed");
         if self.backoff == INITIAL_BACKOFF {
-            log_dependency(&self.router.log, "lease.uncertain", "lease", reason);
+            log_named_event(&self.router.log, "lease.uncertain", "lease", reason);
         }
         let pause = jitter(&mut self.router.rng.borrow_mut(), self.backoff);
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
--- a/crates/router/cloverpier_router/src/statements.rs
+++ b/crates/router/cloverpier_router/src/statements.rs
@@ -5,15 +5,15 @@
 //! statement, and `cloverpier_router_policy::statement` decides to which upstream it is attributed. Owns no
 //! state.
 
-use crate::decision_log::log_dependency;
+use crate::call_kind::CallKind;
+use crate::decision_log::log_named_event;
 use crate::leaving_reports;
 use crate::limit_reports;
 use crate::restart::on_reported_start;
 use crate::router::Router;
 use crate::upstream_limits::LimitResponse;
 use crate::upstream_log::log_wait_period;
-use crate::via::Via;
-use crate::wire_names::AnswerParts;
+use crate::wire_names::ResponseParts;
 use cloverpier_router_policy::limit::ResponseInterval;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::statement::{
@@ -28,7 +28,7 @@
     /// The upstream to which the call was sent.
     pub upstream: &'a Upstream,
     /// The kind of call, for log lines.
-    pub via: Via<'a>,
+    pub via: CallKind<'a>,
     /// When the call was sent.
     pub sent: Instant,
 }
@@ -48,7 +48,7 @@
     pub(crate) fn apply_query_statement(
         &self,
         call: Call<'_>,
-        response: AnswerParts<'_>,
+        response: ResponseParts<'_>,
     ) -> AppliedStatement {
         let statement = (self.wire_names.statement)(&response);
         let sender = sender_of_query_response(&call.upstream.name, &statement);
@@ -67,7 +67,7 @@
         head: &Parts,
         validity: &Result<(), AttemptFailure>,
     ) -> UpstreamStatement {
-        let statement = (self.wire_names.statement)(&AnswerParts {
+        let statement = (self.wire_names.statement)(&ResponseParts {
             status: head.status,
             headers: &head.headers,
             body: None,
@@ -105,7 +105,7 @@
     apply_limit(router, call, &upstream, statement, was_executed);
     if let Some(reason) = &statement.unreadable {
         let name = upstream.name.as_str();
-        log_dependency(&router.log, "server.unreadable", name, reason);
+        log_named_event(&router.log, "server.unreadable", name, reason);
     }
     order
 }
@@ -123,13 +123,13 @@
     }
 }
 
-fn apply_wait_period(router: &Router, via: Via<'_>, upstream: &Upstream, time: Duration) {
+fn apply_wait_period(router: &Router, via: CallKind<'_>, upstream: &Upstream, time: Duration) {
     let is_new = router
         .upstreams
         .borrow_mut()
         .on_wait(&upstream.name, time, router.now());
     if is_new {
-        router.metrics.waits.inc();
+        router.metrics.pause_requests.inc();
         log_wait_period(&router.log, upstream, time, via);
     }
 }
--- a/crates/router/cloverpier_router/src/store_events.rs
+++ b/crates/router/cloverpier_router/src/store_events.rs
@@ -5,7 +5,7 @@
 //! routers watch the store.
 
 use crate::configuration_copies::ConfigurationWithCopies;
-use crate::decision_log::{VersionTaken, WatcherRoleChanged, log_dependency};
+use crate::decision_log::{VersionApplied, WatcherRoleChanged, log_named_event};
 use crate::router::Router;
 use crate::store_view::{StoreLoop, WatchedData};
 use cloverpier_router_policy::store_watch::{OwnWatcherState, max_backoff, watcher_role};
@@ -32,7 +32,7 @@
 /// Logs that a version of the configuration or of the upstreams was applied. `from` is its source: the store
 /// or a peer.
 pub(crate) fn log_version(router: &Router, watched: WatchedData, version: u64, from: &str) {
-    let line = VersionTaken {
+    let line = VersionApplied {
         what: watched.name(),
         version,
         from,
@@ -45,7 +45,7 @@
 pub(crate) fn on_store_call_failed(router: &Router, store_loop: StoreLoop, reason: &str) {
     let was_failing = router.store.is_failing();
     if !router.store.set_failing(store_loop, true) {
-        log_dependency(&router.log, "dependency.lost", store_loop.name(), reason);
+        log_named_event(&router.log, "dependency.lost", store_loop.name(), reason);
     }
     report_call_status_change(router, was_failing);
 }
@@ -55,7 +55,7 @@
 pub(crate) fn on_store_call_succeeded(router: &Router, store_loop: StoreLoop) {
     let was_failing = router.store.is_failing();
     if router.store.set_failing(store_loop, false) {
-        log_dependency(
+        log_named_event(
             &router.log,
             "dependency.regained",
             store_loop.name(),
@@ -99,7 +99,7 @@
         let line = WatcherRoleChanged {
             watches: role.watches(),
             live_peers: peers.len(),
-            reason: role,
+            role,
         };
         router.log.info("store.following", &line);
     }
--- a/crates/router/cloverpier_router/src/store_sync.rs
+++ b/crates/router/cloverpier_router/src/store_sync.rs
@@ -11,7 +11,7 @@
 //! shutdown of an upstream go unnoticed.
 
 use crate::configuration_copies::ConfigurationWithCopies;
-use crate::decision_log::log_dependency;
+use crate::decision_log::log_named_event;
 use crate::gossip::broadcast_upstream_changes;
 use crate::rollout_store::{apply_change, read_orders};
 use crate::router::Router;
@@ -104,7 +104,7 @@
 
 /// Whether this router, which has no data yet, should read from the store now instead of waiting for a peer.
 fn is_first_read_due(router: &Router, random: f64) -> bool {
-    let started = router.lifecycle.started();
+    let started = router.lifecycle.started_at();
     let starting = StartupState {
         is_seed: is_seed(router),
         age: router.now().saturating_duration_since(started),
@@ -357,7 +357,7 @@
     router.metrics.store_calls.count("ping-failed");
     on_ping_result(router, false);
     if !std::mem::replace(is_unresponsive, true) {
-        log_dependency(&router.log, "store.silent", "ping", &error.to_string());
+        log_named_event(&router.log, "store.silent", "ping", &error.to_string());
     }
 }
 
--- a/crates/router/cloverpier_router/src/stream/choice.rs
+++ b/crates/router/cloverpier_router/src/stream/choice.rs
@@ -9,7 +9,7 @@
 use crate::choice_log::{ChoiceInputs, log_choice};
 use crate::load_query::query_load;
 use crate::rollouts;
-use crate::send::SendExtras;
+use crate::send::AttemptHeaders;
 use crate::upstream_limits::Permission;
 use cloverpier_core::{DataCentre, UpstreamName};
 use cloverpier_crashes::Admission;
@@ -38,7 +38,7 @@
         let now = router.now();
         ChoiceContext {
             home: router.settings().data_centre.clone(),
-            connected: router.pool.borrow().connected(now),
+            connected: router.pool.borrow().connected_upstreams(now),
             versions: rollouts::version_rule(router, &self.request.service.name, now),
             now,
         }
@@ -46,7 +46,7 @@
 
     /// Chooses the upstream of the next attempt, obtains a permit if that upstream limits its request rate, and
     /// returns the upstream with the headers of the attempt.
-    pub(super) async fn find_upstream(&mut self) -> Result<(Upstream, SendExtras), NoUpstream> {
+    pub(super) async fn find_upstream(&mut self) -> Result<(Upstream, AttemptHeaders), NoUpstream> {
         let mut context = self.context();
         let mut reported = ReportedLoad::default();
         let chosen = match self.choose_limited_without_query(&context).await {
@@ -157,7 +157,7 @@
             suspect_content: self
                 .admitted
                 .admission
-                .isolation_key(self.request.content()),
+                .isolation_key(self.request.content_key()),
             overcommit: self.is_resuming(),
             reported,
             versions: &context.versions,
@@ -174,7 +174,7 @@
         reported: &ReportedLoad,
     ) -> Result<ChosenUpstream, NoUpstream> {
         let router = &self.router;
-        let search = PermitSearch::new(self.request.patience(context.now));
+        let search = PermitSearch::new(self.request.max_permit_wait(context.now));
         let choose = |limits: &LimitedUpstreams| {
             let table = router.upstreams.borrow();
             let demand = self.demand(context, reported, limits);
@@ -193,7 +193,7 @@
         context: &ChoiceContext,
         reported: &ReportedLoad,
         chosen: ChosenUpstream,
-    ) -> (Upstream, SendExtras) {
+    ) -> (Upstream, AttemptHeaders) {
         let router = Rc::clone(&self.router);
         let ChosenUpstream {
             upstream,
@@ -266,9 +266,9 @@
         upstream: &Upstream,
         replica: Option<Upstream>,
         from_replica: bool,
-    ) -> SendExtras {
+    ) -> AttemptHeaders {
         let replica_id = self.router.wire_names.replica_id;
-        SendExtras {
+        AttemptHeaders {
             replica,
             resume_from: from_replica.then(|| replica_id(upstream.address, &self.request.id)),
             // An engine that resumes from a replica needs the last event's id; 0 means before the first event.
--- a/crates/router/cloverpier_router/src/stream/mod.rs
+++ b/crates/router/cloverpier_router/src/stream/mod.rs
@@ -11,7 +11,7 @@
 mod open;
 mod receive;
 
-use crate::body::{AnswerBroken, ReplyBody};
+use crate::body::{IncompleteResponse, ResponseBody};
 use crate::connection::Connection;
 use crate::crashes::abandoned::AbandonGuard;
 use crate::crashes::admission::Admitted;
@@ -25,7 +25,7 @@
 };
 use crate::prompts::PromptLocationGuard;
 use crate::relay_request::RelayRequest;
-use crate::reply::{Reply, UpstreamAnswer, streamed_reply};
+use crate::responses::{BufferedResponse, ServerResponse, streamed_response};
 use crate::rollouts;
 use crate::router::Router;
 use bytes::Bytes;
@@ -49,19 +49,22 @@
 
 /// Relays a request whose response is an event stream. The returned reply has the head and the first events;
 /// its body yields the other events as they arrive.
-pub(crate) async fn relay_stream(router: &Rc<Router>, request: &Rc<RelayRequest>) -> Reply {
+pub(crate) async fn relay_stream(
+    router: &Rc<Router>,
+    request: &Rc<RelayRequest>,
+) -> ServerResponse {
     let mut relay = StreamRelay::new(router, request);
     match relay.start_stream().await {
         StreamStart::Events(head, chunk) => {
             let since_arrival = router.now().saturating_duration_since(request.arrived);
-            router.metrics.first_answer.observe(since_arrival);
+            router.metrics.first_response.observe(since_arrival);
             let first = once(async { Ok(chunk) });
-            let body = ReplyBody::pieces(first.chain(relay.into_stream()));
-            streamed_reply(head, body)
+            let body = ResponseBody::streamed(first.chain(relay.into_stream()));
+            streamed_response(head, body)
         }
         StreamStart::Response(response) => {
             relay.log_end(&RequestSummary::of(response.status, RequestEnd::Answered));
-            response.into_reply()
+            response.into_response()
         }
         StreamStart::Failed(request_failure) => {
             let reply = request_failure.reply(router, request);
@@ -80,7 +83,7 @@
     /// The head of a stream and its first events.
     Events(Parts, Bytes),
     /// An upstream's complete response without events: an error, or a stream that ended before its first event.
-    Response(UpstreamAnswer),
+    Response(BufferedResponse),
     /// No upstream sent a response that can be passed on.
     Failed(RequestFailure),
 }
@@ -133,7 +136,7 @@
     /// `None` before any head has arrived and after the head was sent to the caller.
     head: Option<Parts>,
     /// The last error response of an upstream, passed on to the caller if no attempt yields events.
-    error_response: Option<UpstreamAnswer>,
+    error_response: Option<BufferedResponse>,
     /// When the last event before an interruption arrived, or when the failed attempt was sent if it had no
     /// events; `None` while the stream is not interrupted.
     interrupted_since: Option<Instant>,
@@ -220,14 +223,14 @@
     /// stream after its last event.
     fn empty_response(&mut self) -> StreamStart {
         match self.head.take() {
-            Some(head) => StreamStart::Response(UpstreamAnswer::new(head, Bytes::new())),
+            Some(head) => StreamStart::Response(BufferedResponse::new(head, Bytes::new())),
             None => self.failed_start(RequestFailure::invalid("the answer is empty")),
         }
     }
 
     /// The body of the response after the first chunk. A body that ends with an error breaks the caller's
     /// connection, so that the caller does not take the stream for complete.
-    fn into_stream(self) -> impl futures_util::Stream<Item = Result<Bytes, AnswerBroken>> {
+    fn into_stream(self) -> impl futures_util::Stream<Item = Result<Bytes, IncompleteResponse>> {
         unfold(Some(self), |state| async move {
             let mut relay = state?;
             match relay.next_chunk().await {
@@ -243,7 +246,7 @@
                         end: request_failure.end_of_started_stream(),
                         reason: Some(request_failure.logged_reason()),
                     });
-                    Some((Err(AnswerBroken), None))
+                    Some((Err(IncompleteResponse), None))
                 }
             }
         })
@@ -357,7 +360,10 @@
             return Err(RequestFailure::after_attempt(failure, next));
         }
         if self.progress.events > 0 {
-            self.router.metrics.resumed.count(outcome_name(outcome));
+            self.router
+                .metrics
+                .resumed_streams
+                .count(outcome_name(outcome));
         }
         Ok(())
     }
--- a/crates/router/cloverpier_router/src/stream/open.rs
+++ b/crates/router/cloverpier_router/src/stream/open.rs
@@ -11,9 +11,9 @@
 use crate::outcome::RequestFailure;
 use crate::prompt_search::find_prompt;
 use crate::prompts::PromptLocationGuard;
-use crate::reply::UpstreamAnswer;
+use crate::responses::BufferedResponse;
 use crate::rollouts;
-use crate::send::{Opened, SendExtras, keep, send};
+use crate::send::{AttemptHeaders, OpenResponse, return_to_pool, send};
 use cloverpier_crashes::Admission;
 use cloverpier_router_policy::prelude::*;
 use cloverpier_router_policy::replica::Replica;
@@ -38,7 +38,10 @@
                 return Err(RequestFailure::content_blocked());
             }
             let request = Rc::clone(&self.request);
-            let found = request.stop.unless_set(self.find_upstream()).await;
+            let found = request
+                .cancel
+                .run_unless_cancelled(self.find_upstream())
+                .await;
             let (upstream, extras) = found
                 .ok_or_else(RequestFailure::content_blocked)?
                 .map_err(|reason| RequestFailure::without_upstream(&self.attempts, reason))?;
@@ -82,7 +85,7 @@
     async fn open_at(
         &mut self,
         upstream: &Upstream,
-        extras: SendExtras,
+        extras: AttemptHeaders,
     ) -> Result<(), AttemptFailure> {
         let load = self.reserve_load(upstream, &extras);
         let prompt_guard = self.advertise_prompt(upstream);
@@ -137,7 +140,7 @@
     }
 
     /// Adds the load of an attempt at its upstream.
-    fn reserve_load(&self, upstream: &Upstream, extras: &SendExtras) -> LoadGuard {
+    fn reserve_load(&self, upstream: &Upstream, extras: &AttemptHeaders) -> LoadGuard {
         let mut load = self.request.load();
         if extras.resume_from.is_some() {
             // The replica contains the KV cache of the prompt, so the engine does not read the prompt again.
@@ -163,9 +166,9 @@
     /// and kept, to be passed on if no other upstream responds with a stream.
     async fn check_status(
         &mut self,
-        opened: Opened,
+        opened: OpenResponse,
         upstream: &Upstream,
-    ) -> Result<Opened, AttemptFailure> {
+    ) -> Result<OpenResponse, AttemptFailure> {
         if opened.head.status.is_success() {
             return Ok(opened);
         }
@@ -180,10 +183,10 @@
             // The only other error is that of `timeout_at`.
             Err(_) => return Err(AttemptFailure::DeadlinePassedSent),
         };
-        keep(&self.router, upstream, opened.connection);
+        return_to_pool(&self.router, upstream, opened.connection);
         resolution::on_completed(&self.router, &self.request);
         let status = opened.head.status.as_u16();
-        self.error_response = Some(UpstreamAnswer::new(opened.head, body));
+        self.error_response = Some(BufferedResponse::new(opened.head, body));
         Err(AttemptFailure::UpstreamError { status })
     }
 
--- a/crates/router/cloverpier_router/src/stream/receive.rs
+++ b/crates/router/cloverpier_router/src/stream/receive.rs
@@ -4,10 +4,10 @@
 //! an upstream that fails.
 
 use super::{StreamRelay, UpstreamStream};
-use crate::connection::describe;
+use crate::connection::describe_error;
 use crate::crashes::resolution;
 use crate::probe;
-use crate::send::keep;
+use crate::send::return_to_pool;
 use crate::singleton;
 use crate::wait::{AwaitedUpstream, wait_while_alive};
 use bytes::{Bytes, BytesMut};
@@ -82,7 +82,7 @@
             upstream: &current.upstream,
             health: &current.health,
             deadline: self.request.deadline,
-            stop: (!current.has_events).then_some(&self.request.stop),
+            stop: (!current.has_events).then_some(&self.request.cancel),
         };
         let frame = wait_while_alive(&awaited, &mut current.liveness, current.body.frame()).await?;
         match frame {
@@ -103,7 +103,7 @@
     /// Probes the upstream of a stream that broke, as its process may have ended.
     fn on_stream_broken(&self, error: &hyper::Error) -> AttemptFailure {
         let failure = AttemptFailure::StreamBroken {
-            error: describe(error),
+            error: describe_error(error),
         };
         let Some(current) = &self.current else {
             return failure;
@@ -123,7 +123,7 @@
         table.on_result(&current.upstream.name, false);
         drop(table);
         resolution::on_completed(&self.router, &self.request);
-        keep(&self.router, &current.upstream, current.connection);
+        return_to_pool(&self.router, &current.upstream, current.connection);
     }
 
     /// Ends an attempt that failed or whose stream is moved. Dropping its connection cancels the request at the
--- a/crates/router/cloverpier_router/src/upstream_limits/mod.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/mod.rs
@@ -26,8 +26,8 @@
 pub(crate) use updates::LimitResponse;
 
 use crate::datagrams::Datagrams;
-use crate::decision_log::LimiterPassedOver;
-use crate::metrics::ByKind;
+use crate::decision_log::LimiterUnresponsive;
+use crate::metrics::CounterByKind;
 use acquire::PendingRequest;
 use cloverpier_observe::Log;
 use cloverpier_router_policy::permit::{LimitedUpstream, LimitedUpstreams, PermitSearch, Permits};
@@ -61,9 +61,9 @@
     /// Receives a line for each reported change of a limit, and for each limiter that becomes unresponsive.
     pub log: Log,
     /// Counts limits that begin, change and end.
-    pub limit_counter: ByKind,
+    pub limit_counter: CounterByKind,
     /// Counts permits and refusals, by outcome.
-    pub permit_counter: ByKind,
+    pub permit_counter: CounterByKind,
     /// Draws the first number of a permit request, and varies for how long a refusal excludes an upstream.
     pub rng: fastrand::Rng,
 }
@@ -139,7 +139,7 @@
     /// Logs and counts a limiter that has become unresponsive, so that another router takes its place.
     fn log_unresponsive_limiter(&self, limiter: SocketAddr) {
         self.deps.permit_counter.count("limiter-silent");
-        let line = LimiterPassedOver {
+        let line = LimiterUnresponsive {
             limiter: limiter.to_string(),
         };
         self.deps.log.info("limiter.silent", &line);
--- a/crates/router/cloverpier_router/src/upstream_limits/updates.rs
+++ b/crates/router/cloverpier_router/src/upstream_limits/updates.rs
@@ -4,8 +4,8 @@
 //! changes are logged and reported to peers. Owns no state of its own.
 
 use super::{UpstreamLimits, limited_upstream};
-use crate::decision_log::LimitLearned;
-use crate::via::Via;
+use crate::call_kind::CallKind;
+use crate::decision_log::RateLimitChanged;
 use cloverpier_router_policy::limit::{
     LimitChange, LimitReport, LimitStatement, Rate, ResponseInterval,
 };
@@ -27,14 +27,14 @@
     /// response.
     pub interval: ResponseInterval,
     /// The kind of the call that the upstream responded to, for log lines.
-    pub via: Via<'a>,
+    pub via: CallKind<'a>,
 }
 
 /// The source of a change of a limit, for log lines.
 #[derive(Clone, Copy, Debug)]
 enum LimitSource<'a> {
     /// A response of the upstream.
-    Response(Via<'a>),
+    Response(CallKind<'a>),
     /// A peer's report, and the time in milliseconds since the first router received the upstream's response.
     Peer(SocketAddr, u32),
 }
@@ -140,17 +140,17 @@
         self.deps.limit_counter.count(kind);
         self.last_report.set(Some(now));
         let (via, request, peer, age_ms) = match source {
-            LimitSource::Response(via) => (via.word(), via.request(), None, 0),
+            LimitSource::Response(via) => (via.log_name(), via.request(), None, 0),
             LimitSource::Peer(peer, age_ms) => ("peer", None, Some(peer.to_string()), age_ms),
         };
         let limiter = self
             .permits
             .borrow()
             .limiter_of(limited_upstream(upstream), now);
-        let line = LimitLearned {
+        let line = RateLimitChanged {
             upstream: upstream.name.as_str(),
             rate: to.map(Rate::as_per_second),
-            former_rate: from.map(Rate::as_per_second),
+            previous_rate: from.map(Rate::as_per_second),
             via,
             request,
             peer,
--- a/crates/router/cloverpier_router/src/upstream_log.rs
+++ b/crates/router/cloverpier_router/src/upstream_log.rs
@@ -3,8 +3,8 @@
 //!
 //! Relies on [`crate::decision_log`] for the fields of the lines. Owns no state.
 
-use crate::decision_log::{LeavingLearned, UpstreamBelief, WaitLearned, ms};
-use crate::via::Via;
+use crate::call_kind::CallKind;
+use crate::decision_log::{UpstreamLeaving, UpstreamPaused, UpstreamStateChanged, ms};
 use cloverpier_observe::Log;
 use cloverpier_router_policy::prelude::Upstream;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
     reason: &str,
     silent_ms: u64,
 ) {
-    let line = UpstreamBelief {
+    let line = UpstreamStateChanged {
         upstream: upstream.name.as_str(),
         address: upstream.address.to_string(),
         reason,
@@ -31,7 +31,7 @@
 /// The source of the announcement that an upstream leaves.
 pub(crate) enum LeavingSource<'a> {
     /// The upstream's response to this call.
-    Response(Via<'a>),
+    Response(CallKind<'a>),
     /// The report of the peer with this address.
     Peer(SocketAddr),
 }
@@ -40,10 +40,10 @@
 /// announcement reached the first router.
 pub(crate) fn log_leaving(log: &Log, upstream: &Upstream, source: &LeavingSource<'_>, age_ms: u64) {
     let (via, request, peer) = match source {
-        LeavingSource::Response(via) => (via.word(), via.request(), None),
+        LeavingSource::Response(via) => (via.log_name(), via.request(), None),
         LeavingSource::Peer(peer) => ("peer", None, Some(peer.to_string())),
     };
-    let line = LeavingLearned {
+    let line = UpstreamLeaving {
         upstream: upstream.name.as_str(),
         address: upstream.address.to_string(),
         via,
@@ -55,11 +55,11 @@
 }
 
 /// Logs that an upstream accepts no requests for `time`, as its response to the call `via` requires.
-pub(crate) fn log_wait_period(log: &Log, upstream: &Upstream, time: Duration, via: Via<'_>) {
-    let line = WaitLearned {
+pub(crate) fn log_wait_period(log: &Log, upstream: &Upstream, time: Duration, via: CallKind<'_>) {
+    let line = UpstreamPaused {
         upstream: upstream.name.as_str(),
         wait_ms: ms(time),
-        via: via.word(),
+        via: via.log_name(),
         request: via.request(),
     };
     log.info("server.waits", &line);
--- a/crates/router/cloverpier_router/src/upstream_updates.rs
+++ b/crates/router/cloverpier_router/src/upstream_updates.rs
@@ -4,7 +4,7 @@
 //! This module carries out the consequences for restarted upstreams, roll-outs and the revision in force.
 //! Owns no state.
 
-use crate::decision_log::log_dependency;
+use crate::decision_log::log_named_event;
 use crate::restart;
 use crate::rollouts;
 use crate::router::Router;
@@ -70,5 +70,5 @@
         1 => first.reason.clone(),
         count => format!("{}; and {} entries more", first.reason, count - 1),
     };
-    log_dependency(&router.log, "server.unreadable", name, &reason);
+    log_named_event(&router.log, "server.unreadable", name, &reason);
 }
--- a/crates/router/cloverpier_router/src/wait.rs
+++ b/crates/router/cloverpier_router/src/wait.rs
@@ -3,10 +3,10 @@
 //! [`Liveness`] decides whether to wait, probe the upstream, or end the wait; this module does so. Relies on
 //! [`crate::health`] for the upstream's last activity on any connection. Owns no state.
 
+use crate::cancel_signal::CancelSignal;
 use crate::health::UpstreamHealth;
 use crate::probe::{self, FailureEvidence};
 use crate::router::Router;
-use crate::stop_signal::StopSignal;
 use cloverpier_router_policy::prelude::*;
 use futures_util::future::poll_immediate;
 use std::future::Future;
@@ -26,7 +26,7 @@
     pub deadline: Instant,
     /// Cancels the attempt when the request's content is blocked; `None` once the upstream has begun to respond,
     /// which shows that it survives the request.
-    pub stop: Option<&'a StopSignal>,
+    pub stop: Option<&'a CancelSignal>,
 }
 
 /// The next action of a wait.
@@ -78,9 +78,9 @@
 }
 
 /// Completes when the attempt is cancelled; never without a signal.
-async fn stop_requested(stop: Option<&StopSignal>) {
+async fn stop_requested(stop: Option<&CancelSignal>) {
     match stop {
-        Some(stop) => stop.wait().await,
+        Some(stop) => stop.cancelled().await,
         None => std::future::pending().await,
     }
 }
@@ -115,7 +115,7 @@
         deadline,
         stop,
     } = awaited;
-    if stop.is_some_and(StopSignal::is_set) {
+    if stop.is_some_and(CancelSignal::is_cancelled) {
         return Err(AttemptFailure::Stopped);
     }
     if health.is_dead() {
