--- a/crates/daemon/cloverpier_daemon/src/app.rs
+++ b/crates/daemon/cloverpier_daemon/src/app.rs
@@ -13,7 +13,7 @@
 use cloverpier_object_api::{Platform, ReadError, WriteError};
 use cloverpier_observe::{Log, Metrics};
 use cloverpier_peer::{PeerReply, PeerRequest, Peers, Versions};
-use cloverpier_record::{Horizon, Records};
+use cloverpier_record::{RecordRetention, Records};
 use cloverpier_route::View;
 use cloverpier_settings::DaemonSettings;
 use cloverpier_timers::Timers;
@@ -103,7 +103,7 @@
             answers: Answers::default(),
             records: Mutex::new(Records::new(
                 me.id.clone(),
-                Horizon(settings.record_horizon),
+                RecordRetention(settings.record_horizon),
             )),
             crashes: Crashes::new(&settings.crashes),
             admission: Admission::default(),
--- a/crates/daemon/cloverpier_daemon/src/claims.rs
+++ b/crates/daemon/cloverpier_daemon/src/claims.rs
@@ -60,7 +60,7 @@
     let (epoch, holders) = {
         let records = lock(&app.records);
         let slot = Slot::of(key.as_str());
-        (records.epoch(), records.map().holders(slot).to_vec())
+        (records.epoch(), records.slot_map().holders(slot).to_vec())
     };
     let written = Written {
         key: key.clone(),
@@ -74,15 +74,18 @@
     let mut step = claim.start();
     loop {
         match step {
-            ClaimStep::Ask(holder) => {
+            ClaimStep::SendTo(holder) => {
                 let reply = ask_holder(app, &holder, epoch, body, &written).await;
                 step = claim.on_reply(reply);
             }
             ClaimStep::Dispatch => break,
-            ClaimStep::Refuse { why, take_back } => {
+            ClaimStep::Refuse {
+                reason,
+                release_from,
+            } => {
                 log_claim(app, &written, epoch, "refused");
-                release_at(app, &written, &take_back).await;
-                return Err(why);
+                release_at(app, &written, &release_from).await;
+                return Err(reason);
             }
         }
     }
@@ -176,7 +179,7 @@
         app.timers.sleep(LEARN_PERIOD).await;
         let (epoch, steps) = {
             let mut records = lock(&app.records);
-            let steps = records.to_learn(app.now());
+            let steps = records.sync_steps(app.now());
             (records.epoch(), steps)
         };
         for some in steps.chunks(SYNC_AT_ONCE) {
@@ -189,7 +192,7 @@
     for source in &step.sources {
         let request = PeerRequest::Sync {
             slot: step.slot,
-            level: step.level,
+            level: step.past_epoch,
             epoch,
         };
         let reply = app.ask(source, &request, CLAIM_TIMEOUT).await;
--- a/crates/daemon/cloverpier_daemon/src/plain.rs
+++ b/crates/daemon/cloverpier_daemon/src/plain.rs
@@ -12,7 +12,7 @@
 use cloverpier_config::Repeatable;
 use cloverpier_core::{RequestKey, ServiceName, UpstreamName, hash_of, lock};
 use cloverpier_crashes::{Admission, ContentKey, LossCause, RequestContent};
-use cloverpier_record::{Outcome, Record, Refusal, StoredAnswer};
+use cloverpier_record::{Outcome, Record, Refusal, StoredResponse};
 use cloverpier_route::{Ask, Choice, Chosen};
 use cloverpier_upstream::{PlainAnswer, PlainCall, PlainError, UpstreamStatement, call_plain};
 use reqwest::Method;
@@ -239,9 +239,9 @@
     Err(nobody(&app, &service))
 }
 
-fn stored(answer: &PlainAnswer) -> StoredAnswer {
+fn stored(answer: &PlainAnswer) -> StoredResponse {
     let keep = answer.body.len() <= KEEP_BODY;
-    StoredAnswer {
+    StoredResponse {
         status: answer.status,
         content_type: answer.content_type.clone(),
         body: keep.then(|| answer.body.to_vec()),
@@ -257,7 +257,7 @@
 
 /// Answers a key that was claimed before.
 fn from_record(record: Record, body: u64) -> Result<PlainAnswer, ApiError> {
-    if record.body != body {
+    if record.request_digest != body {
         let message = "the key was used for another request";
         let error = ApiError::not_run(StatusCode::UNPROCESSABLE_ENTITY, "key_reused", message);
         return Err(error.at("Idempotency-Key"));
@@ -266,7 +266,7 @@
         Outcome::Claimed | Outcome::Unknown => Err(ApiError::unknown(
             "the request was sent before and its outcome isn't known",
         )),
-        Outcome::Done(StoredAnswer {
+        Outcome::Done(StoredResponse {
             status,
             content_type,
             body: Some(body),
--- a/crates/daemon/cloverpier_peer/tests/wire.rs
+++ b/crates/daemon/cloverpier_peer/tests/wire.rs
@@ -13,7 +13,7 @@
 use cloverpier_crashes::prelude::*;
 use cloverpier_member::{Member, MemberList};
 use cloverpier_peer::prelude::*;
-use cloverpier_record::{ClaimId, ClaimReply, Outcome, Record, Slot, StoredAnswer, SyncReply};
+use cloverpier_record::{ClaimId, ClaimReply, Outcome, Record, Slot, StoredResponse, SyncReply};
 use cloverpier_route::{LeaveMark, LeaveMarks};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -102,14 +102,14 @@
     Record {
         key: RequestKey::new("lab/18"),
         claim: claim(),
-        body: 42,
+        request_digest: 42,
         outcome,
         age_ms: 43,
     }
 }
 
 fn done() -> Outcome {
-    Outcome::Done(StoredAnswer {
+    Outcome::Done(StoredResponse {
         status: 201,
         content_type: Some("text/plain".into()),
         body: Some(b"ok".to_vec()),
--- a/crates/daemon/cloverpier_record/src/claim.rs
+++ b/crates/daemon/cloverpier_record/src/claim.rs
@@ -1,43 +1,46 @@
-//! The claimant's side: from a request to leave to dispatch it.
+//! Claims a request key at all of its holders before the request is dispatched.
 //!
-//! Question: may this request be dispatched? Inputs: the replies of the key's holders, the
-//! primary first. Answer: a [`ClaimStep`]. Any holder that did not write it down means no.
+//! Given the replies of the key's holders, [`Claim`] decides whether the request may be dispatched.
+//! The claim is sent to one holder at a time, the primary first, and the next [`ClaimStep`] follows
+//! from the reply. The request is dispatched only if every holder has stored the claim. The caller
+//! sends the messages.
 
 use crate::record::{ClaimReply, Record};
 use cloverpier_core::MemberId;
 
-/// Why a request was not dispatched.
+/// Why a claimed request is not dispatched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// Another claim has the key; its record holds the outcome.
+    /// Another claim on the key is stored already. The record contains the outcome of that claim.
     Taken(Record),
-    /// Not all holders could write the claim down; nothing was dispatched.
+    /// Not every holder has confirmed that it stored the claim.
     NotWritten {
-        /// How long to wait before a retry, in milliseconds.
+        /// When the caller of the request should retry, in milliseconds.
         retry_ms: u64,
     },
 }
 
-/// What a claimant does next.
+/// What the claiming router does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimStep {
-    /// Ask this holder to write the claim down.
-    Ask(MemberId),
-    /// All holders have it: dispatch.
+    /// Send the claim to this holder and pass its reply to [`Claim::on_reply`].
+    SendTo(MemberId),
+    /// Dispatch the request: every holder has stored the claim.
     Dispatch,
-    /// Don't dispatch; take the claim back at the holders that wrote it.
+    /// Refuse the request, and release the claim at the holders that may have stored it.
     Refuse {
-        /// Why.
-        why: Refusal,
-        /// Holders that wrote the claim.
-        take_back: Vec<MemberId>,
+        /// The reason, which determines the response to the caller.
+        reason: Refusal,
+        /// Holders at which the claim must be released: those that stored it, and one whose reply
+        /// is missing.
+        release_from: Vec<MemberId>,
     },
 }
 
-/// A claim on its way through the holders, the primary first.
+/// The progress of one claim through the holders of its key, the primary first.
 ///
-/// The primary puts claims on one key in order, so of two routers that ask at
-/// once one is refused there before a backup has learned of either.
+/// Every claim on a key reaches the primary first. Of two routers that claim a key at the same
+/// time, the primary therefore refuses one before a backup has stored either claim.
 #[derive(Clone, Debug)]
 pub struct Claim {
     holders: Vec<MemberId>,
@@ -45,7 +48,7 @@
 }
 
 impl Claim {
-    /// A claim at the holders of an epoch.
+    /// Creates a claim for the holders of the key's slot in one epoch, the primary first.
     pub fn new(holders: &[MemberId]) -> Self {
         Self {
             holders: holders.to_vec(),
@@ -53,21 +56,22 @@
         }
     }
 
-    /// What to do first.
+    /// Returns the first step: a message to the primary, or a refusal if the slot has no holder.
     pub fn start(&self) -> ClaimStep {
         match self.holders.first() {
-            Some(primary) => ClaimStep::Ask(primary.clone()),
+            Some(primary) => ClaimStep::SendTo(primary.clone()),
             None => self.refuse(Refusal::NotWritten { retry_ms: 1_000 }),
         }
     }
 
-    /// Takes a holder's reply; `None` when the holder did not answer.
+    /// Processes the reply of the holder that [`ClaimStep::SendTo`] named last. `None` means that
+    /// no reply arrived in time.
     pub fn on_reply(&mut self, reply: Option<ClaimReply>) -> ClaimStep {
         match reply {
             Some(ClaimReply::Written) => {
                 self.written += 1;
                 match self.holders.get(self.written) {
-                    Some(next) => ClaimStep::Ask(next.clone()),
+                    Some(next) => ClaimStep::SendTo(next.clone()),
                     None => ClaimStep::Dispatch,
                 }
             }
@@ -78,15 +82,16 @@
             Some(ClaimReply::OtherEpoch { .. }) => {
                 self.refuse(Refusal::NotWritten { retry_ms: 200 })
             }
-            None => self.refuse_unheard(),
+            None => self.refuse_on_timeout(),
         }
     }
 
-    /// The holder may have written the claim and its answer may be lost: take it back there, too.
-    fn refuse_unheard(&self) -> ClaimStep {
+    /// Includes the holder without a reply in `release_from`, as that holder may have stored the
+    /// claim and only its reply was lost.
+    fn refuse_on_timeout(&self) -> ClaimStep {
         ClaimStep::Refuse {
-            why: Refusal::NotWritten { retry_ms: 1_000 },
-            take_back: self
+            reason: Refusal::NotWritten { retry_ms: 1_000 },
+            release_from: self
                 .holders
                 .iter()
                 .take(self.written + 1)
@@ -95,10 +100,10 @@
         }
     }
 
-    fn refuse(&self, why: Refusal) -> ClaimStep {
+    fn refuse(&self, reason: Refusal) -> ClaimStep {
         ClaimStep::Refuse {
-            why,
-            take_back: self.holders.iter().take(self.written).cloned().collect(),
+            reason,
+            release_from: self.holders.iter().take(self.written).cloned().collect(),
         }
     }
 }
--- a/crates/daemon/cloverpier_record/src/holder.rs
+++ b/crates/daemon/cloverpier_record/src/holder.rs
@@ -1,109 +1,121 @@
-//! The holder's side: records of a member's slots, through changes of epoch.
+//! Stores the records of a member's slots, across changes of the membership epoch.
 //!
-//! Question: may this claim be written down here, and from whom are the records of a slot
-//! learned? Owns the records of a member's slots. Safety rests on epochs: a claim of another
-//! epoch is refused, and a slot that nobody can vouch for is closed for the horizon.
+//! [`Records`] decides whether a claim may be stored at this member, and from which members the
+//! records of a newly assigned slot are fetched. Safety depends on epochs, not on clocks: a holder
+//! refuses a claim of any other epoch, and a slot without a member that has all of its records
+//! accepts no claims for the retention period. The caller sends the messages and passes in the
+//! time.
 
-use crate::memory::{SlotMemory, SlotState, next_state};
 use crate::record::{ClaimId, ClaimReply, Outcome, Record, SyncReply};
 use crate::slot::{Slot, SlotMap};
+use crate::slot_history::{SlotHistory, SlotState, next_state};
 use cloverpier_core::{MemberId, RequestKey};
 use cloverpier_member::MemberList;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Epochs that a member remembers, bound by the list's history; a slot that has to look further
-/// back is closed.
-pub(crate) const EPOCHS_KEPT: usize = MemberList::HISTORY_KEPT;
-/// When to retry a slot that is being learned, in milliseconds.
-const NOT_READY_RETRY_MS: u64 = 500;
+/// Epochs whose holders a member keeps, the current one included: as many as the member list has
+/// changes in its history. A slot whose records would have to come from an earlier epoch is closed
+/// for the retention period.
+pub(crate) const MAX_EPOCHS: usize = MemberList::HISTORY_KEPT;
+/// Time after which a claim is retried, in milliseconds, if the holder has not fetched the slot's
+/// records yet.
+const SYNC_RETRY_MS: u64 = 500;
 
-/// What a member that lacks a slot's records does next.
+/// A request for the records of a slot that this member holds but has not fetched yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SyncStep {
-    /// The slot.
+    /// The slot whose records are missing here.
     pub slot: Slot,
-    /// The epoch whose holders are asked.
-    pub level: u64,
-    /// Whom to ask.
+    /// The past epoch whose holders receive the request. No claim was completed in any later epoch
+    /// before the current one.
+    pub past_epoch: u64,
+    /// Holders of the slot in that epoch that are still members and may have the records. Never
+    /// empty.
     pub sources: Vec<MemberId>,
 }
 
-/// How long records matter.
+/// How long a record is kept after its claim was stored. A caller must not retry a request after
+/// that.
 #[derive(Clone, Copy, Debug)]
-pub struct Horizon(pub Duration);
+pub struct RecordRetention(pub Duration);
 
-/// How long keys are remembered if the settings do not say (`record_horizon_s`).
-const DEFAULT_HORIZON: Duration = Duration::from_secs(600);
+/// The same default as that of the setting `record_horizon_s`.
+const DEFAULT_RETENTION: Duration = Duration::from_secs(600);
 
-impl Default for Horizon {
+impl Default for RecordRetention {
     fn default() -> Self {
-        Self(DEFAULT_HORIZON)
+        Self(DEFAULT_RETENTION)
     }
 }
 
 #[derive(Clone, Debug)]
-struct Kept {
+struct StoredRecord {
     record: Record,
-    made: Instant,
+    created_at: Instant,
 }
 
-/// The records that a member holds.
+/// The records that this member stores, and the state of each of its slots.
 #[derive(Debug)]
 pub struct Records {
     me: MemberId,
-    horizon: Horizon,
+    retention: RecordRetention,
     list: MemberList,
-    /// Holders in the last epochs, the present one last.
-    maps: VecDeque<SlotMap>,
-    slots: BTreeMap<Slot, SlotMemory>,
-    kept: HashMap<RequestKey, Kept>,
+    /// The holders of all slots in the last epochs, oldest first. The last entry is for the current
+    /// epoch.
+    slot_maps: VecDeque<SlotMap>,
+    slots: BTreeMap<Slot, SlotHistory>,
+    stored: HashMap<RequestKey, StoredRecord>,
 }
 
 impl Records {
-    /// A member without records.
-    pub fn new(me: MemberId, horizon: Horizon) -> Self {
+    /// Creates a store without records for the member `me`, before its first epoch.
+    pub fn new(me: MemberId, retention: RecordRetention) -> Self {
         Self {
             me,
-            horizon,
+            retention,
             list: MemberList::default(),
-            maps: VecDeque::from([SlotMap::default()]),
+            slot_maps: VecDeque::from([SlotMap::default()]),
             slots: BTreeMap::new(),
-            kept: HashMap::new(),
+            stored: HashMap::new(),
         }
     }
 
-    /// The epoch that the member acts on.
+    /// The epoch that the member has entered; 0 before the first one. Claims of any other epoch are
+    /// refused.
     pub fn epoch(&self) -> u64 {
-        self.map().epoch()
+        self.slot_map().epoch()
     }
 
-    /// The holders in that epoch.
-    pub fn map(&self) -> &SlotMap {
-        // There is always a present epoch: the list begins with one and is cut at its front.
-        &self.maps[self.maps.len() - 1]
+    /// The holders of all slots in the current epoch.
+    pub fn slot_map(&self) -> &SlotMap {
+        // Never empty: the list starts with one entry, and entries are only removed from the front
+        // after one was added.
+        &self.slot_maps[self.slot_maps.len() - 1]
     }
 
-    /// Enters a later epoch; claims of the earlier one are refused from here on.
+    /// Enters the epoch of `list`, if it is newer than the current epoch. Claims of earlier epochs
+    /// are refused from then on.
     ///
-    /// Epochs that were missed are gone through one by one, as each may have
-    /// moved a slot away and back.
+    /// Skipped epochs are entered one after the other, as each of them may have moved a slot to
+    /// other members and back.
     pub fn enter(&mut self, list: &MemberList) {
         if list.epoch <= self.epoch() {
             return;
         }
-        let missed = list.since(self.epoch() + 1);
-        if missed.is_none() {
-            // The history doesn't reach back: what was known may lack claims.
+        let skipped = list.since(self.epoch() + 1);
+        if skipped.is_none() {
+            // The list's history does not cover all skipped epochs. In the missing ones, other
+            // members may have stored claims, so the records here may be incomplete.
             self.slots.clear();
-            self.maps = VecDeque::from([SlotMap::default()]);
+            self.slot_maps = VecDeque::from([SlotMap::default()]);
         }
-        for step in missed.unwrap_or_else(|| list.as_far_back()) {
-            self.enter_one(step);
+        for step in skipped.unwrap_or_else(|| list.as_far_back()) {
+            self.enter_next(step);
         }
     }
 
-    fn enter_one(&mut self, list: MemberList) {
+    fn enter_next(&mut self, list: MemberList) {
         let before = self.epoch();
         let map = SlotMap::of(&list);
         for slot in Slot::all() {
@@ -111,105 +123,119 @@
             if !holds && !self.slots.contains_key(&slot) {
                 continue;
             }
-            let memory = self.slots.entry(slot).or_default();
-            memory.close_epoch(before);
-            memory.state = next_state(&memory.state, holds, list.epoch);
+            let history = self.slots.entry(slot).or_default();
+            history.on_epoch_left(before);
+            history.state = next_state(&history.state, holds, list.epoch);
         }
-        self.maps.push_back(map);
-        if self.maps.len() > EPOCHS_KEPT {
-            self.maps.pop_front();
+        self.slot_maps.push_back(map);
+        if self.slot_maps.len() > MAX_EPOCHS {
+            self.slot_maps.pop_front();
         }
         self.list = list;
     }
 
-    fn map_of(&self, epoch: u64) -> Option<&SlotMap> {
-        self.maps.iter().find(|m| m.epoch() == epoch)
+    fn slot_map_at(&self, epoch: u64) -> Option<&SlotMap> {
+        self.slot_maps.iter().find(|m| m.epoch() == epoch)
     }
 
-    /// What has to be learned, and from whom.
-    pub fn to_learn(&mut self, now: Instant) -> Vec<SyncStep> {
-        let is_learning = |m: &SlotMemory| matches!(m.state, SlotState::Learning { .. });
-        let learning: Vec<Slot> = self
+    /// The requests to send for slots whose records have not been fetched yet.
+    pub fn sync_steps(&mut self, now: Instant) -> Vec<SyncStep> {
+        let is_syncing = |m: &SlotHistory| matches!(m.state, SlotState::Syncing { .. });
+        let syncing: Vec<Slot> = self
             .slots
             .iter()
-            .filter(|(_, memory)| is_learning(memory))
+            .filter(|(_, history)| is_syncing(history))
             .map(|(slot, _)| *slot)
             .collect();
-        let steps = learning.into_iter().filter_map(|s| self.learn_step(s, now));
+        let steps = syncing
+            .into_iter()
+            .filter_map(|s| self.next_sync_step(s, now));
         steps.collect()
     }
 
-    /// Goes back through epochs without claims to one whose holders can be asked.
-    fn learn_step(&mut self, slot: Slot, now: Instant) -> Option<SyncStep> {
+    /// Finds the latest past epoch in which a claim may have been completed and whose holders can
+    /// be queried. Marks the slot as ready or closed where there is none.
+    fn next_sync_step(&mut self, slot: Slot, now: Instant) -> Option<SyncStep> {
         loop {
-            let memory = self.slots.get(&slot)?;
-            let SlotState::Learning { level, denied } = &memory.state else {
+            let history = self.slots.get(&slot)?;
+            let SlotState::Syncing {
+                past_epoch,
+                without_records,
+            } = &history.state
+            else {
                 return None;
             };
-            let level = *level;
-            if level == 0 || memory.ready_at == Some(level) {
-                // There was no claim before the first epoch, or this member knows them all.
+            let past_epoch = *past_epoch;
+            if past_epoch == 0 || history.last_ready_epoch == Some(past_epoch) {
+                // Either no epoch precedes the first one, or this member already has all records of
+                // that epoch.
                 self.set_state(slot, SlotState::Ready);
                 return None;
             }
-            if memory.unready_at.contains(&level) {
-                self.go_back(slot, level);
+            if history.epochs_without_claims.contains(&past_epoch) {
+                self.search_earlier(slot, past_epoch);
                 continue;
             }
-            let holders = self.map_of(level).map_or(&[][..], |m| m.holders(slot));
-            let able =
-                |id: &&MemberId| **id != self.me && self.list.contains(id) && !denied.contains(id);
-            let sources: Vec<MemberId> = holders.iter().filter(able).cloned().collect();
+            let holders = self
+                .slot_map_at(past_epoch)
+                .map_or(&[][..], |m| m.holders(slot));
+            let eligible = |id: &&MemberId| {
+                **id != self.me && self.list.contains(id) && !without_records.contains(id)
+            };
+            let sources: Vec<MemberId> = holders.iter().filter(eligible).cloned().collect();
             if sources.is_empty() {
                 self.set_state(slot, SlotState::Closed { since: now });
                 return None;
             }
             return Some(SyncStep {
                 slot,
-                level,
+                past_epoch,
                 sources,
             });
         }
     }
 
     fn set_state(&mut self, slot: Slot, state: SlotState) {
-        if let Some(memory) = self.slots.get_mut(&slot) {
-            memory.state = state;
+        if let Some(history) = self.slots.get_mut(&slot) {
+            history.state = state;
         }
     }
 
-    fn go_back(&mut self, slot: Slot, from: u64) {
-        let state = SlotState::Learning {
-            level: from - 1,
-            denied: Vec::new(),
+    fn search_earlier(&mut self, slot: Slot, from: u64) {
+        let state = SlotState::Syncing {
+            past_epoch: from - 1,
+            without_records: Vec::new(),
         };
         self.set_state(slot, state);
     }
 
-    /// Answers a member that acts on an epoch and asks for a slot's records up to a level.
+    /// Returns the records of a slot that claims up to `past_epoch` created, for a member that has
+    /// entered `epoch`.
     ///
-    /// Only a member that has entered that epoch answers: from then on no
-    /// claim of an earlier epoch can be completed without its refusal.
-    pub fn on_sync(&self, slot: Slot, level: u64, epoch: u64, now: Instant) -> SyncReply {
+    /// The reply is [`SyncReply::Behind`] until this member has entered `epoch`, too. After that,
+    /// this member refuses claims of earlier epochs, so none of them can still be completed and be
+    /// missing from the reply.
+    pub fn on_sync(&self, slot: Slot, past_epoch: u64, epoch: u64, now: Instant) -> SyncReply {
         if self.epoch() < epoch {
             return SyncReply::Behind;
         }
-        let Some(memory) = self.slots.get(&slot) else {
+        let Some(history) = self.slots.get(&slot) else {
             return SyncReply::Unknown;
         };
-        let knows_all = memory.state == SlotState::Ready;
-        if knows_all || memory.ready_at.is_some_and(|at| at >= level) {
-            let of_slot = |k: &&Kept| Slot::of(k.record.key.as_str()) == slot;
-            let kept = self.kept.values().filter(of_slot);
-            return SyncReply::Records(kept.map(|k| handed_on(k, now)).collect());
+        let has_all_records = history.state == SlotState::Ready;
+        if has_all_records || history.last_ready_epoch.is_some_and(|at| at >= past_epoch) {
+            let of_slot = |k: &&StoredRecord| Slot::of(k.record.key.as_str()) == slot;
+            let stored = self.stored.values().filter(of_slot);
+            return SyncReply::Records(stored.map(|k| with_age(k, now)).collect());
         }
-        if memory.unready_at.contains(&level) {
+        if history.epochs_without_claims.contains(&past_epoch) {
             return SyncReply::NoClaims;
         }
         SyncReply::Unknown
     }
 
-    /// Takes what another member answered to a step.
+    /// Processes the reply of the member `from` to a step of [`Self::sync_steps`]. `epoch` is the
+    /// epoch in which the request was sent. Outdated replies have no effect.
     pub fn on_sync_reply(
         &mut self,
         step: &SyncStep,
@@ -220,42 +246,48 @@
     ) {
         let current = epoch == self.epoch();
         let state = self.slots.get_mut(&step.slot).map(|m| &mut m.state);
-        let Some(SlotState::Learning { level, denied }) = state else {
+        let Some(SlotState::Syncing {
+            past_epoch,
+            without_records,
+        }) = state
+        else {
             return;
         };
-        if !current || *level != step.level {
+        if !current || *past_epoch != step.past_epoch {
             return;
         }
         match reply {
             SyncReply::Behind => {}
-            SyncReply::Unknown => denied.push(from.clone()),
-            SyncReply::NoClaims => self.go_back(step.slot, step.level),
+            SyncReply::Unknown => without_records.push(from.clone()),
+            SyncReply::NoClaims => self.search_earlier(step.slot, step.past_epoch),
             SyncReply::Records(records) => {
                 for record in records {
-                    self.learn(record, now);
+                    self.insert_synced(record, now);
                 }
                 self.set_state(step.slot, SlotState::Ready);
             }
         }
     }
 
-    fn learn(&mut self, record: Record, now: Instant) {
+    fn insert_synced(&mut self, record: Record, now: Instant) {
         let age = Duration::from_millis(record.age_ms);
-        // An age from before this machine started counts as none.
-        let made = now.checked_sub(age).unwrap_or(now);
-        let known = self.kept.get(&record.key);
-        let settled = known.is_some_and(|k| k.record.outcome != Outcome::Claimed);
-        if !settled {
-            self.kept.insert(record.key.clone(), Kept { record, made });
+        // An age that lies before the origin of this machine's clock can't be represented. The
+        // record then counts as new, which keeps it longer.
+        let created_at = now.checked_sub(age).unwrap_or(now);
+        let existing = self.stored.get(&record.key);
+        let is_resolved = existing.is_some_and(|k| k.record.outcome != Outcome::Claimed);
+        if !is_resolved {
+            self.stored
+                .insert(record.key.clone(), StoredRecord { record, created_at });
         }
     }
 
-    /// Takes a claim made in an epoch.
+    /// Stores a claim that was made in `epoch`. Repeating a stored claim succeeds again.
     pub fn on_claim(
         &mut self,
         epoch: u64,
         key: &RequestKey,
-        body: u64,
+        request_digest: u64,
         claim: &ClaimId,
         now: Instant,
     ) -> ClaimReply {
@@ -264,89 +296,103 @@
                 epoch: self.epoch(),
             };
         }
-        if let Some(retry_ms) = self.not_ready(Slot::of(key.as_str()), now) {
+        if let Some(retry_ms) = self.retry_after_ms(Slot::of(key.as_str()), now) {
             return ClaimReply::NotReady { retry_ms };
         }
-        if let Some(kept) = self.kept.get(key) {
-            if kept.record.claim == *claim {
+        if let Some(stored) = self.stored.get(key) {
+            if stored.record.claim == *claim {
                 return ClaimReply::Written;
             }
-            return ClaimReply::Taken(handed_on(kept, now));
+            return ClaimReply::Taken(with_age(stored, now));
         }
         let record = Record {
             key: key.clone(),
             claim: claim.clone(),
-            body,
+            request_digest,
             outcome: Outcome::Claimed,
             age_ms: 0,
         };
-        self.kept.insert(key.clone(), Kept { record, made: now });
+        self.stored.insert(
+            key.clone(),
+            StoredRecord {
+                record,
+                created_at: now,
+            },
+        );
         ClaimReply::Written
     }
 
-    /// How long until a slot takes claims, in milliseconds; `None` when it takes them now.
-    fn not_ready(&mut self, slot: Slot, now: Instant) -> Option<u64> {
+    /// Time until the slot accepts claims, in milliseconds. `None` if it accepts claims now.
+    /// Reopens a closed slot after the retention period.
+    fn retry_after_ms(&mut self, slot: Slot, now: Instant) -> Option<u64> {
         let state = self.slots.get(&slot).map(|m| &m.state);
         match state {
             Some(SlotState::Ready) => None,
             Some(SlotState::Closed { since }) => {
                 let closed = now.saturating_duration_since(*since);
-                let left = self.horizon.0.saturating_sub(closed);
+                let left = self.retention.0.saturating_sub(closed);
                 if left.is_zero() {
                     self.set_state(slot, SlotState::Ready);
                     return None;
                 }
                 Some(u64::try_from(left.as_millis()).unwrap_or(u64::MAX))
             }
-            _ => Some(NOT_READY_RETRY_MS),
+            _ => Some(SYNC_RETRY_MS),
         }
     }
 
-    /// Writes what became of a claim; only the claim's own router can.
+    /// Stores the outcome of a claimed request, if `claim` is the claim that the record of the key
+    /// contains.
     pub fn on_outcome(&mut self, key: &RequestKey, claim: &ClaimId, outcome: Outcome) {
-        if let Some(kept) = self.kept.get_mut(key)
-            && kept.record.claim == *claim
+        if let Some(stored) = self.stored.get_mut(key)
+            && stored.record.claim == *claim
         {
-            kept.record.outcome = outcome;
+            stored.record.outcome = outcome;
         }
     }
 
-    /// Gives a key free again whose request was certainly not run.
+    /// Removes the record of a key whose request certainly has not been executed, so that the key
+    /// can be claimed again. Does nothing if the record contains another claim.
     pub fn on_release(&mut self, key: &RequestKey, claim: &ClaimId) {
-        let own = self.kept.get(key).is_some_and(|k| k.record.claim == *claim);
+        let own = self
+            .stored
+            .get(key)
+            .is_some_and(|k| k.record.claim == *claim);
         if own {
-            self.kept.remove(key);
+            self.stored.remove(key);
         }
     }
 
-    /// Drops records that no retry can ask for any more.
+    /// Removes records that are older than the retention period, as no caller may retry their
+    /// requests any more.
     pub fn sweep(&mut self, now: Instant) {
-        let horizon = self.horizon.0;
-        self.kept
-            .retain(|_, k| now.saturating_duration_since(k.made) < horizon);
+        let retention = self.retention.0;
+        self.stored
+            .retain(|_, k| now.saturating_duration_since(k.created_at) < retention);
     }
 
-    /// Records held.
+    /// The number of stored records.
     pub fn len(&self) -> usize {
-        self.kept.len()
+        self.stored.len()
     }
 
-    /// Whether no record is held.
+    /// Whether no record is stored.
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty()
+        self.stored.is_empty()
     }
 
-    /// Slots that this member holds but can't take claims for.
+    /// The number of slots that this member holds but does not accept claims for: slots that are
+    /// closed or whose records have not been fetched yet.
     pub fn slots_not_ready(&self) -> usize {
-        let held = |m: &&SlotMemory| !matches!(m.state, SlotState::NotHeld | SlotState::Ready);
+        let held = |m: &&SlotHistory| !matches!(m.state, SlotState::NotHeld | SlotState::Ready);
         self.slots.values().filter(held).count()
     }
 }
 
-fn handed_on(kept: &Kept, now: Instant) -> Record {
-    let age = now.saturating_duration_since(kept.made);
+fn with_age(stored: &StoredRecord, now: Instant) -> Record {
+    let age = now.saturating_duration_since(stored.created_at);
     Record {
         age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
-        ..kept.record.clone()
+        ..stored.record.clone()
     }
 }
--- a/crates/daemon/cloverpier_record/src/lib.rs
+++ b/crates/daemon/cloverpier_record/src/lib.rs
@@ -1,11 +1,13 @@
-//! At most once: records of requests that may not be repeated.
+//! At-most-once execution of requests that must not be repeated.
 //!
-//! A router that wants to run such a request first claims its key at every
-//! holder of the key's slot, and dispatches only when all of them, in one
-//! epoch, have it written down. So a key that was dispatched is known to
-//! every holder of that epoch, and each later set of holders either learned it
-//! from one of them or keeps the slot closed until no retry can come any more.
-//! Safety rests on epochs, not on clocks. All of it is plain state.
+//! Before a router dispatches such a request, it claims the request key at every holder of the
+//! key's slot. It dispatches only if all holders have stored the claim in the same membership
+//! epoch. Every holder of that epoch therefore has a record of each dispatched key. The holders of
+//! a later epoch either fetch the records from such a holder, or refuse claims on the slot until no
+//! caller may retry any more. Safety depends on epochs, not on clocks.
+//!
+//! The types here are state machines without I/O; the caller sends the messages and passes in the
+//! time.
 //!
 //! ```
 //! use cloverpier_record::prelude::*;
@@ -16,16 +18,16 @@
 
 mod claim;
 mod holder;
-mod memory;
 mod record;
 mod slot;
+mod slot_history;
 
-/// What users of the crate need daily.
+/// The public types of the crate.
 pub mod prelude {
     pub use crate::claim::{Claim, ClaimStep, Refusal};
-    pub use crate::holder::{Horizon, Records, SyncStep};
-    pub use crate::record::{ClaimId, ClaimReply, Outcome, Record, StoredAnswer, SyncReply};
-    pub use crate::slot::{HOLDERS, SLOT_COUNT, Slot, SlotMap};
+    pub use crate::holder::{RecordRetention, Records, SyncStep};
+    pub use crate::record::{ClaimId, ClaimReply, Outcome, Record, StoredResponse, SyncReply};
+    pub use crate::slot::{HOLDERS_PER_SLOT, SLOT_COUNT, Slot, SlotMap};
 }
 
 pub use prelude::*;
--- a/crates/daemon/cloverpier_record/src/record.rs
+++ b/crates/daemon/cloverpier_record/src/record.rs
@@ -1,86 +1,89 @@
-//! Records and what holders answer about them.
+//! Records of claimed requests, and the replies of their holders.
 //!
-//! Their names of fields and variants are on the wire between routers.
+//! The names of fields and variants are part of the wire format between routers.
 
 use cloverpier_core::{MemberId, RequestKey};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// One try of one router to run a request.
+/// Identifies one attempt of a router to execute a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClaimId {
-    /// The router.
+    /// The router that made the claim.
     pub router: MemberId,
-    /// A number that the router uses once.
+    /// A number that this router process uses for no other claim.
     pub number: u64,
 }
 
-/// An answer that is kept for a caller that asks again.
+/// A response that is kept for callers that repeat the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoredAnswer {
-    /// The HTTP status.
+pub struct StoredResponse {
+    /// The HTTP status code.
     pub status: u16,
-    /// The content type, when there was one.
+    /// The `Content-Type` of the response; `None` if it had none.
     pub content_type: Option<Arc<str>>,
-    /// The body; `None` when it was too large to keep.
+    /// The body; `None` if it exceeded the size that is kept.
     pub body: Option<Vec<u8>>,
 }
 
-/// What became of a request.
+/// The outcome of a claimed request, as far as its holders have received it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It was claimed; whether it ran isn't known.
+    /// The request may or may not have been executed: no outcome has been reported.
     Claimed,
-    /// It was dispatched and no answer came; it must not run again.
+    /// The request was dispatched, but no response arrived. It must not be executed again.
     Unknown,
-    /// It ran, and this was the answer.
-    Done(StoredAnswer),
+    /// The request was executed, with this response.
+    Done(StoredResponse),
 }
 
-/// The record of a request key.
+/// The record that a holder stores for a claimed request key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The key.
+    /// The key of the request, which is unique within a client account.
     pub key: RequestKey,
-    /// Who claimed it.
+    /// The claim that has the key.
     pub claim: ClaimId,
-    /// Digest of the request, so that a key isn't used for two requests.
-    pub body: u64,
-    /// What became of it.
+    /// Digest of the request, to detect a key that is used for two different requests.
+    #[serde(rename = "body")]
+    pub request_digest: u64,
+    /// The outcome; [`Outcome::Claimed`] until one is reported.
     pub outcome: Outcome,
-    /// How long ago the record was made, in milliseconds; set when it is handed on.
+    /// Age of the record in milliseconds when it was sent to another router. 0 in a stored record.
     pub age_ms: u64,
 }
 
-/// What a holder answers to a claim.
+/// The reply of a holder to a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimReply {
-    /// The claim is written down.
+    /// The holder has stored the claim.
     Written,
-    /// The key was claimed before.
+    /// The key has a record of another claim.
     Taken(Record),
-    /// The holder acts on another epoch.
+    /// The holder has entered another epoch than the claim was made in.
     OtherEpoch {
-        /// The holder's epoch.
+        /// The epoch of the holder.
         epoch: u64,
     },
-    /// The holder doesn't hold the slot, or doesn't know all of its records yet.
+    /// The holder does not hold the slot, has not fetched all of its records yet, or has closed it
+    /// because no member has its records.
     NotReady {
-        /// How long to wait, in milliseconds.
+        /// When to retry, in milliseconds.
         retry_ms: u64,
     },
 }
 
-/// What a member answers to another that must learn a slot's records.
+/// The reply of a member to a request for the records of a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SyncReply {
-    /// All records that any claim up to the asked epoch wrote.
+    /// All records of the slot that claims up to the requested epoch created.
     Records(Vec<Record>),
-    /// The member held the slot in the asked epoch and never took a claim in
-    /// it; as every holder must, nobody's claim was completed in it.
+    /// The member held the slot in the requested epoch and accepted no claim in it. As a claim
+    /// needs every holder, no claim was completed in that epoch.
     NoClaims,
-    /// The member knows nothing of the slot in that epoch.
+    /// The member does not have the records of the slot for that epoch.
     Unknown,
-    /// The member acts on an earlier epoch still; ask again.
+    /// The member has not entered the epoch of the requesting member yet. The request should be
+    /// repeated.
     Behind,
 }
--- a/crates/daemon/cloverpier_record/tests/at_most_once.rs
+++ b/crates/daemon/cloverpier_record/tests/at_most_once.rs
@@ -1,8 +1,9 @@
-//! Random claims against random changes of the members: no key is dispatched twice.
+//! Simulates random claims during random membership changes, and checks that no key is dispatched
+//! twice.
 //!
-//! Members enter epochs late, die, come back without memory, and are taken
-//! for dead while they live. Replies and releases are lost. A claimant that
-//! slept goes on with what it had.
+//! Members enter epochs late, crash, rejoin without records, or are removed from the list while
+//! they run. Replies and release messages are lost. A suspended router resumes a claim with
+//! outdated state.
 
 use cloverpier_core::{MemberId, RequestKey};
 use cloverpier_member::{Member, MemberList};
@@ -11,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-const WORLDS: u64 = 30;
+const SIMULATIONS: u64 = 30;
 const STEPS: u32 = 400;
 const KEYS: u64 = 8;
 const VMS: u64 = 4;
@@ -20,7 +21,7 @@
     RequestKey::new(format!("lab/{number}"))
 }
 
-struct Asking {
+struct PendingClaim {
     key: RequestKey,
     id: ClaimId,
     epoch: u64,
@@ -28,46 +29,46 @@
     step: ClaimStep,
 }
 
-struct World {
+struct Simulation {
     rng: Rng,
     now: Instant,
-    /// The list as the platform holds it.
+    /// The current member list, as stored at the platform.
     list: MemberList,
-    /// All lists so far, for members that enter late.
+    /// All member lists so far, for members that enter an epoch late.
     lists: Vec<MemberList>,
     processes: BTreeMap<MemberId, Records>,
-    asking: Vec<Asking>,
+    pending: Vec<PendingClaim>,
     releases: Vec<(MemberId, RequestKey, ClaimId)>,
     dispatched: BTreeMap<RequestKey, u32>,
-    numbers: u64,
+    last_number: u64,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             rng: Rng::with_seed(seed),
             now: Instant::now(),
             list: MemberList::default(),
             lists: Vec::new(),
             processes: BTreeMap::new(),
-            asking: Vec::new(),
+            pending: Vec::new(),
             releases: Vec::new(),
             dispatched: BTreeMap::new(),
-            numbers: 0,
+            last_number: 0,
         };
         for vm in 0..3 {
-            world.join(vm);
+            simulation.join(vm);
         }
         for _ in 0..2 {
-            world.all_enter();
-            world.all_learn();
+            simulation.enter_epoch_at_all();
+            simulation.sync_all();
         }
-        world
+        simulation
     }
 
-    fn number(&mut self) -> u64 {
-        self.numbers += 1;
-        self.numbers
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
     fn set_list(&mut self, list: MemberList) {
@@ -79,31 +80,31 @@
         let port = u16::try_from(1_000 + vm).unwrap_or(1);
         let at = ([127, 0, 0, 1], port).into();
         let dc = format!("dc-{}", vm % 3);
-        let member = Member::new(&format!("vm-{vm}"), self.number(), &dc, at, at);
+        let member = Member::new(&format!("vm-{vm}"), self.next_number(), &dc, at, at);
         let id = member.id.clone();
         self.set_list(self.list.with_joined(member));
-        let records = Records::new(id.clone(), Horizon::default());
+        let records = Records::new(id.clone(), RecordRetention::default());
         self.processes.insert(id, records);
     }
 
-    fn any_process(&mut self) -> Option<MemberId> {
+    fn random_process(&mut self) -> Option<MemberId> {
         let ids: Vec<MemberId> = self.processes.keys().cloned().collect();
         self.rng.choice(ids)
     }
 
     fn step(&mut self) {
         match self.rng.u32(0..100) {
-            0..12 => self.begin_claim(),
+            0..12 => self.start_claim(),
             12..60 => self.advance_claim(),
-            60..72 => self.one_enters(),
-            72..88 => self.one_learns(),
-            88..93 => self.one_release(),
+            60..72 => self.enter_epoch_at_random_member(),
+            72..88 => self.sync_random_member(),
+            88..93 => self.deliver_random_release(),
             93..95 => {
                 let vm = self.rng.u64(0..VMS);
                 self.join(vm);
             }
-            95 => self.one_is_removed(),
-            96 => self.one_dies(),
+            95 => self.remove_random_member(),
+            96 => self.crash_random_process(),
             _ => {}
         }
         for (key, times) in &self.dispatched {
@@ -111,17 +112,17 @@
         }
     }
 
-    fn begin_claim(&mut self) {
-        let Some(router) = self.any_process() else {
+    fn start_claim(&mut self) {
+        let Some(router) = self.random_process() else {
             return;
         };
         let key = key(self.rng.u64(0..KEYS));
-        let number = self.number();
+        let number = self.next_number();
         let Some(records) = self.processes.get(&router) else {
             return;
         };
-        let claim = Claim::new(records.map().holders(Slot::of(key.as_str())));
-        self.asking.push(Asking {
+        let claim = Claim::new(records.slot_map().holders(Slot::of(key.as_str())));
+        self.pending.push(PendingClaim {
             key,
             id: ClaimId { router, number },
             epoch: records.epoch(),
@@ -131,34 +132,33 @@
     }
 
     fn advance_claim(&mut self) {
-        if self.asking.is_empty() {
+        if self.pending.is_empty() {
             return;
         }
-        let i = self.rng.usize(0..self.asking.len());
-        let mut asking = self.asking.swap_remove(i);
-        match asking.step.clone() {
+        let i = self.rng.usize(0..self.pending.len());
+        let mut pending = self.pending.swap_remove(i);
+        match pending.step.clone() {
             ClaimStep::Dispatch => {
-                *self.dispatched.entry(asking.key).or_default() += 1;
+                *self.dispatched.entry(pending.key).or_default() += 1;
             }
-            ClaimStep::Refuse { take_back, .. } => {
-                let back = take_back.into_iter();
+            ClaimStep::Refuse { release_from, .. } => {
+                let holders = release_from.into_iter();
                 self.releases
-                    .extend(back.map(|h| (h, asking.key.clone(), asking.id.clone())));
+                    .extend(holders.map(|h| (h, pending.key.clone(), pending.id.clone())));
             }
-            ClaimStep::Ask(holder) => {
+            ClaimStep::SendTo(holder) => {
                 let now = self.now;
-                let reply = self
-                    .processes
-                    .get_mut(&holder)
-                    .map(|records| records.on_claim(asking.epoch, &asking.key, 1, &asking.id, now));
+                let reply = self.processes.get_mut(&holder).map(|records| {
+                    records.on_claim(pending.epoch, &pending.key, 1, &pending.id, now)
+                });
                 let lost = self.rng.u8(0..12) == 0;
-                asking.step = asking.claim.on_reply(reply.filter(|_| !lost));
-                self.asking.push(asking);
+                pending.step = pending.claim.on_reply(reply.filter(|_| !lost));
+                self.pending.push(pending);
             }
         }
     }
 
-    fn one_release(&mut self) {
+    fn deliver_random_release(&mut self) {
         if self.releases.is_empty() {
             return;
         }
@@ -169,11 +169,12 @@
         }
     }
 
-    fn one_enters(&mut self) {
-        let Some(id) = self.any_process() else {
+    fn enter_epoch_at_random_member(&mut self) {
+        let Some(id) = self.random_process() else {
             return;
         };
-        // Mostly the newest list, at times an older one that was on its way.
+        // Half of the time the newest list, otherwise one of the last three, as if the newest had
+        // not arrived yet.
         let newest = self.lists.len() - 1;
         let at = if self.rng.bool() {
             newest
@@ -186,39 +187,39 @@
         }
     }
 
-    fn all_enter(&mut self) {
+    fn enter_epoch_at_all(&mut self) {
         let list = self.list.clone();
         for records in self.processes.values_mut() {
             records.enter(&list);
         }
     }
 
-    fn one_learns(&mut self) {
-        let Some(id) = self.any_process() else {
+    fn sync_random_member(&mut self) {
+        let Some(id) = self.random_process() else {
             return;
         };
-        let some = self.rng.usize(0..3);
-        self.learn(&id, some);
+        let max_steps = self.rng.usize(0..3);
+        self.sync_member(&id, max_steps);
     }
 
-    fn all_learn(&mut self) {
+    fn sync_all(&mut self) {
         let ids: Vec<MemberId> = self.processes.keys().cloned().collect();
         for id in ids {
-            self.learn(&id, usize::MAX);
+            self.sync_member(&id, usize::MAX);
         }
     }
 
-    fn learn(&mut self, id: &MemberId, most: usize) {
+    fn sync_member(&mut self, id: &MemberId, max_steps: usize) {
         let Some(mut records) = self.processes.remove(id) else {
             return;
         };
         let epoch = records.epoch();
-        let mut steps = records.to_learn(self.now);
-        // The other slots have no keys.
+        let mut steps = records.sync_steps(self.now);
+        // The test uses no keys in the other slots.
         let used: BTreeSet<Slot> = (0..KEYS).map(|n| Slot::of(key(n).as_str())).collect();
         steps.retain(|step| used.contains(&step.slot));
         self.rng.shuffle(&mut steps);
-        for step in steps.into_iter().take(most) {
+        for step in steps.into_iter().take(max_steps) {
             let source = self.rng.choice(step.sources.clone());
             let Some(source) = source else {
                 continue;
@@ -226,14 +227,14 @@
             let Some(other) = self.processes.get(&source) else {
                 continue;
             };
-            let reply = other.on_sync(step.slot, step.level, epoch, self.now);
+            let reply = other.on_sync(step.slot, step.past_epoch, epoch, self.now);
             records.on_sync_reply(&step, epoch, &source, reply, self.now);
         }
         self.processes.insert(id.clone(), records);
     }
 
-    /// Off the list, whether dead or only taken for it.
-    fn one_is_removed(&mut self) {
+    /// Removes a member from the list; its process continues to run.
+    fn remove_random_member(&mut self) {
         let ids: Vec<MemberId> = self.list.members.iter().map(|m| m.id.clone()).collect();
         if let Some(id) = self.rng.choice(ids) {
             let gone = BTreeSet::from([id]);
@@ -241,23 +242,26 @@
         }
     }
 
-    fn one_dies(&mut self) {
-        if let Some(id) = self.any_process() {
+    fn crash_random_process(&mut self) {
+        if let Some(id) = self.random_process() {
             self.processes.remove(&id);
         }
     }
 }
 
 #[test]
-fn no_key_is_dispatched_twice_whatever_happens_to_the_members() {
+fn no_key_is_dispatched_twice_under_random_membership_changes() {
     let mut dispatched = 0;
-    for seed in 0..WORLDS {
-        let mut world = World::new(seed);
+    for seed in 0..SIMULATIONS {
+        let mut simulation = Simulation::new(seed);
         for _ in 0..STEPS {
-            world.step();
+            simulation.step();
         }
-        dispatched += world.dispatched.len();
+        dispatched += simulation.dispatched.len();
     }
-    // Most keys get through before the members are too much in motion.
-    assert!(dispatched as u64 >= WORLDS, "only {dispatched} dispatched");
+    // Fails if hardly any request is dispatched, as the simulation then checks nothing.
+    assert!(
+        dispatched as u64 >= SIMULATIONS,
+        "only {dispatched} dispatched"
+    );
 }
