--- a/crates/daemon/cloverpier_daemon/src/members/cluster.rs
+++ b/crates/daemon/cloverpier_daemon/src/members/cluster.rs
@@ -90,7 +90,7 @@
     /// Notes that a message of a peer arrived.
     pub fn on_peer(&mut self, from: &MemberId, now: Instant) {
         self.peer_heard = now;
-        self.detector.on_heard(from, now);
+        self.detector.on_message(from, now);
     }
 
     /// Notes a heartbeat; one of a router that is not on the list is a guest's.
--- a/crates/daemon/cloverpier_daemon/src/members/join.rs
+++ b/crates/daemon/cloverpier_daemon/src/members/join.rs
@@ -6,7 +6,7 @@
 use crate::app::App;
 use crate::members::MEMBERS_KEY;
 use cloverpier_core::{MemberId, hash_of, jitter, lock, rendezvous_rank};
-use cloverpier_member::{Member, MemberList, Rejoin};
+use cloverpier_member::{Member, MemberList, RejoinBackoff};
 use cloverpier_object_api::{Found, WriteError};
 use cloverpier_peer::{PeerReply, PeerRequest};
 use serde::Serialize;
@@ -192,12 +192,12 @@
 
 /// Joins, and joins again when this process was considered dead.
 pub(super) async fn keep_joined(app: Arc<App>) {
-    let mut rejoin = Rejoin::new();
+    let mut rejoin = RejoinBackoff::new();
     loop {
         let on_it = lock(&app.cluster).is_member();
         let now = app.now();
         if on_it {
-            rejoin.on_member(now);
+            rejoin.on_listed(now);
         } else if !app.is_stopping() && rejoin.may_join(now) && !join(&app).await {
             ask_seeds(&app).await;
         }
--- a/crates/daemon/cloverpier_daemon/src/members/tick.rs
+++ b/crates/daemon/cloverpier_daemon/src/members/tick.rs
@@ -55,16 +55,16 @@
         DetectorStep::Heartbeat { to } => {
             tokio::spawn(heartbeat(Arc::clone(app), to));
         }
-        DetectorStep::Probe { about, helpers } => {
+        DetectorStep::Probe { target, helpers } => {
             app.log.info(
                 "members.suspected",
                 &Suspected {
-                    member: &about,
+                    member: &target,
                     helpers: &helpers,
                 },
             );
             for helper in helpers {
-                tokio::spawn(probe(Arc::clone(app), about.clone(), helper));
+                tokio::spawn(probe(Arc::clone(app), target.clone(), helper));
             }
         }
         DetectorStep::Remove { members } => {
@@ -111,8 +111,8 @@
     }
 }
 
-async fn probe(app: Arc<App>, about: MemberId, helper: MemberId) {
-    let Some(peers_at) = app.members().get(&about).map(|m| m.peers_at) else {
+async fn probe(app: Arc<App>, target: MemberId, helper: MemberId) {
+    let Some(peers_at) = app.members().get(&target).map(|m| m.peers_at) else {
         return;
     };
     let request = PeerRequest::Probe { peers_at };
@@ -126,7 +126,9 @@
         ProbeResult::NotReached
     };
     let now = app.now();
-    lock(&app.cluster).detector.on_probe(&about, result, now);
+    lock(&app.cluster)
+        .detector
+        .on_probe_result(&target, result, now);
 }
 
 async fn remove(app: Arc<App>, members: BTreeSet<MemberId>) {
--- a/crates/daemon/cloverpier_member/src/detector.rs
+++ b/crates/daemon/cloverpier_member/src/detector.rs
@@ -1,48 +1,52 @@
-//! Failure detection with a bounded number of heartbeats and a second observer.
+//! Failure detection with a bounded number of heartbeats per member, and indirect probes.
 //!
-//! Question: who gets a heartbeat now, who is suspected, who is removed? Inputs: the list, when
-//! members last answered, what helpers found. Answer: [`DetectorStep`]s. The cost of a member does
-//! not grow with the list, and no one observer removes anybody. Answers, records and limits hang
-//! on who is a member here; the router on the platform keeps a table of peers on which nothing of
-//! safety depends (`cloverpier_router_policy::peers`).
+//! From the member list, the times of received messages and the results of probes, [`Detector`]
+//! decides which members get a heartbeat, which are probed by helpers and which are removed from
+//! the list. The number of messages per member does not grow with the list. No member is removed by
+//! a single observer: a helper must have failed to reach it, too.
+//!
+//! Copies of responses, request records and rate limits are assigned by the member list, so their
+//! safety depends on it. The router of the platform keeps a table of peers on which no safety
+//! property depends (`cloverpier_router_policy::peers`). The caller sends the messages and passes
+//! in the time.
 
 use crate::list::{Member, MemberList};
 use cloverpier_core::{MemberId, hash_of};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// The detector's parameters.
+/// Intervals, timeouts and counts of a [`Detector`].
 #[derive(Clone, Copy, Debug)]
 pub struct DetectorParams {
     /// Time between two heartbeats to the same member.
-    pub period: Duration,
-    /// Silence after which a second observer is asked.
-    pub suspect_after: Duration,
-    /// Members that each member sends heartbeats to.
+    pub heartbeat_interval: Duration,
+    /// Time without a message after which a watched member is suspected and helpers probe it. Also
+    /// the time after which the probe is repeated.
+    pub suspicion_timeout: Duration,
+    /// Number of members that each member watches and sends heartbeats to.
     pub fan_out: usize,
-    /// Members that are asked to probe a silent one.
-    pub helpers: usize,
-    /// Time for which removals are collected, so that a lost data centre is one epoch.
-    pub settle: Duration,
+    /// Number of members that probe a suspected member on request.
+    pub helper_count: usize,
+    /// Time between the first confirmed failure and the removal, so that members of a failed data
+    /// centre are removed in one epoch.
+    pub removal_delay: Duration,
 }
 
-const PERIOD: Duration = Duration::from_millis(400);
-const SUSPECT_AFTER: Duration = Duration::from_millis(2_400);
-/// Members that each one sends heartbeats to, however many there are.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
+const SUSPICION_TIMEOUT: Duration = Duration::from_millis(2_400);
+/// The cost of heartbeats per member is the same for any size of the list.
 const FAN_OUT: usize = 4;
-/// Members that are asked to probe a silent one.
-const HELPERS: usize = 3;
-/// Time for which removals are collected, so that a dead data centre is one epoch.
-const SETTLE: Duration = Duration::from_millis(400);
+const HELPER_COUNT: usize = 3;
+const REMOVAL_DELAY: Duration = Duration::from_millis(400);
 
 impl Default for DetectorParams {
     fn default() -> Self {
         Self {
-            period: PERIOD,
-            suspect_after: SUSPECT_AFTER,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
+            suspicion_timeout: SUSPICION_TIMEOUT,
             fan_out: FAN_OUT,
-            helpers: HELPERS,
-            settle: SETTLE,
+            helper_count: HELPER_COUNT,
+            removal_delay: REMOVAL_DELAY,
         }
     }
 }
@@ -50,184 +54,190 @@
 /// What a helper found when it probed a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// The member answered.
+    /// The member replied to the helper.
     Reached,
-    /// It did not answer in time.
+    /// The member did not reply to the helper in time.
     NotReached,
 }
 
-/// What the detector wants done.
+/// What the caller of [`Detector::tick`] has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DetectorStep {
     /// Send a heartbeat.
     Heartbeat {
-        /// To whom.
+        /// The watched member that receives the heartbeat.
         to: MemberId,
     },
-    /// Ask helpers whether they reach a member.
+    /// Request helpers to probe a suspected member, and pass their results to
+    /// [`Detector::on_probe_result`].
     Probe {
-        /// The silent member.
-        about: MemberId,
-        /// Whom to ask.
+        /// The suspected member.
+        target: MemberId,
+        /// The members that receive the request.
         helpers: Vec<MemberId>,
     },
-    /// Remove members by an update of the list, conditional on its epoch.
+    /// Remove members by an update of the member list that is conditional on its epoch.
     Remove {
-        /// Those that two observers could not reach.
+        /// Members that neither this member nor a helper could reach.
         members: BTreeSet<MemberId>,
     },
-    /// The process stood still for longer than the suspicion time: what it holds is
-    /// uncertain until its epoch is confirmed.
+    /// The process was suspended for longer than the suspicion timeout. Until its epoch is
+    /// confirmed, other members may have removed it and taken over what it holds.
     Paused {
-        /// How long it stood still.
+        /// Time since the previous tick.
         gap: Duration,
     },
 }
 
 #[derive(Clone, Debug)]
-struct Watch {
-    heard: Instant,
-    sent: Option<Instant>,
-    probed: Option<Instant>,
-    not_reached: bool,
+struct WatchState {
+    last_message_at: Instant,
+    last_heartbeat_at: Option<Instant>,
+    last_probe_at: Option<Instant>,
+    is_unreachable: bool,
 }
 
-/// Watches some of the members on behalf of all.
+/// Detects failures among the members that this member watches. All members together watch the
+/// whole list.
 #[derive(Debug)]
 pub struct Detector {
     me: MemberId,
     params: DetectorParams,
     members: Vec<Member>,
-    watched: BTreeMap<MemberId, Watch>,
-    confirmed: BTreeMap<MemberId, Instant>,
+    watched: BTreeMap<MemberId, WatchState>,
+    unreachable_since: BTreeMap<MemberId, Instant>,
     last_tick: Option<Instant>,
 }
 
 impl Detector {
-    /// A detector that watches nobody yet.
+    /// Creates a detector for the member `me` that watches no members yet.
     pub fn new(me: MemberId, params: DetectorParams) -> Self {
         Self {
             me,
             params,
             members: Vec::new(),
             watched: BTreeMap::new(),
-            confirmed: BTreeMap::new(),
+            unreachable_since: BTreeMap::new(),
             last_tick: None,
         }
     }
 
-    /// Takes a new list of members.
+    /// Replaces the member list.
     ///
-    /// Each member watches those that follow it on a ring ordered by hash, so
-    /// every member has `fan_out` watchers, and a change moves few of them.
+    /// Each member watches its `fan_out` successors on a ring that is ordered by hash. Every member
+    /// thus has `fan_out` watchers, and a change of the list affects only a few of them.
     pub fn set_members(&mut self, list: &MemberList, now: Instant) {
         self.members = list.members.clone();
-        let targets = ring_after(&list.members, &self.me, self.params.fan_out);
-        self.watched.retain(|id, _| targets.contains(id));
-        for id in targets {
-            self.watched.entry(id).or_insert(Watch {
-                heard: now,
-                sent: None,
-                probed: None,
-                not_reached: false,
+        let successors = ring_successors(&list.members, &self.me, self.params.fan_out);
+        self.watched.retain(|id, _| successors.contains(id));
+        for id in successors {
+            self.watched.entry(id).or_insert(WatchState {
+                last_message_at: now,
+                last_heartbeat_at: None,
+                last_probe_at: None,
+                is_unreachable: false,
             });
         }
-        self.confirmed.retain(|id, _| list.contains(id));
+        self.unreachable_since.retain(|id, _| list.contains(id));
     }
 
-    /// Notes that a message of a member arrived, whatever it says.
-    pub fn on_heard(&mut self, from: &MemberId, now: Instant) {
+    /// Records that any message of the member `from` arrived, which ends a suspicion.
+    pub fn on_message(&mut self, from: &MemberId, now: Instant) {
         if let Some(watch) = self.watched.get_mut(from) {
-            watch.heard = now;
-            watch.probed = None;
-            watch.not_reached = false;
+            watch.last_message_at = now;
+            watch.last_probe_at = None;
+            watch.is_unreachable = false;
         }
-        self.confirmed.remove(from);
+        self.unreachable_since.remove(from);
     }
 
-    /// Notes what a helper found.
+    /// Records what a helper found when it probed the member `target`.
     ///
-    /// One helper that reaches the member ends the suspicion: the link from
-    /// here is what fails, not the member.
-    pub fn on_probe(&mut self, about: &MemberId, result: ProbeResult, now: Instant) {
+    /// If one helper reaches the member, the suspicion ends: the link from this member has failed,
+    /// not the member. A failed probe has no effect unless the member is still suspected.
+    pub fn on_probe_result(&mut self, target: &MemberId, result: ProbeResult, now: Instant) {
         if result == ProbeResult::Reached {
-            self.on_heard(about, now);
+            self.on_message(target, now);
             return;
         }
-        let Some(watch) = self.watched.get_mut(about) else {
+        let Some(watch) = self.watched.get_mut(target) else {
             return;
         };
-        let still_silent = now.saturating_duration_since(watch.heard) >= self.params.suspect_after;
-        if watch.probed.is_some() && still_silent {
-            watch.not_reached = true;
-            self.confirmed.entry(about.clone()).or_insert(now);
+        let still_silent =
+            now.saturating_duration_since(watch.last_message_at) >= self.params.suspicion_timeout;
+        if watch.last_probe_at.is_some() && still_silent {
+            watch.is_unreachable = true;
+            self.unreachable_since.entry(target.clone()).or_insert(now);
         }
     }
 
-    /// Members that this one suspects on its own or with a second observer.
+    /// Watched members from which no message has arrived for the suspicion timeout.
     pub fn suspected(&self, now: Instant) -> BTreeSet<MemberId> {
-        let silent =
-            |w: &Watch| now.saturating_duration_since(w.heard) >= self.params.suspect_after;
-        let own = self.watched.iter().filter(|(_, w)| silent(w));
-        own.map(|(id, _)| id.clone()).collect()
+        let silent = |w: &WatchState| {
+            now.saturating_duration_since(w.last_message_at) >= self.params.suspicion_timeout
+        };
+        let suspected = self.watched.iter().filter(|(_, w)| silent(w));
+        suspected.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Lets time pass and says what to do next.
+    /// Returns the actions that are due. Must be called more often than the suspicion timeout; a
+    /// longer pause counts as a suspension of the process.
     pub fn tick(&mut self, now: Instant) -> Vec<DetectorStep> {
         let gap = self
             .last_tick
             .map_or(Duration::ZERO, |t| now.saturating_duration_since(t));
         self.last_tick = Some(now);
-        if gap >= self.params.suspect_after {
-            self.forget_silence(now);
+        if gap >= self.params.suspicion_timeout {
+            self.reset_silence(now);
             return vec![DetectorStep::Paused { gap }];
         }
-        let mut steps = self.heartbeats(now);
-        steps.extend(self.probes(now));
-        steps.extend(self.removal(now));
+        let mut steps = self.heartbeat_steps(now);
+        steps.extend(self.probe_steps(now));
+        steps.extend(self.removal_step(now));
         steps
     }
 
-    /// After a pause the silence of others says nothing: it was this process that slept.
-    fn forget_silence(&mut self, now: Instant) {
+    /// Ends all suspicions after a suspension of this process, as no messages could be received in
+    /// that time.
+    fn reset_silence(&mut self, now: Instant) {
         for watch in self.watched.values_mut() {
-            watch.heard = now;
-            watch.probed = None;
-            watch.not_reached = false;
+            watch.last_message_at = now;
+            watch.last_probe_at = None;
+            watch.is_unreachable = false;
         }
-        self.confirmed.clear();
+        self.unreachable_since.clear();
     }
 
-    fn heartbeats(&mut self, now: Instant) -> Vec<DetectorStep> {
-        let period = self.params.period;
-        let due = |w: &Watch| {
-            w.sent
-                .is_none_or(|at| now.saturating_duration_since(at) >= period)
+    fn heartbeat_steps(&mut self, now: Instant) -> Vec<DetectorStep> {
+        let heartbeat_interval = self.params.heartbeat_interval;
+        let due = |w: &WatchState| {
+            w.last_heartbeat_at
+                .is_none_or(|at| now.saturating_duration_since(at) >= heartbeat_interval)
         };
         let mut steps = Vec::new();
         for (id, watch) in self.watched.iter_mut().filter(|(_, w)| due(w)) {
-            watch.sent = Some(now);
+            watch.last_heartbeat_at = Some(now);
             steps.push(DetectorStep::Heartbeat { to: id.clone() });
         }
         steps
     }
 
-    fn probes(&mut self, now: Instant) -> Vec<DetectorStep> {
+    fn probe_steps(&mut self, now: Instant) -> Vec<DetectorStep> {
         let suspected = self.suspected(now);
-        let again_after = self.params.suspect_after;
+        let probe_interval = self.params.suspicion_timeout;
         let mut steps = Vec::new();
         for id in &suspected {
-            let helpers = self.helpers_for(id, &suspected);
+            let helpers = self.choose_helpers(id, &suspected);
             let Some(watch) = self.watched.get_mut(id) else {
                 continue;
             };
             let due = watch
-                .probed
-                .is_none_or(|at| now.saturating_duration_since(at) >= again_after);
-            if due && !watch.not_reached && !helpers.is_empty() {
-                watch.probed = Some(now);
+                .last_probe_at
+                .is_none_or(|at| now.saturating_duration_since(at) >= probe_interval);
+            if due && !watch.is_unreachable && !helpers.is_empty() {
+                watch.last_probe_at = Some(now);
                 steps.push(DetectorStep::Probe {
-                    about: id.clone(),
+                    target: id.clone(),
                     helpers,
                 });
             }
@@ -235,36 +245,40 @@
         steps
     }
 
-    /// Helpers for a probe: by hash, other data centres than the silent member's first.
-    fn helpers_for(&self, about: &MemberId, suspected: &BTreeSet<MemberId>) -> Vec<MemberId> {
-        let home = self.members.iter().find(|m| m.id == *about);
-        let home = home.map(|m| m.data_centre.clone());
-        let able = |m: &&Member| m.id != self.me && m.id != *about && !suspected.contains(&m.id);
-        let mut helpers: Vec<&Member> = self.members.iter().filter(able).collect();
-        let salt = format!("{}/{about}", self.me);
+    /// Chooses members that are not suspected, by hash. Members of other data centres than the
+    /// target's come first.
+    fn choose_helpers(&self, target: &MemberId, suspected: &BTreeSet<MemberId>) -> Vec<MemberId> {
+        let target_data_centre = self.members.iter().find(|m| m.id == *target);
+        let target_data_centre = target_data_centre.map(|m| m.data_centre.clone());
+        let is_eligible =
+            |m: &&Member| m.id != self.me && m.id != *target && !suspected.contains(&m.id);
+        let mut helpers: Vec<&Member> = self.members.iter().filter(is_eligible).collect();
+        let salt = format!("{}/{target}", self.me);
         helpers.sort_by_key(|m| {
-            let same = Some(&m.data_centre) == home.as_ref();
+            let same = Some(&m.data_centre) == target_data_centre.as_ref();
             (same, hash_of(&format!("{salt}/{}", m.id)))
         });
         let ids = helpers.into_iter().map(|m| m.id.clone());
-        ids.take(self.params.helpers).collect()
+        ids.take(self.params.helper_count).collect()
     }
 
-    fn removal(&mut self, now: Instant) -> Option<DetectorStep> {
-        let first = self.confirmed.values().min().copied()?;
-        if now.saturating_duration_since(first) < self.params.settle {
+    fn removal_step(&mut self, now: Instant) -> Option<DetectorStep> {
+        let first = self.unreachable_since.values().min().copied()?;
+        if now.saturating_duration_since(first) < self.params.removal_delay {
             return None;
         }
-        let members = std::mem::take(&mut self.confirmed).into_keys().collect();
+        let members = std::mem::take(&mut self.unreachable_since)
+            .into_keys()
+            .collect();
         for watch in self.watched.values_mut() {
-            watch.not_reached = false;
+            watch.is_unreachable = false;
         }
         Some(DetectorStep::Remove { members })
     }
 }
 
-/// The members that follow one on the ring.
-fn ring_after(members: &[Member], me: &MemberId, count: usize) -> Vec<MemberId> {
+/// The `count` successors of the member `me` on the ring of hashes.
+fn ring_successors(members: &[Member], me: &MemberId, count: usize) -> Vec<MemberId> {
     let mut ring: Vec<(u64, &MemberId)> = members
         .iter()
         .filter(|m| m.id != *me)
--- a/crates/daemon/cloverpier_member/src/lib.rs
+++ b/crates/daemon/cloverpier_member/src/lib.rs
@@ -1,11 +1,10 @@
-//! Who is a member: epochs, failure detection, and who watches whom.
+//! Membership of the router fleet: the member list with its epochs, and failure detection.
 //!
-//! The list of members is one object of the platform and changes only by
-//! conditional update; each change is an epoch. [`Detector`] finds members
-//! that went silent: a bounded number of heartbeats per member, and a removal
-//! only when a second observer could not reach the silent one either (after
-//! Das, Gupta and Motivala, "SWIM", 2002). It is a state machine: it says
-//! what to send and is given the replies.
+//! The member list is one object at the platform, which changes only by conditional updates. Each
+//! change starts a new epoch. [`Detector`] detects failed members with a bounded number of
+//! heartbeats per member. It removes a member only if a second observer could not reach the member,
+//! either (after Das, Gupta and Motivala, "SWIM", 2002). The types here are state machines without
+//! I/O: they return the messages to send and are given the replies.
 //!
 //! ```
 //! use cloverpier_member::prelude::*;
@@ -23,11 +22,11 @@
 mod list;
 mod rejoin;
 
-/// What users of the crate need daily.
+/// The public types of the crate.
 pub mod prelude {
     pub use crate::detector::{Detector, DetectorParams, DetectorStep, ProbeResult};
     pub use crate::list::{Member, MemberChange, MemberList};
-    pub use crate::rejoin::Rejoin;
+    pub use crate::rejoin::RejoinBackoff;
 }
 
 pub use prelude::*;
--- a/crates/daemon/cloverpier_member/src/list.rs
+++ b/crates/daemon/cloverpier_member/src/list.rs
@@ -1,33 +1,36 @@
-//! The list of members and its epochs.
+//! The member list and its epochs.
 //!
-//! Stored at the platform as one object. Each change begins an epoch; the last ones are kept,
-//! since records are learned from members of former epochs.
+//! The list is stored at the platform as one object. Each change starts a new epoch. The list
+//! contains its last changes, because the records of a slot are fetched from the holders of past
+//! epochs.
 
 use cloverpier_core::{DataCentre, MemberId, VmName};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// One run of a router process.
+/// A router process on the member list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Names the run; a restarted process has another one.
+    /// Identifies the process as `vm~incarnation`. A restarted process has another id.
     pub id: MemberId,
-    /// Its VM.
+    /// The VM that runs the process. At most one process of a VM is on the list.
     pub vm: VmName,
-    /// Its data centre.
+    /// The data centre of the VM.
     pub data_centre: DataCentre,
-    /// Where peers and operators reach it.
+    /// The address for requests of peers and operators.
     pub peers_at: SocketAddr,
-    /// Where callers reach it.
+    /// The address for requests of callers.
     pub callers_at: SocketAddr,
-    /// Whether its address is still handed out to callers.
+    /// Set when the process shuts down as planned. Callers no longer get its address, and it holds
+    /// no slots while a member that is not stopping remains.
     #[serde(default)]
     pub stopping: bool,
 }
 
 impl Member {
-    /// A member that takes callers; `incarnation` is when the process started.
+    /// Creates a member that is not stopping. `incarnation` is the start time of the process, in
+    /// milliseconds since 1970.
     pub fn new(
         vm: &str,
         incarnation: u64,
@@ -46,64 +49,65 @@
     }
 }
 
-/// What one epoch changed.
+/// The change that started an epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberChange {
-    /// The epoch that the change began.
+    /// The epoch that the change started.
     pub epoch: u64,
-    /// Members that were removed.
+    /// Members that were removed, with their addresses, so that the previous list can be restored.
     pub left: Vec<Member>,
-    /// Members that joined.
+    /// Members that were added.
     pub joined: Vec<MemberId>,
-    /// Members that began a planned stop.
+    /// Members that were marked as stopping.
     #[serde(default)]
     pub stopping: Vec<MemberId>,
 }
 
-/// The members of an epoch and how they came about.
+/// The members of one epoch, and the changes that led there.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberList {
-    /// Rises by one with each change.
+    /// Increases by one with each change; 0 for the empty list before the first member.
     pub epoch: u64,
-    /// Members in order of their names.
+    /// The members, ordered by id.
     pub members: Vec<Member>,
-    /// The last changes, newest last.
+    /// The last changes, oldest first, at most [`Self::MAX_HISTORY`].
     pub history: Vec<MemberChange>,
 }
 
 impl MemberList {
-    /// Changes that a list remembers; slots are learned from as many epochs back. A start of
-    /// all routers of a data centre at once must not make more.
-    pub const HISTORY_KEPT: usize = 64;
+    /// The number of changes that a list contains. The records of a slot can be fetched from
+    /// holders as many epochs back, so the simultaneous start of all routers of a data centre must
+    /// not cause more changes than this.
+    pub const MAX_HISTORY: usize = 64;
 
-    /// The list after a member joined.
+    /// The list after a member has joined.
     #[must_use]
     pub fn with_joined(&self, member: Member) -> Self {
         self.with_all_joined(vec![member])
     }
 
-    /// The list after members joined, in one change however many there are.
+    /// The list after members have joined, in one change.
     ///
-    /// Earlier runs on the same VMs leave by it.
+    /// The same change removes earlier processes on the same VMs.
     #[must_use]
     pub fn with_all_joined(&self, joined: Vec<Member>) -> Self {
         let replaced = |m: &&Member| joined.iter().any(|j| j.vm == m.vm);
         let earlier = self.members.iter().filter(replaced);
         let left: BTreeSet<MemberId> = earlier.map(|m| m.id.clone()).collect();
-        self.changed(&left, joined)
+        self.with_change(&left, joined)
     }
 
-    /// The list without some members; one change however many there are.
+    /// The list without the given members, in one change.
     #[must_use]
-    pub fn without(&self, gone: &BTreeSet<MemberId>) -> Self {
-        self.changed(gone, Vec::new())
+    pub fn without(&self, removed: &BTreeSet<MemberId>) -> Self {
+        self.with_change(removed, Vec::new())
     }
 
-    fn changed(&self, gone: &BTreeSet<MemberId>, joined: Vec<Member>) -> Self {
-        let is_gone = |m: &&Member| gone.contains(&m.id);
-        let left: Vec<Member> = self.members.iter().filter(is_gone).cloned().collect();
+    fn with_change(&self, removed: &BTreeSet<MemberId>, joined: Vec<Member>) -> Self {
+        let is_removed = |m: &&Member| removed.contains(&m.id);
+        let left: Vec<Member> = self.members.iter().filter(is_removed).cloned().collect();
         let mut members = self.members.clone();
-        members.retain(|m| !gone.contains(&m.id));
+        members.retain(|m| !removed.contains(&m.id));
         let change = MemberChange {
             epoch: self.epoch + 1,
             left,
@@ -114,7 +118,7 @@
         members.sort_by(|a, b| a.id.cmp(&b.id));
         let mut history = self.history.clone();
         history.push(change);
-        let excess = history.len().saturating_sub(Self::HISTORY_KEPT);
+        let excess = history.len().saturating_sub(Self::MAX_HISTORY);
         history.drain(..excess);
         Self {
             epoch: self.epoch + 1,
@@ -123,10 +127,10 @@
         }
     }
 
-    /// The list with a member marked as stopping, in an epoch of its own.
+    /// The list with a member marked as stopping, in a new epoch.
     #[must_use]
     pub fn with_stopping(&self, id: &MemberId) -> Self {
-        let mut next = self.changed(&BTreeSet::new(), Vec::new());
+        let mut next = self.with_change(&BTreeSet::new(), Vec::new());
         for member in next.members.iter_mut().filter(|m| m.id == *id) {
             member.stopping = true;
         }
@@ -136,18 +140,18 @@
         next
     }
 
-    /// Whether a member is on the list.
+    /// Whether the member is on the list.
     pub fn contains(&self, id: &MemberId) -> bool {
         self.get(id).is_some()
     }
 
-    /// A member by its name.
+    /// The member with the given id; `None` if it is not on the list.
     pub fn get(&self, id: &MemberId) -> Option<&Member> {
         self.members.iter().find(|m| m.id == *id)
     }
 
-    /// The members of the epoch before this one, if the history goes back so far.
-    pub fn previous(&self) -> Option<Vec<Member>> {
+    /// The members of the previous epoch; `None` if the history does not contain the last change.
+    pub fn previous_members(&self) -> Option<Vec<Member>> {
         let change = self.history.last().filter(|c| c.epoch == self.epoch)?;
         let mut members = self.members.clone();
         members.retain(|m| !change.joined.contains(&m.id));
@@ -162,23 +166,25 @@
         Some(members)
     }
 
-    /// Member lists as far back as the history reaches, oldest first.
-    pub fn as_far_back(&self) -> Vec<MemberList> {
+    /// The lists of all epochs that the history covers, oldest first. The last one is this list.
+    pub fn available_lists(&self) -> Vec<MemberList> {
         let oldest = self.history.first().map_or(self.epoch, |c| c.epoch);
-        self.since(oldest).unwrap_or_else(|| vec![self.clone()])
+        self.lists_since(oldest)
+            .unwrap_or_else(|| vec![self.clone()])
     }
 
-    /// Member lists from a given epoch on, oldest first, as far as the history reaches.
+    /// The lists from `epoch` up to the current one, oldest first.
     ///
-    /// The last one is this list's own. `None` when the history doesn't reach back that far.
-    pub fn since(&self, epoch: u64) -> Option<Vec<MemberList>> {
+    /// `None` if the history does not reach back to `epoch`, or if `epoch` is later than the
+    /// current one.
+    pub fn lists_since(&self, epoch: u64) -> Option<Vec<MemberList>> {
         if epoch > self.epoch {
             return None;
         }
         let mut lists = vec![self.clone()];
         let mut at = self.clone();
         while at.epoch > epoch {
-            let members = at.previous()?;
+            let members = at.previous_members()?;
             let mut history = at.history.clone();
             history.pop();
             at = MemberList {
--- a/crates/daemon/cloverpier_member/src/rejoin.rs
+++ b/crates/daemon/cloverpier_member/src/rejoin.rs
@@ -1,60 +1,62 @@
-//! When a member that was taken off the list joins again.
+//! Delays the rejoining of a process that was removed from the member list.
 //!
-//! Question: may this process join now? Input: how long its memberships lasted. Answer: yes or
-//! no.
+//! [`RejoinBackoff`] decides from the duration of the last memberships whether the process may join
+//! now. The caller passes in the time.
 
 use std::time::{Duration, Instant};
 
-/// The first wait; doubled with each removal.
-const FIRST: Duration = Duration::from_millis(500);
-/// The longest wait.
-const MOST: Duration = Duration::from_secs(60);
-/// A membership that lasted this long was sound: the next wait is the first again.
-const SOUND: Duration = Duration::from_secs(60);
+/// Delay before a process rejoins after a stable membership. The delay doubles with each removal
+/// after an unstable one.
+const INITIAL_DELAY: Duration = Duration::from_millis(500);
+/// Upper limit of the delay.
+const MAX_DELAY: Duration = Duration::from_secs(60);
+/// A membership that lasted this long counts as stable and resets the delay.
+const STABLE_AFTER: Duration = Duration::from_secs(60);
 
-/// Spaces the joins of a member that others can't reach.
+/// Exponential backoff between the joins of a process that other members can't reach.
 ///
-/// Such a member reaches the platform and joins again as soon as it is
-/// removed; without growing waits the list would change every few seconds.
+/// Such a process still reaches the platform, so it could rejoin immediately after each removal.
+/// Without a growing delay, the member list would change every few seconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Rejoin {
-    wait: Duration,
-    joined: Option<Instant>,
-    due: Option<Instant>,
+pub struct RejoinBackoff {
+    delay: Duration,
+    joined_at: Option<Instant>,
+    due_at: Option<Instant>,
 }
 
-impl Rejoin {
-    /// A process that has not joined yet; it may at once.
+impl RejoinBackoff {
+    /// Creates the state of a process that has not joined yet and may join immediately.
     pub fn new() -> Self {
         Self {
-            wait: FIRST,
-            joined: None,
-            due: None,
+            delay: INITIAL_DELAY,
+            joined_at: None,
+            due_at: None,
         }
     }
 
-    /// Notes that the process is on the list.
-    pub fn on_member(&mut self, now: Instant) {
-        self.joined.get_or_insert(now);
-        self.due = None;
+    /// Records that the process is on the member list.
+    pub fn on_listed(&mut self, now: Instant) {
+        self.joined_at.get_or_insert(now);
+        self.due_at = None;
     }
 
-    /// Whether a process that is not on the list may join now.
+    /// Whether a process that is not on the member list may join now. The first call after a
+    /// removal starts the delay.
     pub fn may_join(&mut self, now: Instant) -> bool {
-        if let Some(joined) = self.joined.take() {
-            let sound = now.saturating_duration_since(joined) >= SOUND;
-            self.wait = if sound {
-                FIRST
+        if let Some(joined_at) = self.joined_at.take() {
+            let was_stable = now.saturating_duration_since(joined_at) >= STABLE_AFTER;
+            self.delay = if was_stable {
+                INITIAL_DELAY
             } else {
-                (self.wait * 2).min(MOST)
+                (self.delay * 2).min(MAX_DELAY)
             };
-            self.due = Some(now + self.wait);
+            self.due_at = Some(now + self.delay);
         }
-        self.due.is_none_or(|due| now >= due)
+        self.due_at.is_none_or(|due_at| now >= due_at)
     }
 }
 
-impl Default for Rejoin {
+impl Default for RejoinBackoff {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/daemon/cloverpier_member/tests/detector.rs
+++ b/crates/daemon/cloverpier_member/tests/detector.rs
@@ -1,4 +1,4 @@
-//! Failure detection over orders of silence, probes and pauses.
+//! Tests of failure detection, the member list and the rejoin delay.
 
 use cloverpier_core::{Clock, ManualClock, MemberId};
 use cloverpier_member::prelude::*;
@@ -15,14 +15,14 @@
     list
 }
 
-struct Bench {
+struct Fixture {
     clock: ManualClock,
     detector: Detector,
     params: DetectorParams,
     list: MemberList,
 }
 
-impl Bench {
+impl Fixture {
     fn new(count: usize) -> Self {
         let clock = ManualClock::new();
         let list = list_of(count);
@@ -42,14 +42,15 @@
         self.detector.tick(self.clock.now())
     }
 
-    /// Ticks for a time, with answers from all but some, and collects the steps.
-    fn run(&mut self, time: Duration, silent: &BTreeSet<MemberId>) -> Vec<DetectorStep> {
+    /// Ticks every 100 ms for `time`, with replies from all members but the silent ones. Returns
+    /// all steps except heartbeats.
+    fn run_for(&mut self, time: Duration, silent: &BTreeSet<MemberId>) -> Vec<DetectorStep> {
         let mut steps = Vec::new();
         for _ in 0..time.as_millis() / 100 {
             for step in self.tick() {
                 if let DetectorStep::Heartbeat { to } = &step {
                     if !silent.contains(to) {
-                        self.detector.on_heard(to, self.clock.now());
+                        self.detector.on_message(to, self.clock.now());
                     }
                 } else {
                     steps.push(step);
@@ -59,7 +60,7 @@
         steps
     }
 
-    fn watched(&mut self) -> Vec<MemberId> {
+    fn heartbeat_targets(&mut self) -> Vec<MemberId> {
         let steps = self.tick();
         let targets = steps.into_iter().filter_map(|step| match step {
             DetectorStep::Heartbeat { to } => Some(to),
@@ -69,20 +70,20 @@
     }
 }
 
-fn one(id: &MemberId) -> BTreeSet<MemberId> {
+fn set_of(id: &MemberId) -> BTreeSet<MemberId> {
     BTreeSet::from([id.clone()])
 }
 
 #[test]
-fn heartbeats_are_bounded_however_many_members_there_are() {
+fn the_number_of_watched_members_is_independent_of_the_list_size() {
     for count in [9, 60, 390] {
-        let mut bench = Bench::new(count);
-        assert_eq!(bench.watched().len(), bench.params.fan_out);
+        let mut fixture = Fixture::new(count);
+        assert_eq!(fixture.heartbeat_targets().len(), fixture.params.fan_out);
     }
 }
 
 #[test]
-fn every_member_is_watched_by_as_many_as_each_watches() {
+fn every_member_has_as_many_watchers_as_it_watches() {
     let list = list_of(60);
     let clock = ManualClock::new();
     let mut watchers = std::collections::BTreeMap::<MemberId, usize>::new();
@@ -105,124 +106,130 @@
 
 #[test]
 fn a_silent_member_is_probed_by_others_before_it_is_removed() {
-    let mut bench = Bench::new(9);
-    let dead = bench.watched()[0].clone();
-    let steps = bench.run(Duration::from_millis(3_000), &one(&dead));
-    let [DetectorStep::Probe { about, helpers }] = steps.as_slice() else {
+    let mut fixture = Fixture::new(9);
+    let silent_member = fixture.heartbeat_targets()[0].clone();
+    let steps = fixture.run_for(Duration::from_millis(3_000), &set_of(&silent_member));
+    let [DetectorStep::Probe { target, helpers }] = steps.as_slice() else {
         panic!("expected one probe, not {steps:?}");
     };
-    assert_eq!(*about, dead);
-    assert_eq!(helpers.len(), bench.params.helpers);
-    bench
+    assert_eq!(*target, silent_member);
+    assert_eq!(helpers.len(), fixture.params.helper_count);
+    fixture
         .detector
-        .on_probe(&dead, ProbeResult::NotReached, bench.clock.now());
-    let steps = bench.run(Duration::from_millis(600), &one(&dead));
+        .on_probe_result(&silent_member, ProbeResult::NotReached, fixture.clock.now());
+    let steps = fixture.run_for(Duration::from_millis(600), &set_of(&silent_member));
     let removal = DetectorStep::Remove {
-        members: one(&dead),
+        members: set_of(&silent_member),
     };
     assert_eq!(steps, vec![removal]);
 }
 
 #[test]
-fn without_a_second_observer_nobody_is_removed() {
-    let mut bench = Bench::new(9);
-    let dead = bench.watched()[0].clone();
-    let steps = bench.run(Duration::from_secs(20), &one(&dead));
+fn no_member_is_removed_without_a_second_observer() {
+    let mut fixture = Fixture::new(9);
+    let silent_member = fixture.heartbeat_targets()[0].clone();
+    let steps = fixture.run_for(Duration::from_secs(20), &set_of(&silent_member));
     let removes = |s: &DetectorStep| matches!(s, DetectorStep::Remove { .. });
     assert!(!steps.iter().any(removes), "{steps:?}");
 }
 
 #[test]
-fn a_member_that_a_helper_reaches_is_not_removed_over_a_broken_link() {
-    let mut bench = Bench::new(9);
-    let cut = bench.watched()[0].clone();
+fn a_member_that_a_helper_reaches_is_not_suspected() {
+    let mut fixture = Fixture::new(9);
+    let unresponsive = fixture.heartbeat_targets()[0].clone();
     for _ in 0..10 {
-        bench.run(Duration::from_millis(2_500), &one(&cut));
-        let now = bench.clock.now();
-        bench.detector.on_probe(&cut, ProbeResult::NotReached, now);
-        bench.detector.on_probe(&cut, ProbeResult::Reached, now);
-        assert!(!bench.detector.suspected(now).contains(&cut));
+        fixture.run_for(Duration::from_millis(2_500), &set_of(&unresponsive));
+        let now = fixture.clock.now();
+        fixture
+            .detector
+            .on_probe_result(&unresponsive, ProbeResult::NotReached, now);
+        fixture
+            .detector
+            .on_probe_result(&unresponsive, ProbeResult::Reached, now);
+        assert!(!fixture.detector.suspected(now).contains(&unresponsive));
     }
 }
 
 #[test]
-fn a_process_that_slept_suspects_nobody_when_it_wakes() {
-    let mut bench = Bench::new(9);
-    bench.watched();
-    bench.clock.advance(Duration::from_secs(30));
-    let steps = bench.detector.tick(bench.clock.now());
+fn a_suspended_process_suspects_no_member_when_it_resumes() {
+    let mut fixture = Fixture::new(9);
+    fixture.heartbeat_targets();
+    fixture.clock.advance(Duration::from_secs(30));
+    let steps = fixture.detector.tick(fixture.clock.now());
     assert!(matches!(steps.as_slice(), [DetectorStep::Paused { .. }]));
-    assert!(bench.detector.suspected(bench.clock.now()).is_empty());
+    assert!(fixture.detector.suspected(fixture.clock.now()).is_empty());
 }
 
 #[test]
-fn a_data_centre_lost_at_once_is_removed_in_one_step_by_each_watcher() {
-    let mut bench = Bench::new(9);
-    let watched: BTreeSet<MemberId> = bench.watched().into_iter().collect();
-    let lost: BTreeSet<MemberId> = bench
+fn unreachable_members_of_a_data_centre_are_removed_in_one_step() {
+    let mut fixture = Fixture::new(9);
+    let heartbeat_targets: BTreeSet<MemberId> = fixture.heartbeat_targets().into_iter().collect();
+    let lost: BTreeSet<MemberId> = fixture
         .list
         .members
         .iter()
-        .filter(|m| m.data_centre.as_str() == "dc-1" && watched.contains(&m.id))
+        .filter(|m| m.data_centre.as_str() == "dc-1" && heartbeat_targets.contains(&m.id))
         .map(|m| m.id.clone())
         .collect();
     assert!(!lost.is_empty());
-    bench.run(Duration::from_millis(3_000), &lost);
+    fixture.run_for(Duration::from_millis(3_000), &lost);
     for id in &lost {
-        bench
+        fixture
             .detector
-            .on_probe(id, ProbeResult::NotReached, bench.clock.now());
+            .on_probe_result(id, ProbeResult::NotReached, fixture.clock.now());
     }
-    let steps = bench.run(Duration::from_millis(600), &lost);
+    let steps = fixture.run_for(Duration::from_millis(600), &lost);
     assert_eq!(steps, vec![DetectorStep::Remove { members: lost }]);
 }
 
 #[test]
-fn a_probe_result_that_comes_after_the_member_was_heard_counts_for_nothing() {
-    let mut bench = Bench::new(9);
-    let slow = bench.watched()[0].clone();
-    bench.run(Duration::from_millis(3_000), &one(&slow));
-    let now = bench.clock.now();
-    bench.detector.on_heard(&slow, now);
-    bench.detector.on_probe(&slow, ProbeResult::NotReached, now);
-    let steps = bench.run(Duration::from_millis(1_000), &BTreeSet::new());
+fn a_probe_result_is_ignored_after_a_message_from_the_member() {
+    let mut fixture = Fixture::new(9);
+    let slow = fixture.heartbeat_targets()[0].clone();
+    fixture.run_for(Duration::from_millis(3_000), &set_of(&slow));
+    let now = fixture.clock.now();
+    fixture.detector.on_message(&slow, now);
+    fixture
+        .detector
+        .on_probe_result(&slow, ProbeResult::NotReached, now);
+    let steps = fixture.run_for(Duration::from_millis(1_000), &BTreeSet::new());
     assert_eq!(steps, Vec::new());
 }
 
 #[test]
-fn a_restarted_process_is_another_member_and_its_earlier_run_leaves() {
+fn a_restarted_process_replaces_its_previous_incarnation_on_the_list() {
     let list = list_of(3);
     let at = ([127, 0, 0, 1], 1).into();
     let again = list.with_joined(Member::new("vm-1", 2, "dc-1", at, at));
     assert_eq!(again.members.len(), 3);
     assert!(!again.contains(&list.members[1].id));
     assert_eq!(again.epoch, list.epoch + 1);
-    assert_eq!(again.previous(), Some(list.members.clone()));
+    assert_eq!(again.previous_members(), Some(list.members.clone()));
 }
 
 #[test]
-fn earlier_lists_are_worked_out_from_the_history() {
+fn earlier_lists_are_derived_from_the_history() {
     let list = list_of(5);
-    let lists = list.since(2).unwrap_or_default();
+    let lists = list.lists_since(2).unwrap_or_default();
     let sizes: Vec<(u64, usize)> = lists.iter().map(|l| (l.epoch, l.members.len())).collect();
     assert_eq!(sizes, vec![(2, 2), (3, 3), (4, 4), (5, 5)]);
     let mut long = list_of(2);
-    for _ in 0..MemberList::HISTORY_KEPT {
+    for _ in 0..MemberList::MAX_HISTORY {
         long = long.with_stopping(&long.members[0].id);
     }
-    assert!(long.since(1).is_none());
+    assert!(long.lists_since(1).is_none());
 }
 
 #[test]
-fn a_member_that_others_cannot_reach_joins_less_and_less_often() {
+fn repeated_removals_increase_the_rejoin_delay() {
     let clock = ManualClock::new();
-    let mut rejoin = Rejoin::new();
+    let mut rejoin = RejoinBackoff::new();
     let mut waits = Vec::new();
     for _ in 0..10 {
         assert!(rejoin.may_join(clock.now()));
-        rejoin.on_member(clock.now());
+        rejoin.on_listed(clock.now());
         clock.advance(Duration::from_secs(3));
-        // It was removed.
+        // The member is removed after 3 s on the list, too early to count as stable.
         let removed = clock.now();
         while !rejoin.may_join(clock.now()) {
             clock.advance(Duration::from_millis(500));
@@ -230,7 +237,7 @@
         waits.push((clock.now() - removed).as_secs());
     }
     assert_eq!(waits, vec![1, 2, 4, 8, 16, 32, 60, 60, 60, 60]);
-    rejoin.on_member(clock.now());
+    rejoin.on_listed(clock.now());
     clock.advance(Duration::from_secs(100));
     assert!(!rejoin.may_join(clock.now()));
     clock.advance(Duration::from_millis(500));
@@ -238,11 +245,11 @@
 }
 
 #[test]
-fn a_data_centre_that_comes_back_is_one_change_of_epoch() {
+fn members_of_a_returning_data_centre_join_in_one_epoch() {
     let list = list_of(9);
     let at = ([127, 0, 0, 1], 1).into();
     let back = [1, 4, 7].map(|i| Member::new(&format!("vm-{i}"), 2, "dc-1", at, at));
     let again = list.with_all_joined(back.to_vec());
     assert_eq!((again.epoch, again.members.len()), (list.epoch + 1, 9));
-    assert_eq!(again.previous(), Some(list.members));
+    assert_eq!(again.previous_members(), Some(list.members));
 }
--- a/crates/daemon/cloverpier_record/src/holder.rs
+++ b/crates/daemon/cloverpier_record/src/holder.rs
@@ -17,7 +17,7 @@
 /// Epochs whose holders a member keeps, the current one included: as many as the member list has
 /// changes in its history. A slot whose records would have to come from an earlier epoch is closed
 /// for the retention period.
-pub(crate) const MAX_EPOCHS: usize = MemberList::HISTORY_KEPT;
+pub(crate) const MAX_EPOCHS: usize = MemberList::MAX_HISTORY;
 /// Time after which a claim is retried, in milliseconds, if the holder has not fetched the slot's
 /// records yet.
 const SYNC_RETRY_MS: u64 = 500;
@@ -103,14 +103,14 @@
         if list.epoch <= self.epoch() {
             return;
         }
-        let skipped = list.since(self.epoch() + 1);
+        let skipped = list.lists_since(self.epoch() + 1);
         if skipped.is_none() {
             // The list's history does not cover all skipped epochs. In the missing ones, other
             // members may have stored claims, so the records here may be incomplete.
             self.slots.clear();
             self.slot_maps = VecDeque::from([SlotMap::default()]);
         }
-        for step in skipped.unwrap_or_else(|| list.as_far_back()) {
+        for step in skipped.unwrap_or_else(|| list.available_lists()) {
             self.enter_next(step);
         }
     }
--- a/crates/daemon/cloverpier_record/tests/records.rs
+++ b/crates/daemon/cloverpier_record/tests/records.rs
@@ -161,7 +161,7 @@
     let holds = Slot::all().any(|s| map.holds(s, &list.members[0].id));
     assert!(!holds);
     // A member that joins later derives the same earlier holders from the history.
-    let previous = stopping.previous().unwrap_or_default();
+    let previous = stopping.previous_members().unwrap_or_default();
     assert!(previous.iter().all(|m| !m.stopping));
     let mut records = Records::new(list.members[0].id.clone(), RecordRetention::default());
     records.enter(&stopping);
--- a/tools/src/scenarios/detection.rs
+++ b/tools/src/scenarios/detection.rs
@@ -37,8 +37,8 @@
         for periods in [2, 4, 6] {
             for loss in [0.01, 0.1] {
                 let params = DetectorParams {
-                    period: Duration::from_millis(period_ms),
-                    suspect_after: Duration::from_millis(period_ms * periods),
+                    heartbeat_interval: Duration::from_millis(period_ms),
+                    suspicion_timeout: Duration::from_millis(period_ms * periods),
                     ..DetectorParams::default()
                 };
                 rows.push(one(params, loss, seed));
@@ -58,8 +58,8 @@
     let node_seconds = MEMBERS as f64 * QUIET.as_secs_f64();
     let waits: Vec<Duration> = (0..DEATHS).filter_map(|i| site.death(i)).collect();
     json!({
-        "period_ms": params.period.as_millis() as u64,
-        "suspect_after_ms": params.suspect_after.as_millis() as u64,
+        "period_ms": params.heartbeat_interval.as_millis() as u64,
+        "suspect_after_ms": params.suspicion_timeout.as_millis() as u64,
         "loss": loss,
         "heartbeats_a_node_s": heartbeats as f64 / node_seconds,
         "suspected_alive_a_node_hour": suspected as f64 / node_hours,
@@ -133,13 +133,13 @@
                 if self.round_trip(&to)
                     && let Some(detector) = self.detectors.get_mut(from)
                 {
-                    detector.on_heard(&to, now);
+                    detector.on_message(&to, now);
                 }
             }
-            DetectorStep::Probe { about, helpers } => {
-                self.suspected += u64::from(self.dead.as_ref() != Some(&about));
+            DetectorStep::Probe { target, helpers } => {
+                self.suspected += u64::from(self.dead.as_ref() != Some(&target));
                 for helper in helpers {
-                    self.probe(from, &about, &helper);
+                    self.probe(from, &target, &helper);
                 }
             }
             DetectorStep::Remove { members } => {
@@ -151,18 +151,18 @@
         }
     }
 
-    fn probe(&mut self, from: &MemberId, about: &MemberId, helper: &MemberId) {
+    fn probe(&mut self, from: &MemberId, target: &MemberId, helper: &MemberId) {
         if !self.round_trip(helper) {
             return;
         }
-        let result = if self.round_trip(about) {
+        let result = if self.round_trip(target) {
             ProbeResult::Reached
         } else {
             ProbeResult::NotReached
         };
         let now = self.clock.now();
         if let Some(detector) = self.detectors.get_mut(from) {
-            detector.on_probe(about, result, now);
+            detector.on_probe_result(target, result, now);
         }
     }
 
