--- a/crates/daemon/cloverpier_admit/src/queue.rs
+++ b/crates/daemon/cloverpier_admit/src/queue.rs
@@ -1,158 +1,163 @@
-//! The queue for places: by priority, then fair among accounts by weight.
+//! The queue of requests that wait for a free slot of an upstream.
 //!
-//! Question: which of the waiting requests gets the next free place, and is a new one worth
-//! queuing at all? Inputs: priority, account, weight and cost of each; when places came free. A
-//! request that would wait longer than its service allows is refused at once. Owns the order; who
-//! waits behind a ticket is its caller's.
+//! [`FairQueue`] orders requests by priority, and fairly among the client accounts within a
+//! priority. It refuses a request immediately if the expected wait is longer than the service
+//! allows. The expected wait follows from the rate at which slots became free recently. The caller
+//! keeps the task that waits for each [`Ticket`] and passes in the time.
 
 use cloverpier_core::AccountName;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Places that came free over which their rate is measured: they come in bursts, with each load
-/// report.
+/// Number of recent pops from which the rate of free slots is measured. Slots become free in
+/// bursts, with each load report, so that fewer samples may cover a single burst.
 const RATE_SAMPLES: usize = 48;
 
-/// Names a request in the queue.
+/// Identifies a request in the queue. The caller chooses unique values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// A request that waits for a place.
+/// The properties of a request that determine its place in the queue.
 #[derive(Clone, Debug)]
-pub struct Waiting {
-    /// Its account.
+pub struct QueuedRequest {
+    /// The client account of the request.
     pub account: AccountName,
-    /// The account's weight.
+    /// Weight of the account: its share of the slots relative to other accounts of the same
+    /// priority.
     pub weight: u32,
-    /// Its priority; higher goes first.
+    /// Priority of the request; higher values are served first.
     pub priority: u8,
-    /// What it is expected to use, in tokens.
+    /// Expected cost of the request, in tokens.
     pub cost: u32,
-    /// The longest wait.
-    pub patience: Duration,
+    /// The longest time that the request may wait in the queue.
+    pub max_wait: Duration,
 }
 
-/// What came of a request that asked for a place in the queue.
+/// Whether a request was added to the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum QueueStep {
-    /// It waits.
-    Waits,
-    /// It can't get a place in time: refuse it now.
-    TooLong {
-        /// How long it would have waited.
+pub enum PushResult {
+    /// The request waits in the queue.
+    Queued,
+    /// The request was not added, as its expected wait exceeds its `max_wait`.
+    WaitTooLong {
+        /// The expected wait.
         wait: Duration,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
-    /// Highest priority first, so the priority is stored as what it lacks to the highest.
-    lack: u8,
-    /// Virtual start in thousandths of a token per unit of weight.
-    start: u64,
+struct QueuePosition {
+    /// `u8::MAX` minus the priority, so that the highest priority sorts first.
+    inverse_priority: u8,
+    /// Virtual start time, in thousandths of a token per unit of weight.
+    virtual_start: u64,
     ticket: Ticket,
 }
 
-/// A queue of one service at one router.
+/// The waiting requests of one service at one router.
 ///
-/// Within a priority it is start-time fair queuing (Goyal, Vin and Cheng,
-/// 1996): an account that asks for much gets its share and delays only itself.
+/// Within a priority, the queue implements start-time fair queuing (Goyal, Vin and Cheng, 1996): an
+/// account with many requests delays only its own requests.
 #[derive(Debug, Default)]
-pub struct Queue {
-    order: BTreeMap<Place, Instant>,
-    places: HashMap<Ticket, Place>,
-    finish: HashMap<AccountName, u64>,
+pub struct FairQueue {
+    queued: BTreeMap<QueuePosition, Instant>,
+    positions: HashMap<Ticket, QueuePosition>,
+    virtual_finish: HashMap<AccountName, u64>,
     virtual_now: u64,
-    pops: VecDeque<Instant>,
+    recent_pops: VecDeque<Instant>,
 }
 
-impl Queue {
-    /// Puts a request in line, or says that it would wait too long.
-    pub fn push(&mut self, ticket: Ticket, req: &Waiting, now: Instant) -> QueueStep {
-        let place = self.place_of(ticket, req);
-        let wait = self.expected_wait(&place, now);
-        if wait > req.patience {
-            return QueueStep::TooLong { wait };
+impl FairQueue {
+    /// Adds a request to the queue, unless its expected wait is too long.
+    pub fn push(&mut self, ticket: Ticket, req: &QueuedRequest, now: Instant) -> PushResult {
+        let position = self.position_for(ticket, req);
+        let wait = self.expected_wait(&position, now);
+        if wait > req.max_wait {
+            return PushResult::WaitTooLong { wait };
         }
         let per_weight = u64::from(req.cost.max(1)) * 1_000 / u64::from(req.weight.max(1));
-        self.finish
-            .insert(req.account.clone(), place.start + per_weight);
-        self.order.insert(place, now + req.patience);
-        self.places.insert(ticket, place);
-        QueueStep::Waits
+        self.virtual_finish
+            .insert(req.account.clone(), position.virtual_start + per_weight);
+        self.queued.insert(position, now + req.max_wait);
+        self.positions.insert(ticket, position);
+        PushResult::Queued
     }
 
-    fn place_of(&self, ticket: Ticket, req: &Waiting) -> Place {
-        // An account without a turn so far starts at the present virtual time.
-        let finish = self.finish.get(&req.account).copied().unwrap_or(0);
-        Place {
-            lack: u8::MAX - req.priority,
-            start: finish.max(self.virtual_now),
+    fn position_for(&self, ticket: Ticket, req: &QueuedRequest) -> QueuePosition {
+        // An account without earlier requests starts at the current virtual time.
+        let virtual_finish = self.virtual_finish.get(&req.account).copied().unwrap_or(0);
+        QueuePosition {
+            inverse_priority: u8::MAX - req.priority,
+            virtual_start: virtual_finish.max(self.virtual_now),
             ticket,
         }
     }
 
-    /// Requests ahead, at the rate at which places came free recently.
-    fn expected_wait(&self, place: &Place, now: Instant) -> Duration {
-        let ahead = self.order.range(..place).count();
-        let Some(first) = self.pops.front() else {
+    /// Number of requests ahead, times the mean time between recent pops. Zero if there are no
+    /// recent pops.
+    fn expected_wait(&self, position: &QueuePosition, now: Instant) -> Duration {
+        let requests_ahead = self.queued.range(..position).count();
+        let Some(oldest) = self.recent_pops.front() else {
             return Duration::ZERO;
         };
-        let passed = now.saturating_duration_since(*first).as_secs_f64();
-        let gap_s = passed / self.pops.len() as f64;
-        Duration::from_secs_f64((ahead as f64 * gap_s).min(3_600.0))
+        let elapsed_s = now.saturating_duration_since(*oldest).as_secs_f64();
+        let seconds_per_pop = elapsed_s / self.recent_pops.len() as f64;
+        Duration::from_secs_f64((requests_ahead as f64 * seconds_per_pop).min(3_600.0))
     }
 
-    /// The next request in line, now that a place is free.
+    /// Removes and returns the first request. Called only when a slot is free.
     pub fn pop(&mut self, now: Instant) -> Option<Ticket> {
-        let (place, _) = self.order.pop_first()?;
-        self.places.remove(&place.ticket);
-        self.virtual_now = self.virtual_now.max(place.start);
-        self.note_pop(now);
-        if self.order.is_empty() {
-            // Nobody is behind: a new busy time begins with clean accounts.
-            self.finish.clear();
+        let (position, _) = self.queued.pop_first()?;
+        self.positions.remove(&position.ticket);
+        self.virtual_now = self.virtual_now.max(position.virtual_start);
+        self.record_pop(now);
+        if self.queued.is_empty() {
+            // No request waits any more, so the accounts' past use does not count for later
+            // requests.
+            self.virtual_finish.clear();
             self.virtual_now = 0;
         }
-        Some(place.ticket)
+        Some(position.ticket)
     }
 
-    fn note_pop(&mut self, now: Instant) {
-        if self.order.is_empty() {
-            // Nobody waits any more: how fast places come free isn't known from here on.
-            self.pops.clear();
+    fn record_pop(&mut self, now: Instant) {
+        if self.queued.is_empty() {
+            // Once the queue is empty, pops stop although slots may become free, so the samples
+            // would show too low a rate.
+            self.recent_pops.clear();
             return;
         }
-        self.pops.push_back(now);
-        if self.pops.len() > RATE_SAMPLES {
-            self.pops.pop_front();
+        self.recent_pops.push_back(now);
+        if self.recent_pops.len() > RATE_SAMPLES {
+            self.recent_pops.pop_front();
         }
     }
 
-    /// Takes a request out of line whose caller went away.
+    /// Removes a request whose caller has disconnected. Does nothing if the request is not in the
+    /// queue.
     pub fn remove(&mut self, ticket: Ticket) {
-        if let Some(place) = self.places.remove(&ticket) {
-            self.order.remove(&place);
+        if let Some(position) = self.positions.remove(&ticket) {
+            self.queued.remove(&position);
         }
     }
 
-    /// Takes out those that have waited as long as they can.
+    /// Removes and returns the requests whose maximum wait has passed.
     pub fn expire(&mut self, now: Instant) -> Vec<Ticket> {
-        let late = self.order.iter().filter(|(_, until)| now >= **until);
-        let late: Vec<Ticket> = late.map(|(place, _)| place.ticket).collect();
-        for ticket in &late {
+        let expired = self.queued.iter().filter(|(_, until)| now >= **until);
+        let expired: Vec<Ticket> = expired.map(|(position, _)| position.ticket).collect();
+        for ticket in &expired {
             self.remove(*ticket);
         }
-        late
+        expired
     }
 
-    /// Requests in line.
+    /// The number of waiting requests.
     pub fn len(&self) -> usize {
-        self.order.len()
+        self.queued.len()
     }
 
-    /// Whether nobody is in line.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
-        self.order.is_empty()
+        self.queued.is_empty()
     }
 }
--- a/crates/daemon/cloverpier_daemon/src/admission/mod.rs
+++ b/crates/daemon/cloverpier_daemon/src/admission/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::app::App;
 use crate::error::ApiError;
-use cloverpier_admit::{Loan, QueueStep, Quota, SpendStep, Ticket, Waiting};
+use cloverpier_admit::{PushResult, QueuedRequest, Quota, QuotaGrant, SpendResult, Ticket};
 use cloverpier_config::Account;
 use cloverpier_core::{AccountName, ServiceName, hash_of, jitter, lock, rendezvous_rank};
 use cloverpier_member::Member;
@@ -114,7 +114,7 @@
     ) -> Result<(), ApiError> {
         let need = Quota::of_request(tokens);
         let step = lock(&self.borrowed).spend(name, need, app.now());
-        let SpendStep::Borrow { need, want } = step else {
+        let SpendResult::Request { need, want } = step else {
             return Ok(());
         };
         let loan = match self.borrow(app, name, need, want).await {
@@ -122,11 +122,11 @@
             None => self.even_share(app, name, account, need),
         };
         match loan {
-            Loan::Lent(lent) => {
-                lock(&self.borrowed).on_lent(name, lent, need, app.now());
+            QuotaGrant::Granted(lent) => {
+                lock(&self.borrowed).on_granted(name, lent, need, app.now());
                 Ok(())
             }
-            Loan::Short { wait_ms } => Err(limited(app, name, wait_ms)),
+            QuotaGrant::Exhausted { wait_ms } => Err(limited(app, name, wait_ms)),
         }
     }
 
@@ -137,7 +137,7 @@
         name: &AccountName,
         need: Quota,
         want: Quota,
-    ) -> Option<Loan> {
+    ) -> Option<QuotaGrant> {
         let list = app.members();
         let lender = *lenders(name, &list.members).first()?;
         if lender.id == app.me.id {
@@ -155,26 +155,32 @@
     }
 
     /// Lends some of an account's limit to a router.
-    pub fn lend(&self, app: &App, name: &AccountName, need: Quota, want: Quota) -> Loan {
+    pub fn lend(&self, app: &App, name: &AccountName, need: Quota, want: Quota) -> QuotaGrant {
         let config = app.config();
         let Some(account) = config.accounts.get(name) else {
             // The account is newer than this router's configuration, or gone from the other's.
-            return Loan::Short {
+            return QuotaGrant::Exhausted {
                 wait_ms: UNKNOWN_ACCOUNT_MS,
             };
         };
-        lock(&self.lender).lend(name, limit_of(account, 1.0), need, want, app.now())
+        lock(&self.lender).grant(name, limit_of(account, 1.0), need, want, app.now())
     }
 
-    fn even_share(&self, app: &App, name: &AccountName, account: &Account, need: Quota) -> Loan {
+    fn even_share(
+        &self,
+        app: &App,
+        name: &AccountName,
+        account: &Account,
+        need: Quota,
+    ) -> QuotaGrant {
         let routers = app.members().members.len().max(1) as f64;
         let limit = limit_of(account, 1.0 / routers);
-        lock(&self.alone).lend(name, limit, need, need, app.now())
+        lock(&self.alone).grant(name, limit, need, need, app.now())
     }
 
     /// Gives back tokens that were charged and not generated.
     pub fn give_back(&self, name: &AccountName, tokens: u64) {
-        lock(&self.borrowed).give_back(name, tokens as f64);
+        lock(&self.borrowed).refund(name, tokens as f64);
     }
 
     /// Finds a place at an upstream, waiting in line where all are full.
@@ -185,7 +191,12 @@
     /// # Errors
     ///
     /// [`ApiError`], at once when the wait would be too long.
-    pub async fn place(&self, app: &App, ask: Ask, waiting: &Waiting) -> Result<Chosen, ApiError> {
+    pub async fn place(
+        &self,
+        app: &App,
+        ask: Ask,
+        waiting: &QueuedRequest,
+    ) -> Result<Chosen, ApiError> {
         let ticket = Ticket(app.number());
         let rx = {
             let mut lines = lock(&self.lines);
@@ -197,14 +208,14 @@
                     Choice::Full => {}
                 }
             }
-            if let QueueStep::TooLong { wait } = line.queue.push(ticket, waiting, app.now()) {
+            if let PushResult::WaitTooLong { wait } = line.queue.push(ticket, waiting, app.now()) {
                 return Err(full(app, wait));
             }
             let (tx, rx) = oneshot::channel();
             line.waiters.insert(ticket, Waiter { ask, tx });
             rx
         };
-        rx.await.map_err(|_| full(app, waiting.patience))
+        rx.await.map_err(|_| full(app, waiting.max_wait))
     }
 
     /// Gives free places to those in line, and ends the wait of those whose time is over.
--- a/crates/daemon/cloverpier_daemon/src/admission/state.rs
+++ b/crates/daemon/cloverpier_daemon/src/admission/state.rs
@@ -1,7 +1,7 @@
 //! Limits and queues of one router: what [`super`] acts on. Owns the loans, and the lines of waiting
 //! requests.
 
-use cloverpier_admit::{Borrowed, Lender, Queue, Ticket};
+use cloverpier_admit::{FairQueue, LocalQuota, QuotaAllocator, Ticket};
 use cloverpier_core::ServiceName;
 use cloverpier_route::{Ask, Chosen};
 use std::collections::HashMap;
@@ -18,16 +18,16 @@
 /// The requests of one service that wait for places.
 #[derive(Debug, Default)]
 pub(super) struct Line {
-    pub(super) queue: Queue,
+    pub(super) queue: FairQueue,
     pub(super) waiters: HashMap<Ticket, Waiter>,
 }
 
 /// Limits and queues of one router.
 #[derive(Debug, Default)]
 pub struct Admission {
-    pub(super) borrowed: Mutex<Borrowed>,
-    pub(super) lender: Mutex<Lender>,
+    pub(super) borrowed: Mutex<LocalQuota>,
+    pub(super) lender: Mutex<QuotaAllocator>,
     /// Lenders that did not answer, replaced by this router's even share for a while.
-    pub(super) alone: Mutex<Lender>,
+    pub(super) alone: Mutex<QuotaAllocator>,
     pub(super) lines: Mutex<HashMap<ServiceName, Line>>,
 }
--- a/crates/daemon/cloverpier_daemon/src/web/completions.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/completions.rs
@@ -15,7 +15,7 @@
     Caller, Keyed, caller, keyed, last_event, may_take, raw_body, repeatable,
 };
 use crate::web::sse::{Shape, Writer};
-use cloverpier_admit::Waiting;
+use cloverpier_admit::QueuedRequest;
 use cloverpier_answer::Answer;
 use cloverpier_core::{hash_of, lock};
 use cloverpier_crashes::Admission;
@@ -186,12 +186,12 @@
     let mut route = Ask::new(ask.service.clone());
     route.prefix = Some(hash_of(&ask.prompt));
     route.apart = apart;
-    let waiting = Waiting {
+    let waiting = QueuedRequest {
         account: caller.name.clone(),
         weight: account.weight,
         priority: ask.priority,
         cost: ask.max_tokens,
-        patience: Duration::from_millis(ask.config.queue_ms),
+        max_wait: Duration::from_millis(ask.config.queue_ms),
     };
     let placed = app.admission.place(app, route, &waiting).await;
     placed.inspect_err(|_| {
--- a/crates/daemon/cloverpier_peer/src/message.rs
+++ b/crates/daemon/cloverpier_peer/src/message.rs
@@ -4,7 +4,7 @@
 //! the bytes. The router on the platform has messages of its own, datagrams without field names
 //! (`cloverpier_router::peer_messages`); each codec has its error.
 
-use cloverpier_admit::{Loan, Quota};
+use cloverpier_admit::{Quota, QuotaGrant};
 use cloverpier_answer::{AppendReply, Entry, SealReply};
 use cloverpier_config::{Part, PartDigest, Root};
 use cloverpier_core::{AccountName, MemberId, RequestKey};
@@ -180,7 +180,7 @@
         guests: Vec<Guest>,
     },
     /// To a borrow.
-    Loan(Loan),
+    Loan(QuotaGrant),
     /// To a probe: whether the member answered.
     Probed {
         /// Whether it did.
--- a/crates/daemon/cloverpier_peer/tests/wire.rs
+++ b/crates/daemon/cloverpier_peer/tests/wire.rs
@@ -3,7 +3,7 @@
 //! The golden files were written by commit 72eb395. Messages are held as bytes, stored
 //! objects as JSON; each is read back, so that both releases read each other.
 
-use cloverpier_admit::{Loan, Quota};
+use cloverpier_admit::{Quota, QuotaGrant};
 use cloverpier_answer::{
     AppendReply, AttemptId, Entry, EntryHead, EventId, Finish, FinishReason, HeldAnswer, SealReply,
     Source,
@@ -227,11 +227,11 @@
             versions: versions(),
             guests: vec![guest],
         },
-        PeerReply::Loan(Loan::Lent(Quota {
+        PeerReply::Loan(QuotaGrant::Granted(Quota {
             requests: 1.5,
             tokens: 2.5,
         })),
-        PeerReply::Loan(Loan::Short { wait_ms: 63 }),
+        PeerReply::Loan(QuotaGrant::Exhausted { wait_ms: 63 }),
         PeerReply::Probed { reached: true },
         PeerReply::Appended(vec![
             AppendReply::Held {
