--- a/crates/daemon/cloverpier_answer/src/copies.rs
+++ b/crates/daemon/cloverpier_answer/src/copies.rs
@@ -1,187 +1,194 @@
-//! The peer's side: copies of answers, and the fence against earlier owners.
+//! Copies of responses that a member holds for the routers that own them.
 //!
-//! Question: does this batch belong to the owner whose term holds? Owns the copies that a member
-//! keeps for others, and the highest term sealed of each: batches of lower terms are refused,
-//! which is what stops an owner that does not know that it lost the answer.
+//! A member stores the highest term that was sealed for each response, and refuses batches of lower
+//! terms. This fences off an earlier owner that is not aware of a takeover: without a copy, it
+//! cannot release tokens. Copies are kept in memory only.
 
-use crate::answer::{AttemptId, Finish};
+use crate::response::{AttemptId, Finish};
 use cloverpier_core::{MemberId, RequestKey, UpstreamName};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The engine and the attempt that the last tokens came from.
+/// The engine and the attempt that generated the last tokens.
 ///
-/// A router that takes an answer over asks that engine to send on before it
-/// pays for a second prefill.
+/// A router that takes over the response first requests the rest of this attempt from the engine,
+/// which avoids a second prefill.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Source {
+pub struct TokenSource {
     /// The engine.
     pub upstream: UpstreamName,
-    /// The attempt that it runs.
+    /// The attempt at that engine.
     pub attempt: AttemptId,
 }
 
-/// What a holder has to know of an answer besides its tokens.
+/// The data of a response, apart from its tokens, that a takeover requires.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EntryHead {
-    /// Digest of the request's body, so that a key isn't used for two requests.
+pub struct BatchHeader {
+    /// Digest of the request body, to detect a key that is used for two different requests.
     #[serde(rename = "b")]
-    pub body: u64,
-    /// Where the tokens come from.
+    pub body_digest: u64,
+    /// The engine that generates the tokens; `None` if unknown.
     #[serde(rename = "s")]
-    pub source: Option<Source>,
+    pub source: Option<TokenSource>,
 }
 
-/// A batch of tokens of one answer, from its owner to a holder.
+/// A batch of new tokens of one response, which its owner sends to the holder of the copy.
 ///
-/// Most hold one token, so the names on the wire are short, and what doesn't
-/// change is sent once.
+/// Most batches contain one token. The names on the wire are therefore short, and the header is
+/// sent only once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
-    /// The request.
+pub struct TokenBatch {
+    /// The key of the request.
     #[serde(rename = "k")]
     pub key: RequestKey,
-    /// The owner's term.
+    /// The term of the owner.
     #[serde(rename = "t")]
     pub term: u64,
-    /// Sent with the first batch to a holder and whenever it has changed.
+    /// Included in the first batch to a holder, after a gap, and when the header has changed;
+    /// otherwise `None`.
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
-    pub head: Option<EntryHead>,
-    /// Offset of the first token of the batch.
+    pub header: Option<BatchHeader>,
+    /// The number of tokens of the response before this batch.
     #[serde(rename = "o")]
     pub offset: u64,
-    /// The tokens.
+    /// The tokens; may be empty if only the end is new.
     #[serde(rename = "x")]
     pub tokens: Vec<Arc<str>>,
-    /// The end, when the batch reaches it.
+    /// The end of the response, if the generation has finished.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub finish: Option<Finish>,
 }
 
-/// What a holder answers to a batch.
+/// The reply of a holder to a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AppendReply {
-    /// The holder has this many tokens of the owner's answer.
+    /// The batch was stored.
     Held {
-        /// Tokens held.
+        /// The number of tokens in the copy.
         tokens: u64,
-        /// Whether the end is held, too.
+        /// Whether the copy contains the end of the response.
         finished: bool,
     },
-    /// The holder lacks tokens before the batch; send from this offset.
+    /// The batch was not stored, as tokens before it or its header are missing. The owner has to
+    /// send all from this offset again.
     Gap {
-        /// Tokens held.
+        /// The number of tokens in the copy of this term.
         tokens: u64,
     },
-    /// Another owner has the answer.
+    /// The batch was refused, as another owner has sealed the response.
     Sealed {
-        /// The term that holds now.
+        /// The highest term of an owner at this holder.
         term: u64,
     },
 }
 
-/// A copy as it is handed to a router that takes the answer over.
+/// A copy of a response, which a router that takes over the response continues.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldAnswer {
+pub struct ResponseCopy {
     /// The term of the owner that sent the tokens.
     pub term: u64,
-    /// That owner.
+    /// The owner that sent the tokens.
     pub owner: MemberId,
-    /// Digest of the request's body.
-    pub body: u64,
-    /// Where the last tokens came from.
-    pub source: Option<Source>,
-    /// The tokens from the beginning.
+    /// Digest of the request body.
+    #[serde(rename = "body")]
+    pub body_digest: u64,
+    /// The engine that generated the last tokens; `None` if unknown.
+    pub source: Option<TokenSource>,
+    /// All tokens from the first one on.
     pub tokens: Vec<Arc<str>>,
-    /// The end, when it is held.
+    /// The end of the response; `None` if the copy does not contain it.
     pub finish: Option<Finish>,
 }
 
-/// What a holder answers to a router that wants to take an answer over.
+/// The reply of a holder to a router that takes over a response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SealReply {
-    /// The term is sealed: owners of lower terms are refused from now on.
+    /// The term is sealed: batches and seals of lower terms are refused from now on.
     Sealed {
-        /// The copy, when there is one.
-        held: Option<HeldAnswer>,
+        /// The holder's copy; `None` if it has none.
+        held: Option<ResponseCopy>,
     },
-    /// A term at least as high is sealed already.
+    /// Another owner has sealed this term or a higher one.
     Refused {
-        /// The term that holds now.
+        /// The highest term of an owner at this holder.
         term: u64,
     },
 }
 
-/// How long copies are kept.
+/// How long copies are kept after their last use.
 #[derive(Clone, Copy, Debug)]
 pub struct Retention {
-    /// How long after its end an answer stays available to a caller that asks again.
+    /// Time for a copy that contains the end of the response, for callers that repeat the request.
     pub finished: Duration,
-    /// How long an answer stays that got no token and no owner.
+    /// Time for a copy without the end, and for a seal without a copy.
     pub unfinished: Duration,
 }
 
-/// How long an ended answer stays: a caller that lost its connection resumes well before.
-const KEEP_FINISHED: Duration = Duration::from_secs(120);
-/// How long an answer without an owner stays: as long as records do by default.
-const KEEP_UNFINISHED: Duration = Duration::from_secs(600);
+/// Longer than a caller needs to reconnect and resume after a connection failure.
+const FINISHED_RETENTION: Duration = Duration::from_secs(120);
+/// The same as the default retention of request records.
+const UNFINISHED_RETENTION: Duration = Duration::from_secs(600);
 
 impl Default for Retention {
     fn default() -> Self {
         Self {
-            finished: KEEP_FINISHED,
-            unfinished: KEEP_UNFINISHED,
+            finished: FINISHED_RETENTION,
+            unfinished: UNFINISHED_RETENTION,
         }
     }
 }
 
 #[derive(Debug)]
-struct Copy {
-    /// The lowest term that may still write, and the owner that it is bound to.
-    fence: u64,
+struct CopyState {
+    /// The lowest term that may append, and the only owner that may do so in this term.
+    fence_term: u64,
     fence_owner: MemberId,
-    held: Option<HeldAnswer>,
-    touched: Instant,
+    held: Option<ResponseCopy>,
+    last_used_at: Instant,
 }
 
-/// All copies that a member holds for others.
+/// All copies that a member holds for other routers.
 #[derive(Debug, Default)]
-pub struct Copies {
-    by_key: HashMap<RequestKey, Copy>,
+pub struct ResponseCopies {
+    by_key: HashMap<RequestKey, CopyState>,
 }
 
-impl Copies {
-    /// Takes a batch from an owner.
+impl ResponseCopies {
+    /// Stores a batch of an owner.
     ///
-    /// A term belongs to the first owner that uses it here; a second owner of
-    /// the same term is refused, so that two routers that start the same
-    /// request at once can't both release tokens.
-    pub fn append(&mut self, owner: &MemberId, entry: Entry, now: Instant) -> AppendReply {
+    /// At each holder, a term belongs to the first owner that uses it. A second owner of the same
+    /// term is refused, so two routers that start the same request at once can't both release
+    /// tokens.
+    pub fn append(&mut self, owner: &MemberId, batch: TokenBatch, now: Instant) -> AppendReply {
         let copy = self
             .by_key
-            .entry(entry.key.clone())
-            .or_insert_with(|| Copy {
-                fence: entry.term,
+            .entry(batch.key.clone())
+            .or_insert_with(|| CopyState {
+                fence_term: batch.term,
                 fence_owner: owner.clone(),
                 held: None,
-                touched: now,
+                last_used_at: now,
             });
-        if entry.term < copy.fence || (entry.term == copy.fence && *owner != copy.fence_owner) {
-            return AppendReply::Sealed { term: copy.fence };
+        if batch.term < copy.fence_term
+            || (batch.term == copy.fence_term && *owner != copy.fence_owner)
+        {
+            return AppendReply::Sealed {
+                term: copy.fence_term,
+            };
         }
-        copy.fence = entry.term;
+        copy.fence_term = batch.term;
         copy.fence_owner = owner.clone();
-        copy.touched = now;
-        write(&mut copy.held, owner, entry)
+        copy.last_used_at = now;
+        append_batch(&mut copy.held, owner, batch)
     }
 
-    /// Seals all terms below the given one and hands out what is held.
+    /// Seals all terms below `term`, and returns the copy.
     ///
-    /// The fence stands also where nothing is held, so that an earlier owner
-    /// that looks for another holder can't go on here. An owner that seals
-    /// its own term again learns whether it still is the owner.
+    /// The seal is kept even if there is no copy, so that an earlier owner cannot choose this
+    /// holder for a new copy. Sealing its own term again is how an owner checks that it still owns
+    /// the response.
     pub fn seal(
         &mut self,
         key: &RequestKey,
@@ -189,72 +196,78 @@
         owner: &MemberId,
         now: Instant,
     ) -> SealReply {
-        let copy = self.by_key.entry(key.clone()).or_insert_with(|| Copy {
-            fence: term,
+        let copy = self.by_key.entry(key.clone()).or_insert_with(|| CopyState {
+            fence_term: term,
             fence_owner: owner.clone(),
             held: None,
-            touched: now,
+            last_used_at: now,
         });
-        let own = term == copy.fence && *owner == copy.fence_owner;
-        if term < copy.fence || (term == copy.fence && !own) {
-            return SealReply::Refused { term: copy.fence };
+        let is_current_owner = term == copy.fence_term && *owner == copy.fence_owner;
+        if term < copy.fence_term || (term == copy.fence_term && !is_current_owner) {
+            return SealReply::Refused {
+                term: copy.fence_term,
+            };
         }
-        copy.fence = term;
+        copy.fence_term = term;
         copy.fence_owner = owner.clone();
-        copy.touched = now;
+        copy.last_used_at = now;
         SealReply::Sealed {
             held: copy.held.clone(),
         }
     }
 
-    /// Whether tokens of a request are held here.
+    /// Whether there is a copy of the response to a request.
     pub fn holds(&self, key: &RequestKey) -> bool {
         self.by_key.get(key).is_some_and(|c| c.held.is_some())
     }
 
-    /// Drops what has outlived its retention.
-    pub fn sweep(&mut self, now: Instant, keep: Retention) {
+    /// Removes copies and seals that were not used for the retention time.
+    pub fn sweep(&mut self, now: Instant, retention: Retention) {
         self.by_key.retain(|_, copy| {
             let finished = copy.held.as_ref().is_some_and(|h| h.finish.is_some());
             let limit = if finished {
-                keep.finished
+                retention.finished
             } else {
-                keep.unfinished
+                retention.unfinished
             };
-            now.saturating_duration_since(copy.touched) < limit
+            now.saturating_duration_since(copy.last_used_at) < limit
         });
     }
 
-    /// Copies held.
+    /// The number of copies and seals.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether there is no copy and no seal.
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
 
-    /// Tokens held in all copies.
+    /// The number of tokens in all copies.
     pub fn tokens(&self) -> usize {
         let held = self.by_key.values().filter_map(|c| c.held.as_ref());
         held.map(|h| h.tokens.len()).sum()
     }
 }
 
-/// Writes a batch whose term the fence has let through.
-fn write(held: &mut Option<HeldAnswer>, owner: &MemberId, entry: Entry) -> AppendReply {
-    let same_term = held.as_ref().is_some_and(|h| h.term == entry.term);
+/// Stores a batch whose term is not fenced off.
+fn append_batch(
+    held: &mut Option<ResponseCopy>,
+    owner: &MemberId,
+    batch: TokenBatch,
+) -> AppendReply {
+    let same_term = held.as_ref().is_some_and(|h| h.term == batch.term);
     if !same_term {
-        // The first batch of a term carries the whole prefix: tokens of an
-        // earlier owner are never joined with those of a later one.
-        let Some(head) = entry.head.as_ref().filter(|_| entry.offset == 0) else {
+        // The first batch of a term must contain the whole prefix, so that tokens of an earlier
+        // owner are never combined with those of a later one.
+        let Some(header) = batch.header.as_ref().filter(|_| batch.offset == 0) else {
             return AppendReply::Gap { tokens: 0 };
         };
-        *held = Some(HeldAnswer {
-            term: entry.term,
+        *held = Some(ResponseCopy {
+            term: batch.term,
             owner: owner.clone(),
-            body: head.body,
+            body_digest: header.body_digest,
             source: None,
             tokens: Vec::new(),
             finish: None,
@@ -263,17 +276,19 @@
     let Some(copy) = held.as_mut() else {
         return AppendReply::Gap { tokens: 0 };
     };
-    let known = copy.tokens.len() as u64;
-    if entry.offset > known {
-        return AppendReply::Gap { tokens: known };
+    let held_tokens = copy.tokens.len() as u64;
+    if batch.offset > held_tokens {
+        return AppendReply::Gap {
+            tokens: held_tokens,
+        };
     }
-    // Too many to count are all of them.
-    let skip = usize::try_from(known - entry.offset).unwrap_or(usize::MAX);
-    copy.tokens.extend(entry.tokens.into_iter().skip(skip));
-    if let Some(head) = entry.head {
-        copy.source = head.source.or(copy.source.take());
+    // A number that does not fit exceeds the length of any batch.
+    let skip = usize::try_from(held_tokens - batch.offset).unwrap_or(usize::MAX);
+    copy.tokens.extend(batch.tokens.into_iter().skip(skip));
+    if let Some(header) = batch.header {
+        copy.source = header.source.or(copy.source.take());
     }
-    copy.finish = copy.finish.or(entry.finish);
+    copy.finish = copy.finish.or(batch.finish);
     AppendReply::Held {
         tokens: copy.tokens.len() as u64,
         finished: copy.finish.is_some(),
--- a/crates/daemon/cloverpier_answer/src/event_id.rs
+++ b/crates/daemon/cloverpier_answer/src/event_id.rs
@@ -1,27 +1,27 @@
-//! The identifier of a server-sent event: what a caller has, and who holds the copy.
+//! The identifier of a server-sent event: the tokens that the caller has, and the holder of the
+//! copy.
 //!
-//! It is on the wire: callers send it back. It owns no state; whether the tokens behind it are
-//! those of an answer is decided by [`crate::answer::Answer::resume_at`].
+//! The text is part of the wire format, as callers send it back.
+//! [`crate::response::OwnedResponse::resume_at`] checks whether the tokens match a response.
 
 use cloverpier_core::{MemberId, TokenDigest};
 use std::fmt;
 
-/// What a caller sends back as `Last-Event-ID` to go on where it stopped.
+/// The `Last-Event-ID` that a caller sends to resume a response.
 ///
-/// Written as `tokens.chain.holder`; the holder may be missing where a
-/// service keeps no copies.
+/// Written as `tokens.digest.holder`, without `.holder` if the service keeps no copies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventId {
-    /// Tokens that the caller has.
+    /// The number of tokens that the caller has after the event.
     pub tokens: u64,
-    /// Their digest.
+    /// The digest of those tokens.
     pub chain: TokenDigest,
-    /// The member that held the copy when the event was sent.
+    /// The member that held the copy when the event was sent; `None` without a copy.
     pub holder: Option<MemberId>,
 }
 
 impl EventId {
-    /// Reads an identifier, or says that the text isn't one.
+    /// Parses an identifier; `None` if the text is invalid.
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.trim().splitn(3, '.');
         let tokens = parts.next()?.parse().ok()?;
--- a/crates/daemon/cloverpier_answer/src/lib.rs
+++ b/crates/daemon/cloverpier_answer/src/lib.rs
@@ -1,37 +1,41 @@
-//! Answers that contain each token exactly once, and the copies that outlive a router.
+//! Streamed responses that contain each token exactly once, and copies of them that survive the
+//! failure of a router.
 //!
-//! [`Answer`] is the owner's side: it takes tokens from the current attempt
-//! alone, at the next offset alone, and releases them to the caller only once
-//! a copy is held by a peer. [`Copies`] is the peer's side: it holds tokens
-//! for owners and refuses an owner whose term has ended. Both are plain state
-//! machines: they know neither sockets nor clocks.
+//! [`OwnedResponse`] is the state at the router that owns a response. It accepts tokens only from
+//! the current attempt and only at the next offset, and releases them to the caller only once the
+//! copies that the service requires contain them. [`ResponseCopies`] is the state at a peer that
+//! holds copies. It stores the tokens and refuses owners whose term has ended. Both are state
+//! machines without I/O or a clock.
 //!
 //! ```
 //! use cloverpier_answer::prelude::*;
 //!
-//! let mut answer = Answer::fresh(1, 77);
-//! let attempt = answer.open_attempt();
-//! assert_eq!(answer.on_token(attempt, 0, "Hola".into()), TokenStep::Accepted);
-//! assert_eq!(answer.on_token(attempt, 0, "Hola".into()), TokenStep::Repeated);
-//! assert_eq!(answer.released(), 0);
-//! answer.on_copied(1);
-//! assert_eq!(answer.released(), 1);
+//! let mut response = OwnedResponse::new(1, 77);
+//! let attempt = response.open_attempt();
+//! assert_eq!(response.on_token(attempt, 0, "Hola".into()), TokenOutcome::Accepted);
+//! assert_eq!(response.on_token(attempt, 0, "Hola".into()), TokenOutcome::Repeated);
+//! assert_eq!(response.released(), 0);
+//! response.on_copied(1);
+//! assert_eq!(response.released(), 1);
 //! ```
 
-mod answer;
 mod copies;
+mod copy_progress;
 mod event_id;
-mod shipping;
+mod response;
 mod takeover;
 
-/// What users of the crate need daily.
+/// The public types of the crate.
 pub mod prelude {
-    pub use crate::answer::{Answer, AttemptId, Finish, FinishReason, Resume, TokenStep};
     pub use crate::copies::{
-        AppendReply, Copies, Entry, EntryHead, HeldAnswer, Retention, SealReply, Source,
+        AppendReply, BatchHeader, ResponseCopies, ResponseCopy, Retention, SealReply, TokenBatch,
+        TokenSource,
     };
+    pub use crate::copy_progress::{CopyProgress, CopyStep};
     pub use crate::event_id::EventId;
-    pub use crate::shipping::{ShipStep, Shipping};
+    pub use crate::response::{
+        AttemptId, Finish, FinishReason, OwnedResponse, ResumePoint, TokenOutcome,
+    };
     pub use crate::takeover::{Takeover, TakeoverStep};
 }
 
--- a/crates/daemon/cloverpier_answer/src/takeover.rs
+++ b/crates/daemon/cloverpier_answer/src/takeover.rs
@@ -1,37 +1,37 @@
-//! Taking an answer over: which term to seal, and which copy to go on from.
+//! The takeover of a response by another router.
 //!
-//! Question: with which term may this router go on with another one's answer, and from which
-//! copy? Inputs: the replies of all holders that could be found. Answer: a [`TakeoverStep`]. The
-//! newest copy of the highest term wins; a holder that has sealed a higher term starts a new
-//! round.
+//! From the replies of all known holders, [`Takeover`] decides in which term the router may own the
+//! response and which copy it continues. Each round seals one term at all holders. If a holder has
+//! sealed this term or a higher one, the next round uses a higher term. The copy of the highest
+//! term is continued.
 
-use crate::copies::{HeldAnswer, SealReply};
+use crate::copies::{ResponseCopy, SealReply};
 
-/// Rounds after which a takeover is left to whoever else is trying.
-const ROUNDS: u32 = 4;
+/// Rounds after which the takeover is left to the other router that seals the same response.
+const MAX_ROUNDS: u32 = 4;
 
-/// What a router that takes an answer over does next.
+/// What a router that takes over a response does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TakeoverStep {
-    /// Ask every holder to seal this term, and report all replies.
+    /// Request every holder to seal this term, and pass all replies to [`Takeover::on_replies`].
     Seal {
-        /// The term.
+        /// The term to seal.
         term: u64,
     },
-    /// Go on in this term.
+    /// Own the response in this term. All holders that replied have sealed it.
     Own {
-        /// The term.
+        /// The sealed term.
         term: u64,
-        /// The newest copy; `None` when no holder has one.
-        held: Option<HeldAnswer>,
-        /// Whether a holder did not answer, so that a newer copy may exist.
-        unheard: bool,
+        /// The copy to continue; `None` if no holder that replied has one.
+        held: Option<ResponseCopy>,
+        /// Whether a holder did not reply. It may have a newer copy.
+        has_missing_replies: bool,
     },
-    /// Another router is taking it over at the same time.
+    /// Stop: another router takes over the response at the same time.
     Contended,
 }
 
-/// A takeover on its way.
+/// The progress of one takeover, or of the start of a response.
 #[derive(Clone, Debug)]
 pub struct Takeover {
     term: u64,
@@ -39,20 +39,22 @@
 }
 
 impl Takeover {
-    /// A takeover, or the start of an answer that nobody knows yet.
+    /// Starts with term 1, which is sufficient for a response without an earlier owner.
     pub fn new() -> Self {
         Self { term: 1, rounds: 0 }
     }
 
-    /// What to do first.
+    /// The first round.
     pub fn start(&self) -> TakeoverStep {
         TakeoverStep::Seal { term: self.term }
     }
 
-    /// Takes the replies of all holders; `None` for one that did not answer.
+    /// Processes the replies of all holders to the last round; `None` stands for a holder that did
+    /// not reply in time.
     ///
-    /// The newest copy is the one of the highest term, and within a term the
-    /// longest: a later owner's prefix holds all that its callers were sent.
+    /// The copy of the highest term is chosen, and the longest one within a term. A later owner
+    /// starts from all tokens that the earlier owner's callers received, so a longer copy of a
+    /// lower term is not preferred.
     pub fn on_replies(&mut self, replies: Vec<Option<SealReply>>) -> TakeoverStep {
         self.rounds += 1;
         let refused = replies.iter().flatten().filter_map(|r| match r {
@@ -60,19 +62,19 @@
             _ => None,
         });
         if let Some(highest) = refused.max() {
-            if self.rounds >= ROUNDS {
+            if self.rounds >= MAX_ROUNDS {
                 return TakeoverStep::Contended;
             }
             self.term = highest + 1;
             return self.start();
         }
-        let unheard = replies.iter().any(Option::is_none);
-        let mut newest: Option<HeldAnswer> = None;
+        let has_missing_replies = replies.iter().any(Option::is_none);
+        let mut newest: Option<ResponseCopy> = None;
         for reply in replies.into_iter().flatten() {
             let SealReply::Sealed { held } = reply else {
                 continue;
             };
-            let rank = |h: &HeldAnswer| (h.term, h.tokens.len());
+            let rank = |h: &ResponseCopy| (h.term, h.tokens.len());
             if held.as_ref().map(rank) > newest.as_ref().map(rank) {
                 newest = held;
             }
@@ -80,7 +82,7 @@
         TakeoverStep::Own {
             term: self.term,
             held: newest,
-            unheard,
+            has_missing_replies,
         }
     }
 }
--- a/crates/daemon/cloverpier_answer/tests/faults/main.rs
+++ b/crates/daemon/cloverpier_answer/tests/faults/main.rs
@@ -1,42 +1,47 @@
-//! Random faults over owners, holders, engines and callers of one answer.
+//! Simulates random faults of the owners, holders, engines and callers of one response.
 //!
-//! Engines speak text that names what it was generated after, so that a mixed
-//! answer shows. Messages are lost, delayed and reordered; owners and holders
-//! die; engines that were given up speak on; callers reconnect anywhere.
+//! Each token contains the digest of the tokens after which it was generated, so a response that
+//! mixes tokens of two generations is detected. Messages are lost, delayed and reordered. Owners
+//! and holders crash. Engines continue attempts that were replaced. Callers reconnect to any
+//! router.
 
-mod world;
+mod simulation;
 
-use world::World;
+use simulation::Simulation;
 
-const STEPS_PER_WORLD: u32 = 1_000;
-const WORLDS: u64 = 250;
+const STEPS_PER_SIMULATION: u32 = 1_000;
+const SIMULATIONS: u64 = 250;
 
 #[test]
-fn no_fault_order_mixes_repeats_or_loses_a_token() {
+fn faults_never_mix_repeat_or_lose_tokens() {
     let mut finished = 0;
     let mut steps = 0_u64;
-    for seed in 0..WORLDS {
-        let mut world = World::new(seed, false);
-        for _ in 0..STEPS_PER_WORLD {
-            world.step();
+    for seed in 0..SIMULATIONS {
+        let mut simulation = Simulation::new(seed, false);
+        for _ in 0..STEPS_PER_SIMULATION {
+            simulation.step();
             steps += 1;
-            if world.client.done {
+            if simulation.client.done {
                 break;
             }
         }
-        finished += world.finished;
+        finished += simulation.finished;
     }
     assert!(steps >= 100_000, "only {steps} steps");
-    // The faults are severe, yet answers get through: the check isn't vacuous.
-    assert!(finished >= WORLDS / 20, "only {finished} answers ended");
+    // Fails if hardly any response completes under these faults, as the simulation then checks
+    // nothing.
+    assert!(
+        finished >= SIMULATIONS / 20,
+        "only {finished} responses completed"
+    );
 }
 
 #[test]
-fn no_token_that_a_caller_has_is_unknown_while_its_copy_lasts() {
-    for seed in 0..WORLDS / 4 {
-        let mut world = World::new(seed, true);
-        for _ in 0..STEPS_PER_WORLD {
-            world.step();
+fn a_caller_can_always_resume_while_copies_survive() {
+    for seed in 0..SIMULATIONS / 4 {
+        let mut simulation = Simulation::new(seed, true);
+        for _ in 0..STEPS_PER_SIMULATION {
+            simulation.step();
         }
     }
 }
--- a/crates/daemon/cloverpier_answer/tests/faults/world/owners.rs
+++ b/crates/daemon/cloverpier_answer/tests/faults/simulation/owners.rs
@@ -1,26 +1,26 @@
-//! What engines, owners and holders of copies do, and what befalls them.
+//! Events of engines, owners and holders of copies.
 
 use super::*;
 
-impl World {
-    pub(super) fn engine_speaks(&mut self) {
+impl Simulation {
+    pub(super) fn engine_generates(&mut self) {
         if self.generations.is_empty() {
             return;
         }
         let i = self.rng.usize(0..self.generations.len());
         let generation = &mut self.generations[i];
-        let event = if generation.offset >= LENGTH {
+        let event = if generation.offset >= RESPONSE_TOKENS {
             Event::Finish(generation.attempt, generation.offset)
         } else {
-            let text = say(generation.engine, generation.chain);
+            let text = token_text(generation.engine, generation.digest);
             let event = Event::Token(generation.attempt, generation.offset, Arc::clone(&text));
-            generation.chain = generation.chain.push(&text);
+            generation.digest = generation.digest.push(&text);
             generation.offset += 1;
             event
         };
-        let asked_by = generation.asked_by;
-        self.deliver(asked_by, &event);
-        // Streams cross: an owner that never asked for it may get it, too.
+        let opened_by = generation.opened_by;
+        self.deliver(opened_by, &event);
+        // Sometimes another owner receives the message, too.
         if self.rng.u8(0..8) == 0 {
             let other = self.router();
             self.deliver(other, &event);
@@ -33,7 +33,7 @@
         }
     }
 
-    pub(super) fn owner_listens(&mut self) {
+    pub(super) fn owner_receives(&mut self) {
         let i = self.router();
         let Some(owner) = &mut self.owners[i] else {
             return;
@@ -41,23 +41,23 @@
         if owner.inbox.is_empty() {
             return;
         }
-        // Mostly in order, at times crossed.
+        // Mostly in order, sometimes reordered.
         let at = if self.rng.u8(0..40) == 0 {
             self.rng.usize(0..owner.inbox.len())
         } else {
             0
         };
-        let again = self.rng.u8(0..10) == 0;
+        let is_repeated = self.rng.u8(0..10) == 0;
         let step = match owner.inbox.remove(at) {
             Event::Token(attempt, offset, text) => {
-                if again {
-                    owner.answer.on_token(attempt, offset, Arc::clone(&text));
+                if is_repeated {
+                    owner.response.on_token(attempt, offset, Arc::clone(&text));
                 }
-                owner.answer.on_token(attempt, offset, text)
+                owner.response.on_token(attempt, offset, text)
             }
-            Event::Finish(attempt, at) => owner.answer.on_finish(attempt, at, FinishReason::Stop),
+            Event::Finish(attempt, at) => owner.response.on_finish(attempt, at, FinishReason::Stop),
         };
-        if step == TokenStep::Gap {
+        if step == TokenOutcome::Gap {
             self.start_attempt(i);
         }
     }
@@ -66,16 +66,16 @@
         let Some(owner) = &mut self.owners[i] else {
             return;
         };
-        if owner.answer.is_taken_over() || owner.answer.finish().is_some() {
+        if owner.response.is_taken_over() || owner.response.finish().is_some() {
             return;
         }
-        let attempt = owner.answer.open_attempt();
+        let attempt = owner.response.open_attempt();
         self.generations.push(Generation {
             attempt,
-            asked_by: i,
+            opened_by: i,
             engine: self.rng.u64(0..1_000),
-            chain: owner.answer.chain(),
-            offset: owner.answer.len(),
+            digest: owner.response.digest(),
+            offset: owner.response.len(),
         });
     }
 
@@ -84,10 +84,10 @@
         self.start_attempt(i);
     }
 
-    pub(super) fn owner_ships(&mut self) {
+    pub(super) fn owner_sends_copy(&mut self) {
         let i = self.router();
         let other = (i + self.rng.usize(1..ROUTERS)) % ROUTERS;
-        let name = self.run_of(i);
+        let name = self.member_id(i);
         let holder_name = self.names[other].clone();
         let Some(owner) = &mut self.owners[i] else {
             return;
@@ -95,62 +95,62 @@
         if owner.copy.holder().is_none() {
             owner.copy.assign(Some(holder_name));
         }
-        if owner.under_way.is_none() && owner.copy.has_news(&owner.answer) {
-            let head = EntryHead {
-                body: 7,
+        if owner.in_flight.is_none() && owner.copy.has_unsent(&owner.response) {
+            let header = BatchHeader {
+                body_digest: 7,
                 source: None,
             };
-            let entry = owner.copy.next_entry(&owner.answer, &self.key, head);
-            owner.under_way = Some(entry);
+            let batch = owner.copy.next_batch(&owner.response, &self.key, header);
+            owner.in_flight = Some(batch);
             return;
         }
-        let Some(entry) = owner.under_way.take() else {
+        let Some(batch) = owner.in_flight.take() else {
             return;
         };
         let holder = owner.copy.holder().cloned();
         let at = self.names.iter().position(|n| Some(n) == holder.as_ref());
-        let reply = self.copies[at.unwrap_or(0)].append(&name, entry, self.now);
-        owner.copy.on_reply(&mut owner.answer, reply);
+        let reply = self.copies[at.unwrap_or(0)].append(&name, batch, self.now);
+        owner.copy.on_reply(&mut owner.response, reply);
     }
 
-    /// No reply came: the owner takes another holder, and the batch may arrive later.
-    pub(super) fn batch_is_given_up(&mut self) {
+    /// No reply arrives: the owner chooses another holder, and the batch may still arrive later.
+    pub(super) fn batch_times_out(&mut self) {
         let i = self.router();
-        let name = self.run_of(i);
+        let name = self.member_id(i);
         let Some(owner) = &mut self.owners[i] else {
             return;
         };
         let holder = owner.copy.holder().cloned();
         let at = self.names.iter().position(|n| Some(n) == holder.as_ref());
-        if let (Some(entry), Some(at)) = (owner.under_way.take(), at) {
-            self.late.push((at, name, entry));
+        if let (Some(batch), Some(at)) = (owner.in_flight.take(), at) {
+            self.delayed.push((at, name, batch));
         }
         owner.copy.assign(None);
     }
 
-    pub(super) fn late_batch_arrives(&mut self) {
-        if self.late.is_empty() {
+    pub(super) fn delayed_batch_arrives(&mut self) {
+        if self.delayed.is_empty() {
             return;
         }
-        let i = self.rng.usize(0..self.late.len());
-        let (at, owner, entry) = self.late.swap_remove(i);
-        self.copies[at].append(&owner, entry, self.now);
+        let i = self.rng.usize(0..self.delayed.len());
+        let (at, owner, batch) = self.delayed.swap_remove(i);
+        self.copies[at].append(&owner, batch, self.now);
     }
 
-    pub(super) fn owner_dies(&mut self) {
+    pub(super) fn owner_crashes(&mut self) {
         let i = self.router();
         self.owners[i] = None;
-        self.deaths[i] += 1;
+        self.restarts[i] += 1;
         self.lose_copies(i);
     }
 
     pub(super) fn lose_copies(&mut self, i: usize) {
-        if !self.copies_last {
-            self.copies[i] = Copies::default();
+        if !self.copies_survive {
+            self.copies[i] = ResponseCopies::default();
         }
     }
 
-    pub(super) fn holder_dies(&mut self) {
+    pub(super) fn holder_crashes(&mut self) {
         let i = self.router();
         self.lose_copies(i);
     }
--- a/crates/daemon/cloverpier_daemon/src/answers/attempt.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/attempt.rs
@@ -9,7 +9,7 @@
 use crate::app::App;
 use crate::crashes;
 use crate::statements;
-use cloverpier_answer::{AttemptId, FinishReason, Source, TokenStep};
+use cloverpier_answer::{AttemptId, FinishReason, TokenOutcome, TokenSource};
 use cloverpier_core::{UpstreamName, lock};
 use cloverpier_route::{Chosen, Silence};
 use cloverpier_upstream::{EngineEvent, EventStream, GenerateBody, GenerationBody, StreamError};
@@ -104,7 +104,7 @@
 async fn attempt(app: &Arc<App>, live: &Arc<Live>, chosen: &Chosen) -> Over {
     let (attempt, prefix) = live.change(|s| {
         let attempt = s.answer.open_attempt();
-        s.source = Some(Source {
+        s.source = Some(TokenSource {
             upstream: chosen.upstream.clone(),
             attempt,
         });
@@ -135,7 +135,7 @@
 }
 
 /// Goes on with the stream of an earlier owner's engine; `None` when it isn't there any more.
-pub(super) async fn resume(app: &Arc<App>, live: &Arc<Live>, source: &Source) -> Option<Over> {
+pub(super) async fn resume(app: &Arc<App>, live: &Arc<Live>, source: &TokenSource) -> Option<Over> {
     let address = address_of(app, &source.upstream)?;
     let offset = live.look(|s| s.answer.len());
     let body = GenerationBody {
@@ -270,9 +270,9 @@
         }
     });
     match step {
-        TokenStep::Accepted if last => Taken::Over(Over::Finished),
-        TokenStep::Accepted | TokenStep::Repeated => Taken::GoOn,
-        TokenStep::Gap => Taken::Over(Over::Failed(Failure::TokensMissing)),
-        TokenStep::Late | TokenStep::Closed => Taken::Over(Over::Moved),
+        TokenOutcome::Accepted if last => Taken::Over(Over::Finished),
+        TokenOutcome::Accepted | TokenOutcome::Repeated => Taken::GoOn,
+        TokenOutcome::Gap => Taken::Over(Over::Failed(Failure::TokensMissing)),
+        TokenOutcome::Late | TokenOutcome::Closed => Taken::Over(Over::Moved),
     }
 }
--- a/crates/daemon/cloverpier_daemon/src/answers/live.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/live.rs
@@ -4,7 +4,9 @@
 //! reader gets released tokens only, in order, each once.
 
 use crate::error::ApiError;
-use cloverpier_answer::{Answer, AppendReply, EventId, Finish, ShipStep, Shipping, Source};
+use cloverpier_answer::{
+    AppendReply, CopyProgress, CopyStep, EventId, Finish, OwnedResponse, TokenSource,
+};
 use cloverpier_core::{AccountName, AdapterName, ModelName, RequestKey, ServiceName, lock};
 use cloverpier_crashes::{ContentKey, RequestContent};
 use cloverpier_timers::Timers;
@@ -72,11 +74,11 @@
 
 #[derive(Debug)]
 pub(super) struct State {
-    pub(super) answer: Answer,
-    pub(super) copy: Shipping,
+    pub(super) answer: OwnedResponse,
+    pub(super) copy: CopyProgress,
     /// Whether the answer is in its holder's queue.
     pub(super) queued: bool,
-    pub(super) source: Option<Source>,
+    pub(super) source: Option<TokenSource>,
     end: Option<End>,
     idle_since: Instant,
     over_since: Option<Instant>,
@@ -118,14 +120,20 @@
 
 impl Live {
     /// An answer at its start, or as another router left it.
-    pub fn new(key: RequestKey, body: u64, spec: Spec, answer: Answer, now: Instant) -> Arc<Self> {
+    pub fn new(
+        key: RequestKey,
+        body: u64,
+        spec: Spec,
+        answer: OwnedResponse,
+        now: Instant,
+    ) -> Arc<Self> {
         Arc::new(Self {
             key,
             body,
             spec,
             state: Mutex::new(State {
                 answer,
-                copy: Shipping::default(),
+                copy: CopyProgress::default(),
                 queued: false,
                 source: None,
                 end: None,
@@ -171,9 +179,9 @@
             step
         });
         match step {
-            ShipStep::Rest => false,
-            ShipStep::Send => true,
-            ShipStep::TakenOver => {
+            CopyStep::Idle => false,
+            CopyStep::Send => true,
+            CopyStep::TakenOver => {
                 self.end(End::TakenOver, now);
                 false
             }
@@ -279,7 +287,7 @@
         let event = |i: u64| EventId {
             tokens: offset + i + 1,
             // Released tokens are accepted ones, so their digest is known.
-            chain: s.answer.chain_at(offset + i + 1).unwrap_or_default(),
+            chain: s.answer.prefix_digest(offset + i + 1).unwrap_or_default(),
             holder: s.copy.holder().cloned(),
         };
         let tokens = (0..).zip(tokens).map(|(i, t)| (Arc::clone(t), event(i)));
--- a/crates/daemon/cloverpier_daemon/src/answers/open.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/open.rs
@@ -9,7 +9,9 @@
 use crate::answers::run::{Start, spawn};
 use crate::app::App;
 use crate::error::{ApiError, Run};
-use cloverpier_answer::{Answer, EventId, HeldAnswer, Resume, SealReply, Takeover, TakeoverStep};
+use cloverpier_answer::{
+    EventId, OwnedResponse, ResponseCopy, ResumePoint, SealReply, Takeover, TakeoverStep,
+};
 use cloverpier_core::{MemberId, RequestKey, lock};
 use cloverpier_peer::{PeerReply, PeerRequest};
 use futures_util::future::join_all;
@@ -79,11 +81,11 @@
     let sealed = seal_all(app, key, &holders).await?;
     let Some(held) = sealed.held else {
         return match last {
-            Some(last) if last.tokens > 0 => Err(not_found(sealed.unheard)),
+            Some(last) if last.tokens > 0 => Err(not_found(sealed.has_missing_replies)),
             _ => Ok(Opened::New { term: sealed.term }),
         };
     };
-    check_body(held.body, body)?;
+    check_body(held.body_digest, body)?;
     take_over(app, key, spec, held, sealed.term, last)
 }
 
@@ -121,11 +123,11 @@
     Err(error.at("Idempotency-Key"))
 }
 
-fn go_on(resume: Resume) -> Result<u64, ApiError> {
+fn go_on(resume: ResumePoint) -> Result<u64, ApiError> {
     match resume {
-        Resume::From(offset) => Ok(offset),
-        Resume::Behind { .. } => Err(not_found(true)),
-        Resume::Diverged => {
+        ResumePoint::From(offset) => Ok(offset),
+        ResumePoint::Behind { .. } => Err(not_found(true)),
+        ResumePoint::Diverged => {
             let message = "the tokens that the caller has are not those of this answer";
             let error = ApiError::not_run(StatusCode::CONFLICT, "answer_diverged", message);
             Err(error.at("Last-Event-ID").with_run(Run::Unknown))
@@ -166,9 +168,9 @@
 
 struct Sealed {
     term: u64,
-    held: Option<HeldAnswer>,
+    held: Option<ResponseCopy>,
     /// Whether a holder did not answer.
-    unheard: bool,
+    has_missing_replies: bool,
 }
 
 /// Seals all earlier terms at every holder, and finds the newest copy.
@@ -188,12 +190,12 @@
             TakeoverStep::Own {
                 term,
                 held,
-                unheard,
+                has_missing_replies,
             } => {
                 return Ok(Sealed {
                     term,
                     held,
-                    unheard,
+                    has_missing_replies,
                 });
             }
             TakeoverStep::Contended => {
@@ -225,11 +227,11 @@
     app: &Arc<App>,
     key: &RequestKey,
     spec: &Spec,
-    held: HeldAnswer,
+    held: ResponseCopy,
     term: u64,
     last: Option<&EventId>,
 ) -> Result<Opened, ApiError> {
-    let answer = Answer::resumed(term, app.opener(), held.tokens, held.finish);
+    let answer = OwnedResponse::resumed(term, app.opener(), held.tokens, held.finish);
     let offset = match last {
         Some(last) => go_on(answer.resume_at(last.tokens, last.chain))?,
         None => 0,
@@ -245,7 +247,13 @@
         },
     );
     let finished = answer.finish().is_some();
-    let live = Live::new(key.clone(), held.body, spec.clone(), answer, app.now());
+    let live = Live::new(
+        key.clone(),
+        held.body_digest,
+        spec.clone(),
+        answer,
+        app.now(),
+    );
     lock(&app.answers.live).insert(key.clone(), Arc::clone(&live));
     if finished {
         live.mark_over(app.now());
--- a/crates/daemon/cloverpier_daemon/src/answers/outbox.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/outbox.rs
@@ -8,7 +8,7 @@
 use crate::answers::live::Live;
 use crate::answers::outbox_state::PeerQueue;
 use crate::app::App;
-use cloverpier_answer::{Entry, EntryHead};
+use cloverpier_answer::{BatchHeader, TokenBatch};
 use cloverpier_core::{MemberId, hash_of, lock, rendezvous_rank};
 use cloverpier_member::Member;
 use cloverpier_peer::{LocateNote, PeerReply, PeerRequest};
@@ -186,7 +186,7 @@
     if batch.is_empty() {
         return;
     }
-    let entries: Vec<Entry> = batch.iter().map(|live| entry_of(live)).collect();
+    let entries: Vec<TokenBatch> = batch.iter().map(|live| entry_of(live)).collect();
     let request = PeerRequest::Append {
         owner: app.me.id.clone(),
         entries,
@@ -220,13 +220,13 @@
     }
 }
 
-fn entry_of(live: &Live) -> Entry {
+fn entry_of(live: &Live) -> TokenBatch {
     live.change(|s| {
         s.queued = false;
-        let head = EntryHead {
-            body: live.body,
+        let header = BatchHeader {
+            body_digest: live.body,
             source: s.source.clone(),
         };
-        s.copy.next_entry(&s.answer, &live.key, head)
+        s.copy.next_batch(&s.answer, &live.key, header)
     })
 }
--- a/crates/daemon/cloverpier_daemon/src/answers/run.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/run.rs
@@ -10,7 +10,7 @@
 use crate::app::App;
 use crate::crashes::{self, Admitted, Turn};
 use crate::error::{ApiError, Run};
-use cloverpier_answer::Source;
+use cloverpier_answer::TokenSource;
 use cloverpier_core::{UpstreamName, hash_of, lock};
 use cloverpier_crashes::{Admission, LossCause};
 use cloverpier_route::{Ask, Choice, Chosen};
@@ -31,7 +31,7 @@
     /// At an upstream whose place is taken.
     At(Chosen),
     /// After an earlier owner: with the stream that an engine may still run for it.
-    TakenOver(Option<Source>),
+    TakenOver(Option<TokenSource>),
 }
 
 /// Generates an answer in a task of its own.
@@ -195,7 +195,7 @@
 ///
 /// What may not be repeated goes on nowhere else: the earlier owner has
 /// dispatched it.
-async fn go_on_there(app: &Arc<App>, live: &Arc<Live>, source: Option<Source>) -> GoOn {
+async fn go_on_there(app: &Arc<App>, live: &Arc<Live>, source: Option<TokenSource>) -> GoOn {
     if let Some(source) = source {
         let over = resume(app, live, &source).await;
         if let Some(over) = over.filter(|o| !matches!(o, Over::Failed(_))) {
--- a/crates/daemon/cloverpier_daemon/src/answers/table.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/table.rs
@@ -6,7 +6,7 @@
 use super::directory::Directory;
 use super::live::Live;
 use super::outbox_state::Outbox;
-use cloverpier_answer::Copies;
+use cloverpier_answer::ResponseCopies;
 use cloverpier_core::{RequestKey, lock};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -18,7 +18,7 @@
     /// Answers that this router owns.
     pub live: Mutex<HashMap<RequestKey, Arc<Live>>>,
     /// Copies that it holds.
-    pub copies: Mutex<Copies>,
+    pub copies: Mutex<ResponseCopies>,
     /// Where copies of other routers' answers are.
     pub directory: Mutex<Directory>,
     /// Tokens on their way to holders.
--- a/crates/daemon/cloverpier_daemon/src/web/completions.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/completions.rs
@@ -16,7 +16,7 @@
 };
 use crate::web::sse::{Shape, Writer};
 use cloverpier_admit::QueuedRequest;
-use cloverpier_answer::Answer;
+use cloverpier_answer::OwnedResponse;
 use cloverpier_core::{hash_of, lock};
 use cloverpier_crashes::Admission;
 use cloverpier_record::Refusal;
@@ -158,7 +158,7 @@
         return Err(refused(refusal));
     }
     log_choice(app, keyed.key.as_str(), &ask.service, &chosen);
-    let answer = Answer::fresh(term, app.opener());
+    let answer = OwnedResponse::new(term, app.opener());
     let live = Live::new(keyed.key.clone(), ask.body, spec, answer, app.now());
     match register(app, &live) {
         Registered::New => {
--- a/crates/daemon/cloverpier_daemon/src/web/peers.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/peers.rs
@@ -7,7 +7,7 @@
 use crate::crashes;
 use crate::members;
 use crate::web::{app_of, operators, serve};
-use cloverpier_answer::Entry;
+use cloverpier_answer::TokenBatch;
 use cloverpier_core::{MemberId, RequestKey, lock, same_secret};
 use cloverpier_member::Member;
 use cloverpier_peer::{LocateNote, PEER_HEADER, PeerReply, PeerRequest, Versions, decode, encode};
@@ -131,7 +131,7 @@
     PeerReply::Done
 }
 
-fn on_append(app: &App, owner: &MemberId, entries: Vec<Entry>) -> PeerReply {
+fn on_append(app: &App, owner: &MemberId, entries: Vec<TokenBatch>) -> PeerReply {
     let now = app.now();
     let mut copies = lock(&app.answers.copies);
     let replies = entries.into_iter().map(|e| copies.append(owner, e, now));
--- a/crates/daemon/cloverpier_peer/src/message.rs
+++ b/crates/daemon/cloverpier_peer/src/message.rs
@@ -5,7 +5,7 @@
 //! (`cloverpier_router::peer_messages`); each codec has its error.
 
 use cloverpier_admit::{Quota, QuotaGrant};
-use cloverpier_answer::{AppendReply, Entry, SealReply};
+use cloverpier_answer::{AppendReply, SealReply, TokenBatch};
 use cloverpier_config::{Part, PartDigest, Root};
 use cloverpier_core::{AccountName, MemberId, RequestKey};
 use cloverpier_crashes::ContentReport;
@@ -91,7 +91,7 @@
         /// The owner of all the answers.
         owner: MemberId,
         /// Batches of several answers.
-        entries: Vec<Entry>,
+        entries: Vec<TokenBatch>,
     },
     /// Refuse owners of lower terms and hand out the copy.
     Seal {
--- a/crates/daemon/cloverpier_peer/tests/wire.rs
+++ b/crates/daemon/cloverpier_peer/tests/wire.rs
@@ -5,8 +5,8 @@
 
 use cloverpier_admit::{Quota, QuotaGrant};
 use cloverpier_answer::{
-    AppendReply, AttemptId, Entry, EntryHead, EventId, Finish, FinishReason, HeldAnswer, SealReply,
-    Source,
+    AppendReply, AttemptId, BatchHeader, EventId, Finish, FinishReason, ResponseCopy, SealReply,
+    TokenBatch, TokenSource,
 };
 use cloverpier_config::{Account, Config, Part, Repeatable, Root, Service, Upstream, split};
 use cloverpier_core::{MemberId, RequestKey, TokenDigest};
@@ -55,8 +55,8 @@
     }
 }
 
-fn source() -> Source {
-    Source {
+fn source() -> TokenSource {
+    TokenSource {
         upstream: "e1".into(),
         attempt: AttemptId {
             term: 21,
@@ -70,20 +70,20 @@
     vec![" a".into(), " b".into()]
 }
 
-fn entries() -> Vec<Entry> {
-    let first = Entry {
+fn entries() -> Vec<TokenBatch> {
+    let first = TokenBatch {
         key: RequestKey::new("lab/17"),
         term: 31,
-        head: Some(EntryHead {
-            body: 32,
+        header: Some(BatchHeader {
+            body_digest: 32,
             source: Some(source()),
         }),
         offset: 0,
         tokens: tokens(),
         finish: None,
     };
-    let last = Entry {
-        head: None,
+    let last = TokenBatch {
+        header: None,
         offset: 2,
         finish: Some(finish()),
         ..first.clone()
@@ -210,10 +210,10 @@
 }
 
 fn replies() -> Vec<PeerReply> {
-    let held = HeldAnswer {
+    let held = ResponseCopy {
         term: 61,
         owner: MemberId::new("vm-1~7"),
-        body: 62,
+        body_digest: 62,
         source: Some(source()),
         tokens: tokens(),
         finish: Some(finish()),
