--- a/crates/daemon/cloverpier_daemon/src/admission/mod.rs
+++ b/crates/daemon/cloverpier_daemon/src/admission/mod.rs
@@ -12,7 +12,7 @@
 use cloverpier_core::{AccountName, ServiceName, hash_of, jitter, lock, rendezvous_rank};
 use cloverpier_member::Member;
 use cloverpier_peer::{PeerReply, PeerRequest};
-use cloverpier_route::{Ask, Choice, Chosen};
+use cloverpier_route::{Choice, Chosen, RouteRequest};
 use salvo::http::StatusCode;
 use serde::Serialize;
 use state::{Admission, Line, Waiter};
@@ -41,8 +41,8 @@
 #[derive(Serialize)]
 struct ChosenFields<'a> {
     upstream: &'a cloverpier_core::UpstreamName,
-    why: cloverpier_route::Why,
-    weighed: &'a [cloverpier_route::Weighed],
+    why: cloverpier_route::ChoiceReason,
+    weighed: &'a [cloverpier_route::WeighedUpstream],
 }
 
 /// Starts the part.
@@ -88,7 +88,7 @@
             service,
             chosen: ChosenFields {
                 upstream: &chosen.upstream,
-                why: chosen.why,
+                why: chosen.reason,
                 weighed: &chosen.weighed,
             },
         },
@@ -194,7 +194,7 @@
     pub async fn place(
         &self,
         app: &App,
-        ask: Ask,
+        ask: RouteRequest,
         waiting: &QueuedRequest,
     ) -> Result<Chosen, ApiError> {
         let ticket = Ticket(app.number());
@@ -204,7 +204,7 @@
             if line.queue.is_empty() {
                 match choose(app, &ask) {
                     Choice::Chosen(chosen) => return Ok(chosen),
-                    Choice::Nobody => return Err(nobody(app, &ask.service)),
+                    Choice::NoneAvailable => return Err(nobody(app, &ask.service)),
                     Choice::Full => {}
                 }
             }
@@ -235,7 +235,7 @@
     let Some(any) = line.waiters.values().next().map(|w| w.ask.clone()) else {
         return;
     };
-    let probe = Ask {
+    let probe = RouteRequest {
         prefix: None,
         ..any
     };
@@ -262,7 +262,7 @@
 }
 
 /// Chooses an upstream and takes a place there.
-pub fn choose(app: &App, ask: &Ask) -> Choice {
+pub fn choose(app: &App, ask: &RouteRequest) -> Choice {
     let now = app.now();
     let mut view = lock(&app.view);
     let choice = view.choose(ask, now, &mut lock(&app.rng));
--- a/crates/daemon/cloverpier_daemon/src/admission/state.rs
+++ b/crates/daemon/cloverpier_daemon/src/admission/state.rs
@@ -3,7 +3,7 @@
 
 use cloverpier_admit::{FairQueue, LocalQuota, QuotaAllocator, Ticket};
 use cloverpier_core::ServiceName;
-use cloverpier_route::{Ask, Chosen};
+use cloverpier_route::{Chosen, RouteRequest};
 use std::collections::HashMap;
 use std::sync::Mutex;
 use tokio::sync::oneshot;
@@ -11,7 +11,7 @@
 /// A request that waits for a place.
 #[derive(Debug)]
 pub(super) struct Waiter {
-    pub(super) ask: Ask,
+    pub(super) ask: RouteRequest,
     pub(super) tx: oneshot::Sender<Chosen>,
 }
 
--- a/crates/daemon/cloverpier_daemon/src/answers/attempt.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/attempt.rs
@@ -11,7 +11,7 @@
 use crate::statements;
 use cloverpier_answer::{AttemptId, FinishReason, TokenOutcome, TokenSource};
 use cloverpier_core::{UpstreamName, lock};
-use cloverpier_route::{Chosen, Silence};
+use cloverpier_route::{Chosen, StallTimeout};
 use cloverpier_upstream::{EngineEvent, EventStream, GenerateBody, GenerationBody, StreamError};
 use serde::Serialize;
 use std::sync::Arc;
@@ -120,7 +120,7 @@
         adapter: live.spec.adapter.clone(),
     };
     let engine = app.engines.engine(chosen.address);
-    let limit = Silence::new(live.spec.silence, false).first_token();
+    let limit = StallTimeout::new(live.spec.silence, false).first_token();
     let started = app.timers.timeout(limit, engine.generate(&body)).await;
     // Without an answer in time nothing was said.
     if let Some(said) = started.as_ref().ok().and_then(said_of) {
@@ -209,7 +209,7 @@
 
 /// How long a stream has been quiet, and how long it may be.
 struct QuietTime {
-    silence: Silence,
+    silence: StallTimeout,
     last_event: Instant,
     limit: Duration,
     first: bool,
@@ -217,7 +217,7 @@
 
 impl QuietTime {
     fn new(live: &Live, now: Instant) -> Self {
-        let silence = Silence::new(live.spec.silence, live.spec.adaptive_silence);
+        let silence = StallTimeout::new(live.spec.silence, live.spec.adaptive_silence);
         Self {
             limit: silence.first_token(),
             silence,
--- a/crates/daemon/cloverpier_daemon/src/answers/run.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/run.rs
@@ -13,7 +13,7 @@
 use cloverpier_answer::TokenSource;
 use cloverpier_core::{UpstreamName, hash_of, lock};
 use cloverpier_crashes::{Admission, LossCause};
-use cloverpier_route::{Ask, Choice, Chosen};
+use cloverpier_route::{Choice, Chosen, RouteRequest};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -239,11 +239,11 @@
     apart: Option<u64>,
 ) -> Result<Chosen, ApiError> {
     let until = app.now() + GO_ON_WITHIN;
-    let mut ask = Ask::new(live.spec.service.clone());
+    let mut ask = RouteRequest::new(live.spec.service.clone());
     ask.prefix = Some(hash_of(&live.spec.prompt));
     ask.failed = tries.failed.clone();
     ask.overcommit = true;
-    ask.apart = apart;
+    ask.isolation_key = apart;
     loop {
         if let Choice::Chosen(chosen) = choose(app, &ask) {
             log_choice(app, live.key.as_str(), &live.spec.service, &chosen);
--- a/crates/daemon/cloverpier_daemon/src/app.rs
+++ b/crates/daemon/cloverpier_daemon/src/app.rs
@@ -14,7 +14,7 @@
 use cloverpier_observe::{Log, Metrics};
 use cloverpier_peer::{PeerReply, PeerRequest, Peers, Versions};
 use cloverpier_record::{RecordRetention, Records};
-use cloverpier_route::View;
+use cloverpier_route::UpstreamView;
 use cloverpier_settings::DaemonSettings;
 use cloverpier_timers::Timers;
 use cloverpier_upstream::Engines;
@@ -55,7 +55,7 @@
     /// The configuration in force.
     pub applied: Mutex<Applied>,
     /// Upstreams as this router sees them.
-    pub view: Mutex<View>,
+    pub view: Mutex<UpstreamView>,
     /// Seeded choices.
     pub rng: Mutex<fastrand::Rng>,
     /// Answers: those that this router owns, and copies that it holds.
@@ -98,7 +98,10 @@
             plain: plain_client(),
             cluster: Mutex::new(Cluster::new(&me, now)),
             applied: Mutex::default(),
-            view: Mutex::new(View::new(settings.data_centre.clone(), &settings.vm)),
+            view: Mutex::new(UpstreamView::new(
+                settings.data_centre.clone(),
+                &settings.vm,
+            )),
             rng: Mutex::new(fastrand::Rng::with_seed(incarnation)),
             answers: Answers::default(),
             records: Mutex::new(Records::new(
--- a/crates/daemon/cloverpier_daemon/src/crashes/judgement.rs
+++ b/crates/daemon/cloverpier_daemon/src/crashes/judgement.rs
@@ -94,7 +94,7 @@
 
 /// The name of the upstream that an attempt was at.
 fn upstream_name(app: &App, attempt: &LostAttempt) -> UpstreamName {
-    let name = lock(&app.view).by_hash(attempt.crash_id.upstream);
+    let name = lock(&app.view).find_by_name_hash(attempt.crash_id.upstream);
     // It may have left the configuration meanwhile.
     name.unwrap_or_else(|| UpstreamName::new("forgotten"))
 }
--- a/crates/daemon/cloverpier_daemon/src/crashes/record.rs
+++ b/crates/daemon/cloverpier_daemon/src/crashes/record.rs
@@ -29,7 +29,7 @@
 ) {
     let view = lock(&app.view);
     let known = view.upstream(upstream).cloned();
-    let Some(known) = known.filter(|_| view.takes_work(upstream)) else {
+    let Some(known) = known.filter(|_| view.accepts_work(upstream)) else {
         return;
     };
     drop(view);
@@ -82,7 +82,7 @@
     let unclear = lock(&app.crashes.cases).upstreams_to_probe(app.now());
     for broken in unclear {
         let view = lock(&app.view);
-        let name = view.by_hash(broken.upstream);
+        let name = view.find_by_name_hash(broken.upstream);
         // Of one that has left the configuration nothing can be learned.
         let Some((name, known)) = name.and_then(|n| Some((n.clone(), view.upstream(&n)?.clone())))
         else {
--- a/crates/daemon/cloverpier_daemon/src/loads.rs
+++ b/crates/daemon/cloverpier_daemon/src/loads.rs
@@ -45,7 +45,7 @@
         let service = config.services.get(name);
         service.is_some_and(|s| matches!(s.kind, ServiceKind::Model { .. }))
     };
-    let close = lock(&app.view).close();
+    let close = lock(&app.view).tracked();
     config
         .upstreams
         .iter()
@@ -64,9 +64,9 @@
         running: load.running,
         waiting: load.waiting,
         // An age from before this machine started counts as none.
-        at: now.checked_sub(age).unwrap_or(now),
+        measured_at: now.checked_sub(age).unwrap_or(now),
     };
-    lock(&app.view).on_report(&name, report);
+    lock(&app.view).on_load_report(&name, report);
     statements::hear(&app, &name, &said);
     app.admission.pump(&app);
 }
--- a/crates/daemon/cloverpier_daemon/src/plain.rs
+++ b/crates/daemon/cloverpier_daemon/src/plain.rs
@@ -13,7 +13,7 @@
 use cloverpier_core::{RequestKey, ServiceName, UpstreamName, hash_of, lock};
 use cloverpier_crashes::{Admission, ContentKey, LossCause, RequestContent};
 use cloverpier_record::{Outcome, Record, Refusal, StoredResponse};
-use cloverpier_route::{Ask, Choice, Chosen};
+use cloverpier_route::{Choice, Chosen, RouteRequest};
 use cloverpier_upstream::{PlainAnswer, PlainCall, PlainError, UpstreamStatement, call_plain};
 use reqwest::Method;
 use salvo::http::StatusCode;
@@ -95,8 +95,8 @@
     if admission == Admission::Blocked {
         return Err(crashes::stopped(Run::NotRun));
     }
-    let mut ask = Ask::new(service.clone());
-    ask.apart = admission.isolation_key(content);
+    let mut ask = RouteRequest::new(service.clone());
+    ask.isolation_key = admission.isolation_key(content);
     ask.failed = failed.to_vec();
     // Lookups are over at once: they never wait in line.
     ask.overcommit = true;
@@ -107,7 +107,7 @@
             let _turn = turn;
             Ok(Placed { chosen, _turn })
         }
-        Choice::Full | Choice::Nobody => Err(nobody(app, service)),
+        Choice::Full | Choice::NoneAvailable => Err(nobody(app, service)),
     }
 }
 
--- a/crates/daemon/cloverpier_daemon/src/statements.rs
+++ b/crates/daemon/cloverpier_daemon/src/statements.rs
@@ -22,7 +22,7 @@
 pub fn hear(app: &App, upstream: &UpstreamName, said: &UpstreamStatement) {
     let now = app.now();
     let mut view = lock(&app.view);
-    let leaves = said.is_leaving && view.takes_work(upstream);
+    let leaves = said.is_leaving && view.accepts_work(upstream);
     if leaves {
         view.mark_leaving(upstream);
     }
--- a/crates/daemon/cloverpier_daemon/src/web/completions.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/completions.rs
@@ -20,7 +20,7 @@
 use cloverpier_core::{hash_of, lock};
 use cloverpier_crashes::Admission;
 use cloverpier_record::Refusal;
-use cloverpier_route::{Ask, Chosen};
+use cloverpier_route::{Chosen, RouteRequest};
 use salvo::http::HeaderValue;
 use salvo::http::header::{CACHE_CONTROL, CONTENT_TYPE, HeaderName};
 use salvo::prelude::*;
@@ -183,9 +183,9 @@
     app.admission
         .charge(app, &caller.name, account, ask.max_tokens)
         .await?;
-    let mut route = Ask::new(ask.service.clone());
+    let mut route = RouteRequest::new(ask.service.clone());
     route.prefix = Some(hash_of(&ask.prompt));
-    route.apart = apart;
+    route.isolation_key = apart;
     let waiting = QueuedRequest {
         account: caller.name.clone(),
         weight: account.weight,
--- a/crates/daemon/cloverpier_daemon/src/web/operators.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/operators.rs
@@ -222,8 +222,8 @@
     let view = lock(&app.view);
     let loads = view.loads(app.now()).into_iter();
     let upstreams = loads.map(|(upstream, load)| UpstreamStatus {
-        takes_work: view.takes_work(&upstream),
-        own: view.own_work(&upstream),
+        takes_work: view.accepts_work(&upstream),
+        own: view.own_in_flight(&upstream),
         upstream,
         load,
     });
--- a/crates/daemon/cloverpier_record/src/holder.rs
+++ b/crates/daemon/cloverpier_record/src/holder.rs
@@ -172,7 +172,7 @@
                 self.set_state(slot, SlotState::Ready);
                 return None;
             }
-            if history.epochs_without_claims.contains(&past_epoch) {
+            if history.unready_epochs.contains(&past_epoch) {
                 self.search_earlier(slot, past_epoch);
                 continue;
             }
@@ -228,7 +228,7 @@
             let stored = self.stored.values().filter(of_slot);
             return SyncReply::Records(stored.map(|k| with_age(k, now)).collect());
         }
-        if history.epochs_without_claims.contains(&past_epoch) {
+        if history.unready_epochs.contains(&past_epoch) {
             return SyncReply::NoClaims;
         }
         SyncReply::Unknown
--- a/crates/daemon/cloverpier_record/src/slot_history.rs
+++ b/crates/daemon/cloverpier_record/src/slot_history.rs
@@ -36,7 +36,7 @@
     pub(crate) last_ready_epoch: Option<u64>,
     /// Epochs in which this member held the slot without all of its records, and therefore accepted
     /// no claim. Oldest first, at most `MAX_EPOCHS`.
-    pub(crate) epochs_without_claims: Vec<u64>,
+    pub(crate) unready_epochs: Vec<u64>,
 }
 
 impl SlotHistory {
@@ -45,12 +45,10 @@
         match self.state {
             SlotState::NotHeld => {}
             SlotState::Ready => self.last_ready_epoch = Some(epoch),
-            SlotState::Syncing { .. } | SlotState::Closed { .. } => {
-                self.epochs_without_claims.push(epoch)
-            }
+            SlotState::Syncing { .. } | SlotState::Closed { .. } => self.unready_epochs.push(epoch),
         }
-        let excess = self.epochs_without_claims.len().saturating_sub(MAX_EPOCHS);
-        self.epochs_without_claims.drain(..excess);
+        let excess = self.unready_epochs.len().saturating_sub(MAX_EPOCHS);
+        self.unready_epochs.drain(..excess);
     }
 }
 
--- a/crates/daemon/cloverpier_route/src/choose.rs
+++ b/crates/daemon/cloverpier_route/src/choose.rs
@@ -1,88 +1,97 @@
-//! The choice of an upstream for one request.
+//! The choice of an upstream for a request.
 //!
-//! Question: which upstream gets this request? Inputs: the view; what the request asks; what
-//! failed it already. Answer: a choice with what was weighed, for the log. Two upstreams by
-//! chance and the one with the prefix are compared, so that routers do not herd. The router on
-//! the platform has no load reports and decides otherwise, in `cloverpier_router_policy::choice`.
+//! From the router's view of its upstreams, [`UpstreamView::choose`] compares two upstreams that
+//! are sampled at random, and one that recently received the same prompt prefix. Sampling avoids
+//! that all routers choose the same upstream at the same time. The result contains the compared
+//! upstreams, for the log. The router of the platform has no load reports and uses another rule, in
+//! `cloverpier_router_policy::choice`.
 
-use crate::view::{CLOSE, Known, View};
+use crate::view::{KnownUpstream, MAX_TRACKED, UpstreamView};
 use cloverpier_core::{ServiceName, UpstreamName, rendezvous_rank};
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Cost of another data centre, in parts of a full upstream.
-const FAR: f64 = 0.1;
-/// Gain of a cached prefix, in parts of a full upstream.
-const CACHED: f64 = 0.35;
+/// Added to the cost of an upstream in another data centre. A cost of 1 is the load of a full
+/// upstream.
+const REMOTE_COST: f64 = 0.1;
+/// Subtracted from the cost of an upstream that recently received the same prefix. A cost of 1 is
+/// the load of a full upstream.
+const CACHED_PREFIX_BONUS: f64 = 0.35;
 
-/// What a request asks of an upstream.
+/// The properties of a request that determine the choice of its upstream.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// The service.
+pub struct RouteRequest {
+    /// The service that the request addresses.
     pub service: ServiceName,
-    /// Digest of the prompt's prefix, when there is one worth caching.
+    /// Digest of the prompt's prefix; `None` if no prefix is worth caching.
     pub prefix: Option<u64>,
-    /// Upstreams that failed this request already.
+    /// Upstreams at which this request has already failed. They are chosen only as a last resort.
     pub failed: Vec<UpstreamName>,
-    /// Whether a full upstream will do: work that must go on now, or that is over at once.
+    /// Whether a full upstream may be chosen: for a generation that must continue immediately, and
+    /// for short calls, which never wait in the queue.
     pub overcommit: bool,
-    /// Set for a request that may be what ends upstreams, to a number that is its content's own: it
-    /// goes to the upstream with the least load, where it harms the fewest others if it does.
-    pub apart: Option<u64>,
+    /// `None` for most requests. Set to a hash of the content if the content is suspected to crash
+    /// upstreams. The request is then sent to the upstream with the least load, where a crash
+    /// affects the fewest other requests.
+    pub isolation_key: Option<u64>,
 }
 
-impl Ask {
-    /// An ask for any upstream of a service that has a place.
+impl RouteRequest {
+    /// Creates a request for any upstream of a service that has a free slot.
     pub fn new(service: ServiceName) -> Self {
         Self {
             service,
             prefix: None,
             failed: Vec::new(),
             overcommit: false,
-            apart: None,
+            isolation_key: None,
         }
     }
 }
 
-/// An upstream as it was weighed.
+/// An upstream that was compared with others.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Weighed {
-    /// The upstream.
+pub struct WeighedUpstream {
+    /// The name of the upstream.
     pub upstream: UpstreamName,
-    /// Its estimated load.
+    /// The estimated number of requests at the upstream.
     pub load: u32,
-    /// Its cost; the lowest is chosen.
+    /// The load relative to the upstream's slots, adjusted for its data centre and the cached
+    /// prefix. The upstream with the lowest cost is chosen.
     pub cost: f64,
-    /// Whether it served the same prefix recently.
+    /// Whether the upstream recently received the same prefix from this router.
     pub cached: bool,
 }
 
 /// Why an upstream was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Why {
-    /// It is the only one that can.
+pub enum ChoiceReason {
+    /// The upstream is the only eligible one: all others are full, avoided after a failure, or have
+    /// already failed for this request.
     Only,
-    /// Its cost is the lowest of those weighed.
+    /// The upstream has the lowest cost of those that were compared.
     LowestCost,
-    /// All others are avoided or failed this request.
+    /// Every upstream is avoided after failures, or has already failed for this request.
     LastResort,
-    /// It has the least load, and the request is kept apart from others.
-    Apart,
+    /// The upstream has the least load, and the content of the request is suspected to crash
+    /// upstreams.
+    #[serde(rename = "apart")]
+    Isolated,
 }
 
 /// The upstream that was chosen.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Chosen {
-    /// Its name.
+    /// The name of the upstream.
     pub upstream: UpstreamName,
-    /// Where it listens.
+    /// The address of the upstream.
     pub address: SocketAddr,
-    /// Why it was chosen.
-    pub why: Why,
-    /// The upstreams that were weighed, it among them.
-    pub weighed: Vec<Weighed>,
+    /// Why the upstream was chosen.
+    pub reason: ChoiceReason,
+    /// The upstreams that were compared, including the chosen one.
+    pub weighed: Vec<WeighedUpstream>,
 }
 
 /// The result of a choice.
@@ -90,75 +99,93 @@
 pub enum Choice {
     /// An upstream was chosen.
     Chosen(Chosen),
-    /// Some take work, but all of them are full.
+    /// Some upstreams accept requests, but none of them has a free slot.
     Full,
-    /// None takes work, or all of those that do want nothing for now.
-    Nobody,
+    /// No upstream accepts requests, or all that do have requested a pause.
+    NoneAvailable,
 }
 
-impl View {
-    /// Chooses an upstream.
-    pub fn choose(&self, ask: &Ask, now: Instant, rng: &mut fastrand::Rng) -> Choice {
-        let mut takers = self.takers(&ask.service);
-        takers.retain(|(_, known)| !known.wants_nothing(now));
-        if takers.is_empty() {
-            return Choice::Nobody;
+impl UpstreamView {
+    /// Chooses an upstream for a request.
+    ///
+    /// An upstream that is leaving or in a wait period is never chosen. An upstream that is avoided
+    /// after a failure is chosen only as a last resort.
+    pub fn choose(&self, request: &RouteRequest, now: Instant, rng: &mut fastrand::Rng) -> Choice {
+        let mut accepting_upstreams = self.accepting_upstreams(&request.service);
+        accepting_upstreams.retain(|(_, known)| !known.in_wait_period(now));
+        if accepting_upstreams.is_empty() {
+            return Choice::NoneAvailable;
         }
-        let healthy =
-            |(name, k): &(&UpstreamName, &Known)| !ask.failed.contains(name) && !k.avoided(now);
-        // Beyond those that are known closely only where none of them is healthy.
-        if takers.iter().take(CLOSE).any(healthy) {
-            takers.truncate(CLOSE);
+        let healthy = |(name, k): &(&UpstreamName, &KnownUpstream)| {
+            !request.failed.contains(name) && !k.is_avoided(now)
+        };
+        // Upstreams that this router does not track are considered only if no tracked upstream is
+        // healthy.
+        if accepting_upstreams.iter().take(MAX_TRACKED).any(healthy) {
+            accepting_upstreams.truncate(MAX_TRACKED);
         }
-        let mut able: Vec<_> = takers.iter().copied().filter(healthy).collect();
-        let last_resort = able.is_empty();
+        let mut eligible: Vec<_> = accepting_upstreams
+            .iter()
+            .copied()
+            .filter(healthy)
+            .collect();
+        let last_resort = eligible.is_empty();
         if last_resort {
-            able = takers;
+            eligible = accepting_upstreams;
         }
-        if !ask.overcommit {
-            able.retain(|(_, k)| k.load(now) < k.upstream.slots);
+        if !request.overcommit {
+            eligible.retain(|(_, k)| k.estimated_load(now) < k.upstream.slots);
         }
-        if able.is_empty() {
+        if eligible.is_empty() {
             return Choice::Full;
         }
-        let picked = match ask.apart {
-            Some(content) => least_loaded(&able, content, now),
-            None => pick(&able, ask, now, rng),
+        let candidates = match request.isolation_key {
+            Some(isolation_key) => least_loaded(&eligible, isolation_key, now),
+            None => sample_candidates(&eligible, request, now, rng),
         };
-        let weighed: Vec<Weighed> = picked
+        let weighed: Vec<WeighedUpstream> = candidates
             .iter()
-            .map(|(name, k)| self.weigh(name, k, ask, now))
+            .map(|(name, k)| self.weigh(name, k, request, now))
             .collect();
-        let why = match (last_resort, able.len()) {
-            (true, _) => Why::LastResort,
-            (_, 1) => Why::Only,
-            _ if ask.apart.is_some() => Why::Apart,
-            _ => Why::LowestCost,
+        let reason = match (last_resort, eligible.len()) {
+            (true, _) => ChoiceReason::LastResort,
+            (_, 1) => ChoiceReason::Only,
+            _ if request.isolation_key.is_some() => ChoiceReason::Isolated,
+            _ => ChoiceReason::LowestCost,
         };
-        best(weighed, why, self)
+        choose_lowest_cost(weighed, reason, self)
     }
 
-    pub(crate) fn takers(&self, service: &ServiceName) -> Vec<(&UpstreamName, &Known)> {
+    pub(crate) fn accepting_upstreams(
+        &self,
+        service: &ServiceName,
+    ) -> Vec<(&UpstreamName, &KnownUpstream)> {
         let names = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
         names
             .iter()
-            .filter(|name| self.takes_work(name))
-            .filter_map(|name| self.known.get_key_value(name))
+            .filter(|name| self.accepts_work(name))
+            .filter_map(|name| self.upstreams.get_key_value(name))
             .collect()
     }
 
-    fn weigh(&self, name: &UpstreamName, known: &Known, ask: &Ask, now: Instant) -> Weighed {
-        let load = known.load(now);
-        let cached = ask.prefix.is_some_and(|p| known.has_prefix(p));
-        let far = known.upstream.data_centre != self.home;
+    fn weigh(
+        &self,
+        name: &UpstreamName,
+        known: &KnownUpstream,
+        request: &RouteRequest,
+        now: Instant,
+    ) -> WeighedUpstream {
+        let load = known.estimated_load(now);
+        let cached = request.prefix.is_some_and(|p| known.has_prefix(p));
+        let is_remote = known.upstream.data_centre != self.own_data_centre;
         let mut cost = f64::from(load) / f64::from(known.upstream.slots.max(1));
-        if far {
-            cost += FAR;
+        if is_remote {
+            cost += REMOTE_COST;
         }
         if cached {
-            cost -= CACHED;
+            cost -= CACHED_PREFIX_BONUS;
         }
-        Weighed {
+        WeighedUpstream {
             upstream: name.clone(),
             load,
             cost,
@@ -167,50 +194,58 @@
     }
 }
 
-/// The one with the least load; of several the one that the content's number prefers, so that two
-/// contents that lost the same upstreams part.
+/// The upstream with the least load. Ties are broken by rendezvous hash of the content, so that two
+/// suspect contents that failed at the same upstreams go to different ones.
 fn least_loaded<'a>(
-    able: &[(&'a UpstreamName, &'a Known)],
-    content: u64,
+    eligible: &[(&'a UpstreamName, &'a KnownUpstream)],
+    isolation_key: u64,
     now: Instant,
-) -> Vec<(&'a UpstreamName, &'a Known)> {
-    let ranked = rendezvous_rank(content, able, |(name, _)| name.as_str());
-    let least = ranked.into_iter().min_by_key(|(_, known)| known.load(now));
+) -> Vec<(&'a UpstreamName, &'a KnownUpstream)> {
+    let ranked = rendezvous_rank(isolation_key, eligible, |(name, _)| name.as_str());
+    let least = ranked
+        .into_iter()
+        .min_by_key(|(_, known)| known.estimated_load(now));
     least.copied().into_iter().collect()
 }
 
-/// Two at random, and one that has the prefix.
-fn pick<'a>(
-    able: &[(&'a UpstreamName, &'a Known)],
-    ask: &Ask,
+/// Two upstreams at random, and the least loaded one with the prefix.
+fn sample_candidates<'a>(
+    eligible: &[(&'a UpstreamName, &'a KnownUpstream)],
+    request: &RouteRequest,
     now: Instant,
     rng: &mut fastrand::Rng,
-) -> Vec<(&'a UpstreamName, &'a Known)> {
-    let mut picked = rng.choose_multiple(able.iter().copied(), 2);
-    let with_prefix = ask.prefix.and_then(|prefix| {
-        let having = able.iter().filter(|(_, k)| k.has_prefix(prefix));
-        having.min_by_key(|(_, k)| k.load(now)).copied()
+) -> Vec<(&'a UpstreamName, &'a KnownUpstream)> {
+    let mut candidates = rng.choose_multiple(eligible.iter().copied(), 2);
+    let cached_upstream = request.prefix.and_then(|prefix| {
+        let with_same_prefix = eligible.iter().filter(|(_, k)| k.has_prefix(prefix));
+        with_same_prefix
+            .min_by_key(|(_, k)| k.estimated_load(now))
+            .copied()
     });
-    if let Some(one) = with_prefix
-        && !picked.iter().any(|(name, _)| *name == one.0)
+    if let Some(one) = cached_upstream
+        && !candidates.iter().any(|(name, _)| *name == one.0)
     {
-        picked.push(one);
+        candidates.push(one);
     }
-    picked
+    candidates
 }
 
-fn best(weighed: Vec<Weighed>, why: Why, view: &View) -> Choice {
+fn choose_lowest_cost(
+    weighed: Vec<WeighedUpstream>,
+    reason: ChoiceReason,
+    view: &UpstreamView,
+) -> Choice {
     let lowest = weighed.iter().min_by(|a, b| a.cost.total_cmp(&b.cost));
     let Some(upstream) = lowest.map(|w| w.upstream.clone()) else {
         return Choice::Full;
     };
-    let Some(known) = view.known.get(&upstream) else {
+    let Some(known) = view.upstreams.get(&upstream) else {
         return Choice::Full;
     };
     Choice::Chosen(Chosen {
         address: known.upstream.address,
         upstream,
-        why,
+        reason,
         weighed,
     })
 }
--- a/crates/daemon/cloverpier_route/src/lib.rs
+++ b/crates/daemon/cloverpier_route/src/lib.rs
@@ -1,10 +1,9 @@
-//! Where each request runs: the view of upstreams, and the choice among them.
+//! Routing: a router's view of its upstreams, and the choice of an upstream for each request.
 //!
-//! Load reports lag, so a router corrects them with the work that it has in
-//! flight itself; an upstream that never reported isn't considered idle. The
-//! choice weighs two upstreams picked at random (Mitzenmacher, "The power of
-//! two choices in randomized load balancing", 2001) and the one that served
-//! the same prompt prefix last.
+//! Load reports lag behind the load, so a router corrects them by the number of its own requests in
+//! flight. An upstream without a report does not count as idle. The choice compares two upstreams
+//! that are sampled at random (Mitzenmacher, "The power of two choices in randomized load
+//! balancing", 2001) and one that recently received the same prompt prefix.
 //!
 //! ```
 //! use cloverpier_route::prelude::*;
@@ -15,24 +14,24 @@
 //! config.services.insert("drafts".into(), Service::model("m"));
 //! let one = Upstream::new("drafts".into(), ([127, 0, 0, 1], 9000).into(), "gye-sur".into());
 //! config.upstreams.insert("e1".into(), one);
-//! let mut view = View::new("gye-sur".into(), &"vm-1".into());
+//! let mut view = UpstreamView::new("gye-sur".into(), &"vm-1".into());
 //! view.apply(&config);
 //! let mut rng = fastrand::Rng::with_seed(1);
-//! let ask = Ask::new("drafts".into());
-//! assert!(matches!(view.choose(&ask, Instant::now(), &mut rng), Choice::Chosen(_)));
+//! let request = RouteRequest::new("drafts".into());
+//! assert!(matches!(view.choose(&request, Instant::now(), &mut rng), Choice::Chosen(_)));
 //! ```
 
 mod choose;
 mod marks;
-mod silence;
+mod stall_timeout;
 mod view;
 
-/// What users of the crate need daily.
+/// The public types of the crate.
 pub mod prelude {
-    pub use crate::choose::{Ask, Choice, Chosen, Weighed, Why};
+    pub use crate::choose::{Choice, ChoiceReason, Chosen, RouteRequest, WeighedUpstream};
     pub use crate::marks::{LeaveMark, LeaveMarks};
-    pub use crate::silence::Silence;
-    pub use crate::view::{CLOSE, LoadReport, View};
+    pub use crate::stall_timeout::StallTimeout;
+    pub use crate::view::{LoadReport, MAX_TRACKED, UpstreamView};
 }
 
 pub use prelude::*;
--- a/crates/daemon/cloverpier_route/src/marks.rs
+++ b/crates/daemon/cloverpier_route/src/marks.rs
@@ -1,55 +1,56 @@
-//! Marks to leave: upstreams that take no new work, whatever the configuration says.
+//! Leave marks: upstreams that get no new requests, even if the configuration contains them as
+//! active.
 //!
-//! They are stored at the platform and travel between routers; a set only grows, until its
-//! upstreams are gone from the configuration.
+//! The marks are stored at the platform and exchanged between routers. Marks are only added, so the
+//! sets of all routers converge.
 
 use cloverpier_core::UpstreamName;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One incarnation of an upstream takes no new work.
+/// An incarnation of an upstream that gets no new requests.
 ///
-/// A mark is never taken back; the name is used again by a higher incarnation.
+/// A mark is never withdrawn. The name can be used again by a higher incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaveMark {
-    /// The upstream.
+    /// The name of the upstream.
     pub upstream: UpstreamName,
-    /// The highest incarnation that leaves.
+    /// The highest incarnation that leaves; all lower ones leave, too.
     pub incarnation: u64,
 }
 
-/// All marks that are known; merging only adds, so that order doesn't matter.
+/// A set of leave marks. Merging only adds marks, so the order of merges does not matter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaveMarks {
     by_name: BTreeMap<UpstreamName, u64>,
 }
 
 impl LeaveMarks {
-    /// Adds a mark; says whether it was new.
+    /// Adds a mark; returns whether it was new.
     pub fn add(&mut self, mark: &LeaveMark) -> bool {
-        let known = self.by_name.entry(mark.upstream.clone()).or_default();
-        let news = mark.incarnation > *known;
-        *known = (*known).max(mark.incarnation);
-        news
+        let marked = self.by_name.entry(mark.upstream.clone()).or_default();
+        let is_new = mark.incarnation > *marked;
+        *marked = (*marked).max(mark.incarnation);
+        is_new
     }
 
-    /// Adds all marks of another set; says whether any was new.
+    /// Adds all marks of another set; returns whether any of them was new.
     pub fn merge(&mut self, other: &Self) -> bool {
-        let mut news = false;
+        let mut is_new = false;
         for mark in other.iter() {
-            news |= self.add(&mark);
+            is_new |= self.add(&mark);
         }
-        news
+        is_new
     }
 
-    /// Whether an incarnation takes no new work.
+    /// Whether an incarnation of an upstream gets no new requests.
     pub fn covers(&self, upstream: &UpstreamName, incarnation: u64) -> bool {
-        // Incarnations start at 1, so zero covers none.
+        // Incarnations start at 1, so 0 covers none.
         let marked = self.by_name.get(upstream).copied().unwrap_or(0);
         incarnation <= marked
     }
 
-    /// The marks.
+    /// All marks, ordered by upstream.
     pub fn iter(&self) -> impl Iterator<Item = LeaveMark> + '_ {
         self.by_name.iter().map(|(name, incarnation)| LeaveMark {
             upstream: name.clone(),
@@ -57,12 +58,13 @@
         })
     }
 
-    /// Drops marks of upstreams that aren't configured any more.
-    pub fn keep(&mut self, wanted: impl Fn(&UpstreamName) -> bool) {
+    /// Removes the marks of upstreams for which `wanted` is false, such as those that the
+    /// configuration no longer contains.
+    pub fn retain(&mut self, wanted: impl Fn(&UpstreamName) -> bool) {
         self.by_name.retain(|name, _| wanted(name));
     }
 
-    /// A digest that differs when the marks do.
+    /// A digest by which routers compare their sets. It depends only on the marks.
     pub fn digest(&self) -> u64 {
         let text: Vec<String> = self
             .by_name
--- a/crates/daemon/cloverpier_route/src/view.rs
+++ b/crates/daemon/cloverpier_route/src/view.rs
@@ -1,7 +1,8 @@
-//! What a router knows of its upstreams.
+//! A router's view of its upstreams.
 //!
-//! Owns, for each upstream, this router's own work exactly, the last load report, failures and
-//! prefixes, and the marks to leave. A mark holds over whatever the configuration says.
+//! For each upstream, [`UpstreamView`] contains this router's own requests in flight, the last load
+//! report, failures, recent prefixes and leave marks. A leave mark takes precedence over the
+//! configuration.
 
 use crate::marks::{LeaveMark, LeaveMarks};
 use cloverpier_config::{Config, Upstream, UpstreamState};
@@ -12,120 +13,131 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Prefixes remembered for each upstream.
-const PREFIXES_KEPT: usize = 512;
-/// How long a failed upstream is avoided first; doubled with each failure in a row.
-const AVOID_FIRST: Duration = Duration::from_millis(500);
-/// How long a failed upstream is avoided at most.
-const AVOID_MOST: Duration = Duration::from_secs(16);
-/// Upstreams of a service that a router knows closely: it asks these for their load and chooses
-/// among them. With more, load reports alone would outgrow the budget for control
-/// (docs/CAPACITY.md, worked out).
-pub const CLOSE: usize = 24;
-/// A load report older than this says nothing any more.
-const REPORT_STALE: Duration = Duration::from_secs(10);
+/// The number of prefixes, and of start times of requests, that are kept for each upstream.
+const MAX_RECENT: usize = 512;
+/// How long an upstream is avoided after a failure. Doubled with each consecutive failure.
+const INITIAL_AVOIDANCE: Duration = Duration::from_millis(500);
+/// Upper limit of the time for which a failed upstream is avoided.
+const MAX_AVOIDANCE: Duration = Duration::from_secs(16);
+/// The number of upstreams of a service that a router tracks: it queries only these for their load
+/// and chooses among them. With more, the load reports alone would exceed the budget for control
+/// traffic (docs/CAPACITY.md).
+pub const MAX_TRACKED: usize = 24;
+/// A load report older than this is ignored.
+const REPORT_LIFETIME: Duration = Duration::from_secs(10);
 
-/// A load report as it was taken in.
+/// The load that an upstream reported.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadReport {
-    /// Generations that ran.
+    /// The number of running generations.
     pub running: u32,
-    /// Generations that waited.
+    /// The number of generations that waited at the upstream.
     pub waiting: u32,
-    /// When it was true.
-    pub at: Instant,
+    /// When the upstream measured the load, by this router's clock.
+    pub measured_at: Instant,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Known {
+pub(crate) struct KnownUpstream {
     pub(crate) upstream: Upstream,
     pub(crate) report: Option<LoadReport>,
-    /// This router's own work there when the report was true.
-    pub(crate) own_at_report: u32,
-    pub(crate) own: u32,
+    /// The own requests in flight that the last report includes.
+    pub(crate) own_in_flight_at_report: u32,
+    pub(crate) own_in_flight: u32,
     pub(crate) failures: u32,
     pub(crate) avoid_until: Option<Instant>,
-    pub(crate) prefixes: VecDeque<u64>,
-    /// For how long it wants nothing from this router.
-    wait: Option<WaitPeriod>,
-    /// Routers that know it closely.
-    sharers: u32,
-    /// The last starts of own work, to know how much of it a report includes.
-    starts: VecDeque<Instant>,
+    pub(crate) recent_prefixes: VecDeque<u64>,
+    /// The time for which the upstream has requested that this router pause.
+    wait_period: Option<WaitPeriod>,
+    /// The average number of routers that track an upstream of the service, this one included,
+    /// rounded up. At least 1.
+    sharing_routers: u32,
+    /// Start times of the last own requests, from which the number of requests that a report
+    /// includes is determined.
+    recent_starts: VecDeque<Instant>,
 }
 
-impl Known {
+impl KnownUpstream {
     fn new(upstream: Upstream) -> Self {
         Self {
             upstream,
             report: None,
-            own_at_report: 0,
-            own: 0,
+            own_in_flight_at_report: 0,
+            own_in_flight: 0,
             failures: 0,
             avoid_until: None,
-            prefixes: VecDeque::new(),
-            wait: None,
-            sharers: 1,
-            starts: VecDeque::new(),
+            recent_prefixes: VecDeque::new(),
+            wait_period: None,
+            sharing_routers: 1,
+            recent_starts: VecDeque::new(),
         }
     }
 
-    /// Work there by the best estimate: as reported, less what this router has ended since,
-    /// plus what it has added since for each router that sees the same free places.
-    pub(crate) fn load(&self, now: Instant) -> u32 {
-        let fresh = |r: &&LoadReport| now.saturating_duration_since(r.at) < REPORT_STALE;
-        match self.report.as_ref().filter(fresh) {
+    /// The estimated number of requests at the upstream: the reported number, minus own requests
+    /// that ended since, plus own requests that started since. The latter count once for each
+    /// router that tracks the upstream, as those routers fill the same free slots.
+    pub(crate) fn estimated_load(&self, now: Instant) -> u32 {
+        let is_current =
+            |r: &&LoadReport| now.saturating_duration_since(r.measured_at) < REPORT_LIFETIME;
+        match self.report.as_ref().filter(is_current) {
             Some(r) => {
-                let reported = (r.running + r.waiting).max(self.own_at_report);
-                let ended = self.own_at_report.saturating_sub(self.own);
-                let added = self.own.saturating_sub(self.own_at_report);
-                (reported - ended).saturating_add(added.saturating_mul(self.sharers))
+                let reported = (r.running + r.waiting).max(self.own_in_flight_at_report);
+                let ended = self
+                    .own_in_flight_at_report
+                    .saturating_sub(self.own_in_flight);
+                let added = self
+                    .own_in_flight
+                    .saturating_sub(self.own_in_flight_at_report);
+                (reported - ended).saturating_add(added.saturating_mul(self.sharing_routers))
             }
-            // Unknown isn't idle: assume that others use half of it.
-            None => self.upstream.slots / 2 + self.own,
+            // An upstream without a report does not count as idle: other routers are assumed to use
+            // half of its slots.
+            None => self.upstream.slots / 2 + self.own_in_flight,
         }
     }
 
     pub(crate) fn has_prefix(&self, prefix: u64) -> bool {
-        self.prefixes.contains(&prefix)
+        self.recent_prefixes.contains(&prefix)
     }
 
-    pub(crate) fn wants_nothing(&self, now: Instant) -> bool {
-        self.wait.is_some_and(|wait| wait.is_active(now))
+    pub(crate) fn in_wait_period(&self, now: Instant) -> bool {
+        self.wait_period.is_some_and(|wait| wait.is_active(now))
     }
 
-    pub(crate) fn avoided(&self, now: Instant) -> bool {
+    pub(crate) fn is_avoided(&self, now: Instant) -> bool {
         self.avoid_until.is_some_and(|until| now < until)
     }
 }
 
 /// A router's view of its upstreams.
 #[derive(Debug)]
-pub struct View {
-    pub(crate) home: DataCentre,
-    spread: u64,
-    pub(crate) known: BTreeMap<UpstreamName, Known>,
+pub struct UpstreamView {
+    pub(crate) own_data_centre: DataCentre,
+    vm_hash: u64,
+    pub(crate) upstreams: BTreeMap<UpstreamName, KnownUpstream>,
     pub(crate) by_service: HashMap<ServiceName, Vec<UpstreamName>>,
     marks: LeaveMarks,
 }
 
-impl View {
-    /// The view of a router on a VM in a data centre.
+impl UpstreamView {
+    /// Creates an empty view for a router on a VM in a data centre.
     ///
-    /// The VM's name decides which upstreams it knows closely where there are many.
-    pub fn new(home: DataCentre, vm: &VmName) -> Self {
+    /// The name of the VM determines which upstreams the router tracks if there are more than
+    /// [`MAX_TRACKED`].
+    pub fn new(own_data_centre: DataCentre, vm: &VmName) -> Self {
         Self {
-            home,
-            spread: hash_of(vm.as_str()),
-            known: BTreeMap::new(),
+            own_data_centre,
+            vm_hash: hash_of(vm.as_str()),
+            upstreams: BTreeMap::new(),
             by_service: HashMap::new(),
             marks: LeaveMarks::default(),
         }
     }
 
-    /// Takes a configuration; what is known of upstreams that stay is kept.
+    /// Applies a configuration. The state of upstreams with an unchanged incarnation and address is
+    /// kept.
     pub fn apply(&mut self, config: &Config) {
-        self.known.retain(|name, known| {
+        self.upstreams.retain(|name, known| {
             let same = |u: &Upstream| {
                 u.incarnation == known.upstream.incarnation && u.address == known.upstream.address
             };
@@ -133,45 +145,51 @@
         });
         self.by_service.clear();
         for (name, upstream) in &config.upstreams {
-            let known = self.known.entry(name.clone());
-            let known = known.or_insert_with(|| Known::new(upstream.clone()));
+            let known = self.upstreams.entry(name.clone());
+            let known = known.or_insert_with(|| KnownUpstream::new(upstream.clone()));
             known.upstream = upstream.clone();
             let names = self.by_service.entry(upstream.service.clone());
             names.or_default().push(name.clone());
         }
         for names in self.by_service.values_mut() {
-            let ranked = rendezvous_rank(self.spread, names, |n| n.as_str());
+            let ranked = rendezvous_rank(self.vm_hash, names, |n| n.as_str());
             *names = ranked.into_iter().cloned().collect();
         }
     }
 
-    /// Takes the number of routers, which share the places of what they know closely.
+    /// Updates the number of routers that share the slots of the tracked upstreams. Must be called
+    /// after [`Self::apply`], as new upstreams start without sharing.
     pub fn set_routers(&mut self, routers: usize) {
         for names in self.by_service.values() {
-            let close = routers * names.len().min(CLOSE);
-            let sharers = u32::try_from(close.div_ceil(names.len().max(1))).unwrap_or(u32::MAX);
+            let tracking_pairs = routers * names.len().min(MAX_TRACKED);
+            let sharing_routers =
+                u32::try_from(tracking_pairs.div_ceil(names.len().max(1))).unwrap_or(u32::MAX);
             for name in names {
-                if let Some(known) = self.known.get_mut(name) {
-                    known.sharers = sharers.max(1);
+                if let Some(known) = self.upstreams.get_mut(name) {
+                    known.sharing_routers = sharing_routers.max(1);
                 }
             }
         }
     }
 
-    /// Upstreams that this router knows closely.
-    pub fn close(&self) -> BTreeSet<UpstreamName> {
-        let close = self.by_service.values().flat_map(|n| n.iter().take(CLOSE));
-        close.cloned().collect()
+    /// The upstreams of all services that this router tracks.
+    pub fn tracked(&self) -> BTreeSet<UpstreamName> {
+        let tracked = self
+            .by_service
+            .values()
+            .flat_map(|n| n.iter().take(MAX_TRACKED));
+        tracked.cloned().collect()
     }
 
-    /// Takes marks to leave; says whether any was new.
+    /// Adds leave marks; returns whether any of them was new.
     pub fn merge_marks(&mut self, marks: &LeaveMarks) -> bool {
         self.marks.merge(marks)
     }
 
-    /// Marks the present incarnation of an upstream to leave.
+    /// Marks the current incarnation of an upstream as leaving. `None` if there is no such
+    /// upstream.
     pub fn mark_leaving(&mut self, name: &UpstreamName) -> Option<LeaveMark> {
-        let known = self.known.get(name)?;
+        let known = self.upstreams.get(name)?;
         let mark = LeaveMark {
             upstream: name.clone(),
             incarnation: known.upstream.incarnation,
@@ -180,64 +198,73 @@
         Some(mark)
     }
 
-    /// The marks to leave.
+    /// All leave marks.
     pub fn marks(&self) -> &LeaveMarks {
         &self.marks
     }
 
-    /// Whether an upstream takes new work.
-    pub fn takes_work(&self, name: &UpstreamName) -> bool {
-        self.known.get(name).is_some_and(|k| {
+    /// Whether an upstream gets new requests: it is active in the configuration and has no leave
+    /// mark.
+    pub fn accepts_work(&self, name: &UpstreamName) -> bool {
+        self.upstreams.get(name).is_some_and(|k| {
             let marked = self.marks.covers(name, k.upstream.incarnation);
             k.upstream.state == UpstreamState::Active && !marked
         })
     }
 
-    /// Takes that an upstream has turned a request away and wants nothing for a time; says whether
-    /// that is new. A time that it named before is never shortened.
+    /// Records that an upstream has rejected a request and accepts none from this router for
+    /// `time`. A wait period is never shortened. Returns whether the upstream was not in a wait
+    /// period before.
     pub fn on_wait(&mut self, name: &UpstreamName, time: Duration, now: Instant) -> bool {
-        let Some(known) = self.known.get_mut(name) else {
+        let Some(known) = self.upstreams.get_mut(name) else {
             return false;
         };
-        let is_news = !known.wants_nothing(now);
-        known.wait = Some(WaitPeriod::start_or_extend(known.wait, time, now));
-        is_news
+        let is_new = !known.in_wait_period(now);
+        known.wait_period = Some(WaitPeriod::start_or_extend(known.wait_period, time, now));
+        is_new
     }
 
-    /// After what time the first upstream of a service wants work again; `None` where one does now, or
-    /// none takes work at all.
+    /// Time until the first wait period of the service's upstreams ends. `None` if an upstream
+    /// accepts requests now, or if none is active.
     pub fn wait_of_service(&self, service: &ServiceName, now: Instant) -> Option<Duration> {
-        let takers = self.takers(service);
-        if takers.iter().any(|(_, known)| !known.wants_nothing(now)) {
+        let accepting_upstreams = self.accepting_upstreams(service);
+        if accepting_upstreams
+            .iter()
+            .any(|(_, known)| !known.in_wait_period(now))
+        {
             return None;
         }
-        let waits = takers.iter().filter_map(|(_, known)| known.wait);
+        let waits = accepting_upstreams
+            .iter()
+            .filter_map(|(_, known)| known.wait_period);
         let first = waits.map(|wait| wait.ends_at()).min()?;
         Some(first.saturating_duration_since(now))
     }
 
-    /// An upstream's configuration.
+    /// The configuration of an upstream.
     pub fn upstream(&self, name: &UpstreamName) -> Option<&Upstream> {
-        self.known.get(name).map(|k| &k.upstream)
+        self.upstreams.get(name).map(|k| &k.upstream)
     }
 
-    /// The upstream with a hash of a name.
-    pub fn by_hash(&self, hash: u64) -> Option<UpstreamName> {
-        let mut names = self.known.keys();
+    /// The upstream whose name has the given hash.
+    pub fn find_by_name_hash(&self, hash: u64) -> Option<UpstreamName> {
+        let mut names = self.upstreams.keys();
         names.find(|name| hash_of(name.as_str()) == hash).cloned()
     }
 
-    /// How many others there are of a service, and of them in a data centre, beside the upstream with
-    /// a hash of a name.
+    /// The number of other upstreams of a service, in total and in a data centre. The upstream
+    /// whose name has the hash `excluded` is not counted.
     pub fn neighbours(
         &self,
         service: &ServiceName,
         data_centre: &DataCentre,
-        but: u64,
+        excluded: u64,
     ) -> NeighbourCounts {
         let names = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
-        let others = names.iter().filter(|name| hash_of(name.as_str()) != but);
-        let others = others.filter_map(|name| self.known.get(name));
+        let others = names
+            .iter()
+            .filter(|name| hash_of(name.as_str()) != excluded);
+        let others = others.filter_map(|name| self.upstreams.get(name));
         let mut neighbours = NeighbourCounts::default();
         for other in others {
             neighbours.in_service += 1;
@@ -246,74 +273,84 @@
         neighbours
     }
 
-    /// This router's own work at an upstream.
-    pub fn own_work(&self, name: &UpstreamName) -> u32 {
-        self.known.get(name).map_or(0, |k| k.own)
+    /// The number of this router's requests in flight at an upstream.
+    pub fn own_in_flight(&self, name: &UpstreamName) -> u32 {
+        self.upstreams.get(name).map_or(0, |k| k.own_in_flight)
     }
 
-    /// All upstreams with the estimated load of each.
+    /// All upstreams with their estimated number of requests.
     pub fn loads(&self, now: Instant) -> Vec<(UpstreamName, u32)> {
-        let all = self.known.iter();
-        all.map(|(name, k)| (name.clone(), k.load(now))).collect()
+        let all = self.upstreams.iter();
+        all.map(|(name, k)| (name.clone(), k.estimated_load(now)))
+            .collect()
     }
 
-    /// Notes that work of this router starts at an upstream.
+    /// Records that a request of this router starts at an upstream. `prefix` is the digest of its
+    /// prompt's prefix.
     pub fn on_started(&mut self, name: &UpstreamName, prefix: Option<u64>, now: Instant) {
-        let Some(known) = self.known.get_mut(name) else {
+        let Some(known) = self.upstreams.get_mut(name) else {
             return;
         };
-        known.own += 1;
-        known.starts.push_back(now);
-        if known.starts.len() > PREFIXES_KEPT {
-            known.starts.pop_front();
+        known.own_in_flight += 1;
+        known.recent_starts.push_back(now);
+        if known.recent_starts.len() > MAX_RECENT {
+            known.recent_starts.pop_front();
         }
         if let Some(prefix) = prefix {
-            known.prefixes.retain(|p| *p != prefix);
-            known.prefixes.push_back(prefix);
-            if known.prefixes.len() > PREFIXES_KEPT {
-                known.prefixes.pop_front();
+            known.recent_prefixes.retain(|p| *p != prefix);
+            known.recent_prefixes.push_back(prefix);
+            if known.recent_prefixes.len() > MAX_RECENT {
+                known.recent_prefixes.pop_front();
             }
         }
     }
 
-    /// Notes that work of this router ended at an upstream.
+    /// Records that a request of this router has ended at an upstream, in any way.
     pub fn on_ended(&mut self, name: &UpstreamName) {
-        if let Some(known) = self.known.get_mut(name) {
-            known.own = known.own.saturating_sub(1);
+        if let Some(known) = self.upstreams.get_mut(name) {
+            known.own_in_flight = known.own_in_flight.saturating_sub(1);
         }
     }
 
-    /// Notes that an upstream answered as it should.
+    /// Records that an upstream served a request, which ends its avoidance.
     pub fn on_success(&mut self, name: &UpstreamName) {
-        if let Some(known) = self.known.get_mut(name) {
+        if let Some(known) = self.upstreams.get_mut(name) {
             known.failures = 0;
             known.avoid_until = None;
         }
     }
 
-    /// Notes that an upstream failed; it is avoided for a while that doubles.
+    /// Records a failure of an upstream. The upstream is avoided for a time that doubles with each
+    /// consecutive failure, and its cached prefixes count as lost.
     pub fn on_failure(&mut self, name: &UpstreamName, now: Instant) {
-        if let Some(known) = self.known.get_mut(name) {
+        if let Some(known) = self.upstreams.get_mut(name) {
             let factor = 1 << known.failures.min(5);
             known.failures += 1;
-            known.avoid_until = Some(now + (AVOID_FIRST * factor).min(AVOID_MOST));
-            known.prefixes.clear();
+            known.avoid_until = Some(now + (INITIAL_AVOIDANCE * factor).min(MAX_AVOIDANCE));
+            known.recent_prefixes.clear();
         }
     }
 
-    /// Takes a load report.
+    /// Records a load report, unless a newer one is recorded.
     ///
-    /// Own work that started after the report was true is not in it.
-    pub fn on_report(&mut self, name: &UpstreamName, report: LoadReport) {
-        let Some(known) = self.known.get_mut(name) else {
+    /// Own requests that started after the measurement are not included in the report.
+    pub fn on_load_report(&mut self, name: &UpstreamName, report: LoadReport) {
+        let Some(known) = self.upstreams.get_mut(name) else {
             return;
         };
-        if known.report.is_some_and(|r| r.at > report.at) {
+        if known
+            .report
+            .is_some_and(|r| r.measured_at > report.measured_at)
+        {
             return;
         }
-        let later = known.starts.iter().filter(|at| **at > report.at).count();
-        let later = u32::try_from(later).unwrap_or(u32::MAX);
-        known.own_at_report = known.own.saturating_sub(later);
+        let started_after_report = known
+            .recent_starts
+            .iter()
+            .filter(|at| **at > report.measured_at)
+            .count();
+        let started_after_report = u32::try_from(started_after_report).unwrap_or(u32::MAX);
+        known.own_in_flight_at_report = known.own_in_flight.saturating_sub(started_after_report);
         known.report = Some(report);
     }
 }
--- a/tools/src/scenarios/slopes.rs
+++ b/tools/src/scenarios/slopes.rs
@@ -9,7 +9,7 @@
 use cloverpier_daemon_standin::EngineModel;
 use cloverpier_member::{Detector, DetectorParams, Member, MemberList};
 use cloverpier_record::SlotMap;
-use cloverpier_route::{Ask, View};
+use cloverpier_route::{RouteRequest, UpstreamView};
 use serde_json::{Value, json};
 use std::hint::black_box;
 use std::io;
@@ -261,16 +261,16 @@
     let mut by_upstreams = Vec::new();
     for count in [28_u16, 200, 820] {
         let config = upstreams(count);
-        let mut view = View::new("dc-1".into(), &VmName::new("vm-1"));
+        let mut view = UpstreamView::new("dc-1".into(), &VmName::new("vm-1"));
         view.apply(&config);
-        let ask = Ask::new(ServiceName::new("s0"));
+        let ask = RouteRequest::new(ServiceName::new("s0"));
         let mut rng = fastrand::Rng::with_seed(1);
         let now = Instant::now();
         by_upstreams.push(json!({
             "upstreams": count,
             "choose_us": us(|| view.choose(&ask, now, &mut rng)),
             "apply_us": us(|| view.apply(&config)),
-            "known_closely": view.close().len(),
+            "known_closely": view.tracked().len(),
         }));
     }
     by_upstreams
