--- a/crates/daemon/cloverpier_admit/src/queue.rs
+++ b/crates/daemon/cloverpier_admit/src/queue.rs
@@ -1,7 +1,8 @@
-//! The queue of requests that wait for a free slot of an upstream.
+//! The queue of requests that wait for a free slot of an upstream, which is capacity for one
+//! concurrent request.
 //!
 //! [`FairQueue`] orders requests by priority, and fairly among the client accounts within a
-//! priority. It refuses a request immediately if the expected wait is longer than the service
+//! priority. A request is refused immediately if the expected wait is longer than the service
 //! allows. The expected wait follows from the rate at which slots became free recently. The caller
 //! keeps the task that waits for each [`Ticket`] and passes in the time.
 
--- a/crates/daemon/cloverpier_admit/src/quota.rs
+++ b/crates/daemon/cloverpier_admit/src/quota.rs
@@ -146,12 +146,13 @@
         }
     }
 
-    /// The number of accounts with a request for quota in the last minute.
+    /// The number of accounts with state here. Accounts without a request for a minute are removed
+    /// at the next request for quota.
     pub fn len(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Whether no account has had a request for quota in the last minute.
+    /// Whether no account has state here.
     pub fn is_empty(&self) -> bool {
         self.accounts.is_empty()
     }
--- a/crates/daemon/cloverpier_answer/src/copies.rs
+++ b/crates/daemon/cloverpier_answer/src/copies.rs
@@ -126,9 +126,11 @@
     pub unfinished: Duration,
 }
 
-/// Longer than a caller needs to reconnect and resume after a connection failure.
+/// How long the copy of a finished response is kept: longer than a caller needs to reconnect and
+/// resume after a connection failure.
 const FINISHED_RETENTION: Duration = Duration::from_secs(120);
-/// The same as the default retention of request records.
+/// How long the copy of an unfinished response is kept: the same as the default retention of
+/// request records.
 const UNFINISHED_RETENTION: Duration = Duration::from_secs(600);
 
 impl Default for Retention {
--- a/crates/daemon/cloverpier_answer/src/copy_progress.rs
+++ b/crates/daemon/cloverpier_answer/src/copy_progress.rs
@@ -7,7 +7,7 @@
 use crate::response::OwnedResponse;
 use cloverpier_core::{MemberId, RequestKey};
 
-/// What the owner does after a reply of the holder.
+/// The next action of the owner after a reply of the holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CopyStep {
     /// Wait until the response has new tokens.
@@ -18,7 +18,7 @@
     TakenOver,
 }
 
-/// What the holder of a response's copy has received.
+/// The part of a response that was sent to the holder of its copy.
 ///
 /// At most one batch may be in flight, so that a reply always belongs to the last batch and to the
 /// current holder.
--- a/crates/daemon/cloverpier_answer/src/lib.rs
+++ b/crates/daemon/cloverpier_answer/src/lib.rs
@@ -1,10 +1,10 @@
 //! Streamed responses that contain each token exactly once, and copies of them that survive the
 //! failure of a router.
 //!
-//! [`OwnedResponse`] is the state at the router that owns a response. It accepts tokens only from
-//! the current attempt and only at the next offset, and releases them to the caller only once the
-//! copies that the service requires contain them. [`ResponseCopies`] is the state at a peer that
-//! holds copies. It stores the tokens and refuses owners whose term has ended. Both are state
+//! [`OwnedResponse`] is the state of a response at the router that owns the response. Tokens are
+//! accepted only from the current attempt and only at the next offset. They are released to the
+//! caller only once the copies that the service requires contain them. [`ResponseCopies`] is the
+//! state at a peer that holds copies, and refuses owners whose term has ended. Both are state
 //! machines without I/O or a clock.
 //!
 //! ```
--- a/crates/daemon/cloverpier_answer/src/response.rs
+++ b/crates/daemon/cloverpier_answer/src/response.rs
@@ -44,18 +44,18 @@
     pub reason: FinishReason,
 }
 
-/// What the owner did with a token, or with the end of the generation, that an engine sent.
+/// The outcome of a token, or of the end of a generation, that an engine sent to the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenOutcome {
-    /// It was added as the next part of the response.
+    /// Added as the next part of the response.
     Accepted,
-    /// It was dropped, as another attempt has replaced the one that sent it.
+    /// Dropped, as the token belongs to an attempt that has been replaced.
     Late,
-    /// It was dropped, as the response already has a token at its offset.
+    /// Dropped, as the response already has a token at this offset.
     Repeated,
-    /// It was dropped, as tokens before it are missing. The attempt must be replaced by a new one.
+    /// Dropped, as tokens before this one are missing. The caller must open a new attempt.
     Gap,
-    /// It was dropped, as the response is complete or another router has taken it over.
+    /// Dropped, as the response is complete or owned by another router.
     Closed,
 }
 
--- a/crates/daemon/cloverpier_answer/src/takeover.rs
+++ b/crates/daemon/cloverpier_answer/src/takeover.rs
@@ -10,7 +10,7 @@
 /// Rounds after which the takeover is left to the other router that seals the same response.
 const MAX_ROUNDS: u32 = 4;
 
-/// What a router that takes over a response does next.
+/// The next action of a router that takes over a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TakeoverStep {
     /// Request every holder to seal this term, and pass all replies to [`Takeover::on_replies`].
@@ -52,9 +52,9 @@
     /// Processes the replies of all holders to the last round; `None` stands for a holder that did
     /// not reply in time.
     ///
-    /// The copy of the highest term is chosen, and the longest one within a term. A later owner
-    /// starts from all tokens that the earlier owner's callers received, so a longer copy of a
-    /// lower term is not preferred.
+    /// The copy of the highest term is chosen, and among copies of this term the longest. A later
+    /// owner starts from all tokens that the earlier owner's callers received, so a longer copy of
+    /// a lower term is not preferred.
     pub fn on_replies(&mut self, replies: Vec<Option<SealReply>>) -> TakeoverStep {
         self.rounds += 1;
         let refused = replies.iter().flatten().filter_map(|r| match r {
--- a/crates/daemon/cloverpier_member/src/detector.rs
+++ b/crates/daemon/cloverpier_member/src/detector.rs
@@ -34,7 +34,8 @@
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 const SUSPICION_TIMEOUT: Duration = Duration::from_millis(2_400);
-/// The cost of heartbeats per member is the same for any size of the list.
+/// Number of members that each member watches, for any size of the list, so that the cost of
+/// heartbeats per member is bounded.
 const FAN_OUT: usize = 4;
 const HELPER_COUNT: usize = 3;
 const REMOVAL_DELAY: Duration = Duration::from_millis(400);
@@ -51,7 +52,7 @@
     }
 }
 
-/// What a helper found when it probed a member.
+/// The result of a helper's probe of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
     /// The member replied to the helper.
@@ -60,7 +61,7 @@
     NotReached,
 }
 
-/// What the caller of [`Detector::tick`] has to do.
+/// An action for the caller of [`Detector::tick`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DetectorStep {
     /// Send a heartbeat.
@@ -81,8 +82,9 @@
         /// Members that neither this member nor a helper could reach.
         members: BTreeSet<MemberId>,
     },
-    /// The process was suspended for longer than the suspicion timeout. Until its epoch is
-    /// confirmed, other members may have removed it and taken over what it holds.
+    /// The process was suspended for longer than the suspicion timeout. Other members may have
+    /// removed the process since, so the state that it holds is uncertain until its epoch is
+    /// confirmed.
     Paused {
         /// Time since the previous tick.
         gap: Duration,
@@ -151,7 +153,7 @@
         self.unreachable_since.remove(from);
     }
 
-    /// Records what a helper found when it probed the member `target`.
+    /// Records the result of a helper's probe of the member `target`.
     ///
     /// If one helper reaches the member, the suspicion ends: the link from this member has failed,
     /// not the member. A failed probe has no effect unless the member is still suspected.
--- a/crates/daemon/cloverpier_member/src/lib.rs
+++ b/crates/daemon/cloverpier_member/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! The member list is one object at the platform, which changes only by conditional updates. Each
 //! change starts a new epoch. [`Detector`] detects failed members with a bounded number of
-//! heartbeats per member. It removes a member only if a second observer could not reach the member,
-//! either (after Das, Gupta and Motivala, "SWIM", 2002). The types here are state machines without
-//! I/O: they return the messages to send and are given the replies.
+//! heartbeats per member. A member is removed only if a second observer could not reach that
+//! member, either (after Das, Gupta and Motivala, "SWIM", 2002). The types here are state machines
+//! without I/O: the caller sends the messages and passes in the replies and the time.
 //!
 //! ```
 //! use cloverpier_member::prelude::*;
--- a/crates/daemon/cloverpier_record/src/claim.rs
+++ b/crates/daemon/cloverpier_record/src/claim.rs
@@ -20,7 +20,7 @@
     },
 }
 
-/// What the claiming router does next.
+/// The next action of the claiming router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimStep {
     /// Send the claim to this holder and pass its reply to [`Claim::on_reply`].
--- a/crates/daemon/cloverpier_record/src/holder.rs
+++ b/crates/daemon/cloverpier_record/src/holder.rs
@@ -209,8 +209,8 @@
         self.set_state(slot, state);
     }
 
-    /// Returns the records of a slot that claims up to `past_epoch` created, for a member that has
-    /// entered `epoch`.
+    /// Returns the stored records of a slot, including all that claims up to `past_epoch` created,
+    /// for a member that has entered `epoch`.
     ///
     /// The reply is [`SyncReply::Behind`] until this member has entered `epoch`, too. After that,
     /// this member refuses claims of earlier epochs, so none of them can still be completed and be
--- a/crates/daemon/cloverpier_record/src/lib.rs
+++ b/crates/daemon/cloverpier_record/src/lib.rs
@@ -1,10 +1,10 @@
 //! At-most-once execution of requests that must not be repeated.
 //!
-//! Before a router dispatches such a request, it claims the request key at every holder of the
-//! key's slot. It dispatches only if all holders have stored the claim in the same membership
-//! epoch. Every holder of that epoch therefore has a record of each dispatched key. The holders of
-//! a later epoch either fetch the records from such a holder, or refuse claims on the slot until no
-//! caller may retry any more. Safety depends on epochs, not on clocks.
+//! Before a router dispatches such a request, the router claims the request key at every holder of
+//! the key's slot. The request is dispatched only if all holders have stored the claim in the same
+//! membership epoch. Every holder of that epoch therefore has a record of each dispatched key. The
+//! holders of a later epoch either fetch the records from such a holder, or refuse claims on the
+//! slot until no caller may retry any more. Safety depends on epochs, not on clocks.
 //!
 //! The types here are state machines without I/O; the caller sends the messages and passes in the
 //! time.
--- a/crates/daemon/cloverpier_record/tests/records.rs
+++ b/crates/daemon/cloverpier_record/tests/records.rs
@@ -67,8 +67,8 @@
     let list = list.with_joined(member("vm-b", "dc-1"));
     let mut new = Records::new(member("vm-b", "dc-1").id, RecordRetention::default());
     new.enter(&list);
-    let early = new.on_claim(2, &key(), 7, &claim(2), now);
-    assert!(matches!(early, ClaimReply::NotReady { .. }));
+    let before_sync = new.on_claim(2, &key(), 7, &claim(2), now);
+    assert!(matches!(before_sync, ClaimReply::NotReady { .. }));
 
     let slot = Slot::of(key().as_str());
     // The source must have entered the new epoch itself; otherwise it could still accept claims of
@@ -82,8 +82,8 @@
     old.enter(&list);
     let reply = old.on_sync(slot, step.past_epoch, 2, now);
     new.on_sync_reply(&step, 2, &member("vm-a", "dc-0").id, reply, now);
-    let known = new.on_claim(2, &key(), 7, &claim(2), now);
-    assert!(matches!(known, ClaimReply::Taken(_)));
+    let after_sync = new.on_claim(2, &key(), 7, &claim(2), now);
+    assert!(matches!(after_sync, ClaimReply::Taken(_)));
 }
 
 #[test]
--- a/crates/daemon/cloverpier_route/src/choose.rs
+++ b/crates/daemon/cloverpier_route/src/choose.rs
@@ -6,7 +6,7 @@
 //! upstreams, for the log. The router of the platform has no load reports and uses another rule, in
 //! `cloverpier_router_policy::choice`.
 
-use crate::view::{KnownUpstream, MAX_TRACKED, UpstreamView};
+use crate::view::{MAX_TRACKED, UpstreamEntry, UpstreamView};
 use cloverpier_core::{ServiceName, UpstreamName, rendezvous_rank};
 use serde::Serialize;
 use std::net::SocketAddr;
@@ -57,8 +57,8 @@
     pub upstream: UpstreamName,
     /// The estimated number of requests at the upstream.
     pub load: u32,
-    /// The load relative to the upstream's slots, adjusted for its data centre and the cached
-    /// prefix. The upstream with the lowest cost is chosen.
+    /// The load relative to the upstream's slots (its capacity in concurrent requests), adjusted
+    /// for its data centre and the cached prefix. The upstream with the lowest cost is chosen.
     pub cost: f64,
     /// Whether the upstream recently received the same prefix from this router.
     pub cached: bool,
@@ -99,7 +99,7 @@
 pub enum Choice {
     /// An upstream was chosen.
     Chosen(Chosen),
-    /// Some upstreams accept requests, but none of them has a free slot.
+    /// Some upstreams accept requests, but none of them has capacity for another one.
     Full,
     /// No upstream accepts requests, or all that do have requested a pause.
     NoneAvailable,
@@ -112,11 +112,11 @@
     /// after a failure is chosen only as a last resort.
     pub fn choose(&self, request: &RouteRequest, now: Instant, rng: &mut fastrand::Rng) -> Choice {
         let mut accepting_upstreams = self.accepting_upstreams(&request.service);
-        accepting_upstreams.retain(|(_, known)| !known.in_wait_period(now));
+        accepting_upstreams.retain(|(_, entry)| !entry.in_wait_period(now));
         if accepting_upstreams.is_empty() {
             return Choice::NoneAvailable;
         }
-        let healthy = |(name, k): &(&UpstreamName, &KnownUpstream)| {
+        let healthy = |(name, k): &(&UpstreamName, &UpstreamEntry)| {
             !request.failed.contains(name) && !k.is_avoided(now)
         };
         // Upstreams that this router does not track are considered only if no tracked upstream is
@@ -159,7 +159,7 @@
     pub(crate) fn accepting_upstreams(
         &self,
         service: &ServiceName,
-    ) -> Vec<(&UpstreamName, &KnownUpstream)> {
+    ) -> Vec<(&UpstreamName, &UpstreamEntry)> {
         let names = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
         names
             .iter()
@@ -171,14 +171,14 @@
     fn weigh(
         &self,
         name: &UpstreamName,
-        known: &KnownUpstream,
+        entry: &UpstreamEntry,
         request: &RouteRequest,
         now: Instant,
     ) -> WeighedUpstream {
-        let load = known.estimated_load(now);
-        let cached = request.prefix.is_some_and(|p| known.has_prefix(p));
-        let is_remote = known.upstream.data_centre != self.own_data_centre;
-        let mut cost = f64::from(load) / f64::from(known.upstream.slots.max(1));
+        let load = entry.estimated_load(now);
+        let cached = request.prefix.is_some_and(|p| entry.has_prefix(p));
+        let is_remote = entry.upstream.data_centre != self.own_data_centre;
+        let mut cost = f64::from(load) / f64::from(entry.upstream.slots.max(1));
         if is_remote {
             cost += REMOTE_COST;
         }
@@ -197,24 +197,24 @@
 /// The upstream with the least load. Ties are broken by rendezvous hash of the content, so that two
 /// suspect contents that failed at the same upstreams go to different ones.
 fn least_loaded<'a>(
-    eligible: &[(&'a UpstreamName, &'a KnownUpstream)],
+    eligible: &[(&'a UpstreamName, &'a UpstreamEntry)],
     isolation_key: u64,
     now: Instant,
-) -> Vec<(&'a UpstreamName, &'a KnownUpstream)> {
+) -> Vec<(&'a UpstreamName, &'a UpstreamEntry)> {
     let ranked = rendezvous_rank(isolation_key, eligible, |(name, _)| name.as_str());
     let least = ranked
         .into_iter()
-        .min_by_key(|(_, known)| known.estimated_load(now));
+        .min_by_key(|(_, entry)| entry.estimated_load(now));
     least.copied().into_iter().collect()
 }
 
 /// Two upstreams at random, and the least loaded one with the prefix.
 fn sample_candidates<'a>(
-    eligible: &[(&'a UpstreamName, &'a KnownUpstream)],
+    eligible: &[(&'a UpstreamName, &'a UpstreamEntry)],
     request: &RouteRequest,
     now: Instant,
     rng: &mut fastrand::Rng,
-) -> Vec<(&'a UpstreamName, &'a KnownUpstream)> {
+) -> Vec<(&'a UpstreamName, &'a UpstreamEntry)> {
     let mut candidates = rng.choose_multiple(eligible.iter().copied(), 2);
     let cached_upstream = request.prefix.and_then(|prefix| {
         let with_same_prefix = eligible.iter().filter(|(_, k)| k.has_prefix(prefix));
@@ -239,11 +239,11 @@
     let Some(upstream) = lowest.map(|w| w.upstream.clone()) else {
         return Choice::Full;
     };
-    let Some(known) = view.upstreams.get(&upstream) else {
+    let Some(entry) = view.upstreams.get(&upstream) else {
         return Choice::Full;
     };
     Choice::Chosen(Chosen {
-        address: known.upstream.address,
+        address: entry.upstream.address,
         upstream,
         reason,
         weighed,
--- a/crates/daemon/cloverpier_route/src/view.rs
+++ b/crates/daemon/cloverpier_route/src/view.rs
@@ -38,7 +38,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct KnownUpstream {
+pub(crate) struct UpstreamEntry {
     pub(crate) upstream: Upstream,
     pub(crate) report: Option<LoadReport>,
     /// The own requests in flight that the last report includes.
@@ -57,7 +57,7 @@
     recent_starts: VecDeque<Instant>,
 }
 
-impl KnownUpstream {
+impl UpstreamEntry {
     fn new(upstream: Upstream) -> Self {
         Self {
             upstream,
@@ -114,7 +114,7 @@
 pub struct UpstreamView {
     pub(crate) own_data_centre: DataCentre,
     vm_hash: u64,
-    pub(crate) upstreams: BTreeMap<UpstreamName, KnownUpstream>,
+    pub(crate) upstreams: BTreeMap<UpstreamName, UpstreamEntry>,
     pub(crate) by_service: HashMap<ServiceName, Vec<UpstreamName>>,
     marks: LeaveMarks,
 }
@@ -137,17 +137,17 @@
     /// Applies a configuration. The state of upstreams with an unchanged incarnation and address is
     /// kept.
     pub fn apply(&mut self, config: &Config) {
-        self.upstreams.retain(|name, known| {
+        self.upstreams.retain(|name, entry| {
             let same = |u: &Upstream| {
-                u.incarnation == known.upstream.incarnation && u.address == known.upstream.address
+                u.incarnation == entry.upstream.incarnation && u.address == entry.upstream.address
             };
             config.upstreams.get(name).is_some_and(same)
         });
         self.by_service.clear();
         for (name, upstream) in &config.upstreams {
-            let known = self.upstreams.entry(name.clone());
-            let known = known.or_insert_with(|| KnownUpstream::new(upstream.clone()));
-            known.upstream = upstream.clone();
+            let entry = self.upstreams.entry(name.clone());
+            let entry = entry.or_insert_with(|| UpstreamEntry::new(upstream.clone()));
+            entry.upstream = upstream.clone();
             let names = self.by_service.entry(upstream.service.clone());
             names.or_default().push(name.clone());
         }
@@ -165,8 +165,8 @@
             let sharing_routers =
                 u32::try_from(tracking_pairs.div_ceil(names.len().max(1))).unwrap_or(u32::MAX);
             for name in names {
-                if let Some(known) = self.upstreams.get_mut(name) {
-                    known.sharing_routers = sharing_routers.max(1);
+                if let Some(entry) = self.upstreams.get_mut(name) {
+                    entry.sharing_routers = sharing_routers.max(1);
                 }
             }
         }
@@ -189,10 +189,10 @@
     /// Marks the current incarnation of an upstream as leaving. `None` if there is no such
     /// upstream.
     pub fn mark_leaving(&mut self, name: &UpstreamName) -> Option<LeaveMark> {
-        let known = self.upstreams.get(name)?;
+        let entry = self.upstreams.get(name)?;
         let mark = LeaveMark {
             upstream: name.clone(),
-            incarnation: known.upstream.incarnation,
+            incarnation: entry.upstream.incarnation,
         };
         self.marks.add(&mark);
         Some(mark)
@@ -216,11 +216,11 @@
     /// `time`. A wait period is never shortened. Returns whether the upstream was not in a wait
     /// period before.
     pub fn on_wait(&mut self, name: &UpstreamName, time: Duration, now: Instant) -> bool {
-        let Some(known) = self.upstreams.get_mut(name) else {
+        let Some(entry) = self.upstreams.get_mut(name) else {
             return false;
         };
-        let is_new = !known.in_wait_period(now);
-        known.wait_period = Some(WaitPeriod::start_or_extend(known.wait_period, time, now));
+        let is_new = !entry.in_wait_period(now);
+        entry.wait_period = Some(WaitPeriod::start_or_extend(entry.wait_period, time, now));
         is_new
     }
 
@@ -230,13 +230,13 @@
         let accepting_upstreams = self.accepting_upstreams(service);
         if accepting_upstreams
             .iter()
-            .any(|(_, known)| !known.in_wait_period(now))
+            .any(|(_, entry)| !entry.in_wait_period(now))
         {
             return None;
         }
         let waits = accepting_upstreams
             .iter()
-            .filter_map(|(_, known)| known.wait_period);
+            .filter_map(|(_, entry)| entry.wait_period);
         let first = waits.map(|wait| wait.ends_at()).min()?;
         Some(first.saturating_duration_since(now))
     }
@@ -288,46 +288,46 @@
     /// Records that a request of this router starts at an upstream. `prefix` is the digest of its
     /// prompt's prefix.
     pub fn on_started(&mut self, name: &UpstreamName, prefix: Option<u64>, now: Instant) {
-        let Some(known) = self.upstreams.get_mut(name) else {
+        let Some(entry) = self.upstreams.get_mut(name) else {
             return;
         };
-        known.own_in_flight += 1;
-        known.recent_starts.push_back(now);
-        if known.recent_starts.len() > MAX_RECENT {
-            known.recent_starts.pop_front();
+        entry.own_in_flight += 1;
+        entry.recent_starts.push_back(now);
+        if entry.recent_starts.len() > MAX_RECENT {
+            entry.recent_starts.pop_front();
         }
         if let Some(prefix) = prefix {
-            known.recent_prefixes.retain(|p| *p != prefix);
-            known.recent_prefixes.push_back(prefix);
-            if known.recent_prefixes.len() > MAX_RECENT {
-                known.recent_prefixes.pop_front();
+            entry.recent_prefixes.retain(|p| *p != prefix);
+            entry.recent_prefixes.push_back(prefix);
+            if entry.recent_prefixes.len() > MAX_RECENT {
+                entry.recent_prefixes.pop_front();
             }
         }
     }
 
     /// Records that a request of this router has ended at an upstream, in any way.
     pub fn on_ended(&mut self, name: &UpstreamName) {
-        if let Some(known) = self.upstreams.get_mut(name) {
-            known.own_in_flight = known.own_in_flight.saturating_sub(1);
+        if let Some(entry) = self.upstreams.get_mut(name) {
+            entry.own_in_flight = entry.own_in_flight.saturating_sub(1);
         }
     }
 
     /// Records that an upstream served a request, which ends its avoidance.
     pub fn on_success(&mut self, name: &UpstreamName) {
-        if let Some(known) = self.upstreams.get_mut(name) {
-            known.failures = 0;
-            known.avoid_until = None;
+        if let Some(entry) = self.upstreams.get_mut(name) {
+            entry.failures = 0;
+            entry.avoid_until = None;
         }
     }
 
     /// Records a failure of an upstream. The upstream is avoided for a time that doubles with each
     /// consecutive failure, and its cached prefixes count as lost.
     pub fn on_failure(&mut self, name: &UpstreamName, now: Instant) {
-        if let Some(known) = self.upstreams.get_mut(name) {
-            let factor = 1 << known.failures.min(5);
-            known.failures += 1;
-            known.avoid_until = Some(now + (INITIAL_AVOIDANCE * factor).min(MAX_AVOIDANCE));
-            known.recent_prefixes.clear();
+        if let Some(entry) = self.upstreams.get_mut(name) {
+            let factor = 1 << entry.failures.min(5);
+            entry.failures += 1;
+            entry.avoid_until = Some(now + (INITIAL_AVOIDANCE * factor).min(MAX_AVOIDANCE));
+            entry.recent_prefixes.clear();
         }
     }
 
@@ -335,22 +335,22 @@
     ///
     /// Own requests that started after the measurement are not included in the report.
     pub fn on_load_report(&mut self, name: &UpstreamName, report: LoadReport) {
-        let Some(known) = self.upstreams.get_mut(name) else {
+        let Some(entry) = self.upstreams.get_mut(name) else {
             return;
         };
-        if known
+        if entry
             .report
             .is_some_and(|r| r.measured_at > report.measured_at)
         {
             return;
         }
-        let started_after_report = known
+        let started_after_report = entry
             .recent_starts
             .iter()
             .filter(|at| **at > report.measured_at)
             .count();
         let started_after_report = u32::try_from(started_after_report).unwrap_or(u32::MAX);
-        known.own_in_flight_at_report = known.own_in_flight.saturating_sub(started_after_report);
-        known.report = Some(report);
+        entry.own_in_flight_at_report = entry.own_in_flight.saturating_sub(started_after_report);
+        entry.report = Some(report);
     }
 }
