--- a/crates/daemon/cloverpier_daemon/src/web/completions.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/completions.rs
@@ -15,12 +15,12 @@
     Caller, Keyed, caller, keyed, last_event, may_take, raw_body, repeatable,
 };
 use crate::web::sse::{Shape, Writer};
-use cloverpier_admit::Waiting;
-use cloverpier_answer::Answer;
+use cloverpier_admit::QueuedRequest;
+use cloverpier_answer::OwnedResponse;
 use cloverpier_core::{hash_of, lock};
 use cloverpier_crashes::Admission;
 use cloverpier_record::Refusal;
-use cloverpier_route::{Ask, Chosen};
+use cloverpier_route::{Chosen, RouteRequest};
 use salvo::http::HeaderValue;
 use salvo::http::header::{CACHE_CONTROL, CONTENT_TYPE, HeaderName};
 use salvo::prelude::*;
@@ -158,7 +158,7 @@
         return Err(refused(refusal));
     }
     log_choice(app, keyed.key.as_str(), &ask.service, &chosen);
-    let answer = Answer::fresh(term, app.opener());
+    let answer = OwnedResponse::new(term, app.opener());
     let live = Live::new(keyed.key.clone(), ask.body, spec, answer, app.now());
     match register(app, &live) {
         Registered::New => {
@@ -183,15 +183,15 @@
     app.admission
         .charge(app, &caller.name, account, ask.max_tokens)
         .await?;
-    let mut route = Ask::new(ask.service.clone());
+    let mut route = RouteRequest::new(ask.service.clone());
     route.prefix = Some(hash_of(&ask.prompt));
-    route.apart = apart;
-    let waiting = Waiting {
+    route.isolation_key = apart;
+    let waiting = QueuedRequest {
         account: caller.name.clone(),
         weight: account.weight,
         priority: ask.priority,
         cost: ask.max_tokens,
-        patience: Duration::from_millis(ask.config.queue_ms),
+        max_wait: Duration::from_millis(ask.config.queue_ms),
     };
     let placed = app.admission.place(app, route, &waiting).await;
     placed.inspect_err(|_| {
--- a/crates/daemon/cloverpier_peer/tests/wire.rs
+++ b/crates/daemon/cloverpier_peer/tests/wire.rs
@@ -3,17 +3,17 @@
 //! The golden files were written by commit 72eb395. Messages are held as bytes, stored
 //! objects as JSON; each is read back, so that both releases read each other.
 
-use cloverpier_admit::{Loan, Quota};
+use cloverpier_admit::{Quota, QuotaGrant};
 use cloverpier_answer::{
-    AppendReply, AttemptId, Entry, EntryHead, EventId, Finish, FinishReason, HeldAnswer, SealReply,
-    Source,
+    AppendReply, AttemptId, BatchHeader, EventId, Finish, FinishReason, ResponseCopy, SealReply,
+    TokenBatch, TokenSource,
 };
 use cloverpier_config::{Account, Config, Part, Repeatable, Root, Service, Upstream, split};
 use cloverpier_core::{MemberId, RequestKey, TokenDigest};
 use cloverpier_crashes::prelude::*;
 use cloverpier_member::{Member, MemberList};
 use cloverpier_peer::prelude::*;
-use cloverpier_record::{ClaimId, ClaimReply, Outcome, Record, Slot, StoredAnswer, SyncReply};
+use cloverpier_record::{ClaimId, ClaimReply, Outcome, Record, Slot, StoredResponse, SyncReply};
 use cloverpier_route::{LeaveMark, LeaveMarks};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -55,8 +55,8 @@
     }
 }
 
-fn source() -> Source {
-    Source {
+fn source() -> TokenSource {
+    TokenSource {
         upstream: "e1".into(),
         attempt: AttemptId {
             term: 21,
@@ -70,20 +70,20 @@
     vec![" a".into(), " b".into()]
 }
 
-fn entries() -> Vec<Entry> {
-    let first = Entry {
+fn entries() -> Vec<TokenBatch> {
+    let first = TokenBatch {
         key: RequestKey::new("lab/17"),
         term: 31,
-        head: Some(EntryHead {
-            body: 32,
+        header: Some(BatchHeader {
+            body_digest: 32,
             source: Some(source()),
         }),
         offset: 0,
         tokens: tokens(),
         finish: None,
     };
-    let last = Entry {
-        head: None,
+    let last = TokenBatch {
+        header: None,
         offset: 2,
         finish: Some(finish()),
         ..first.clone()
@@ -102,14 +102,14 @@
     Record {
         key: RequestKey::new("lab/18"),
         claim: claim(),
-        body: 42,
+        request_digest: 42,
         outcome,
         age_ms: 43,
     }
 }
 
 fn done() -> Outcome {
-    Outcome::Done(StoredAnswer {
+    Outcome::Done(StoredResponse {
         status: 201,
         content_type: Some("text/plain".into()),
         body: Some(b"ok".to_vec()),
@@ -210,10 +210,10 @@
 }
 
 fn replies() -> Vec<PeerReply> {
-    let held = HeldAnswer {
+    let held = ResponseCopy {
         term: 61,
         owner: MemberId::new("vm-1~7"),
-        body: 62,
+        body_digest: 62,
         source: Some(source()),
         tokens: tokens(),
         finish: Some(finish()),
@@ -227,11 +227,11 @@
             versions: versions(),
             guests: vec![guest],
         },
-        PeerReply::Loan(Loan::Lent(Quota {
+        PeerReply::Loan(QuotaGrant::Granted(Quota {
             requests: 1.5,
             tokens: 2.5,
         })),
-        PeerReply::Loan(Loan::Short { wait_ms: 63 }),
+        PeerReply::Loan(QuotaGrant::Exhausted { wait_ms: 63 }),
         PeerReply::Probed { reached: true },
         PeerReply::Appended(vec![
             AppendReply::Held {
