--- a/crates/daemon/cloverpier_config/src/lib.rs
+++ b/crates/daemon/cloverpier_config/src/lib.rs
@@ -1,9 +1,9 @@
-//! What operators configure: services, upstreams and client accounts.
+//! The configuration that operators write: services, upstreams and client accounts.
 //!
-//! An operator states an [`Intent`]; [`plan()`] answers with the changes that
-//! it would make against one version; confirming stores the parts and then
-//! the [`Root`], whose version is the configuration's. A router applies
-//! roots through [`Applied`], which only moves forward.
+//! An operator submits an [`Intent`]; [`plan()`] returns the changes that it would make to one
+//! version of the configuration. When the operator confirms the plan, a router stores the parts and
+//! then the [`Root`], whose version is that of the configuration. Every router applies roots through
+//! [`AppliedConfig`], which never replaces a version by a lower one. This crate does no I/O.
 //!
 //! ```
 //! use cloverpier_config::prelude::*;
@@ -20,10 +20,10 @@
 mod parts;
 mod plan;
 
-/// What users of the crate need daily.
+/// All public types and functions, for a glob import.
 pub mod prelude {
-    pub use crate::apply::{Applied, ApplyStep};
-    pub use crate::check::{Fault, check};
+    pub use crate::apply::{AppliedConfig, ApplyOutcome};
+    pub use crate::check::{FieldError, check};
     pub use crate::model::{
         Account, Config, Repeatable, Service, ServiceKind, Upstream, UpstreamState,
     };
--- a/crates/daemon/cloverpier_config/src/model.rs
+++ b/crates/daemon/cloverpier_config/src/model.rs
@@ -1,7 +1,7 @@
 //! Services, upstreams and client accounts.
 //!
-//! The shapes that operators write and the platform stores; names and defaults of fields are on
-//! the wire and in stored data.
+//! Operators write these types in their intents, and the platform stores them. The names of fields
+//! and variants and the defaults of fields are therefore part of stored data and of the API.
 
 use cloverpier_core::{
     AccountName, AdapterName, DataCentre, KeyDigest, ModelName, ServiceName, UpstreamName,
@@ -11,26 +11,27 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Whether a service's calls may be run again when their outcome is unknown.
+/// Which calls of a plain service may be executed again when the outcome of the first execution is
+/// unknown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeatable {
     /// All calls may be repeated.
     All,
-    /// Calls that read (GET, HEAD, OPTIONS) may be repeated.
+    /// Only calls with a read-only method (GET, HEAD, OPTIONS) may be repeated.
     #[default]
     Reads,
     /// No call may be repeated.
     None,
 }
 
-/// What stands behind a service.
+/// The kind of upstreams that serve a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceKind {
     /// Model engines that generate tokens.
     Model {
-        /// The weights that its engines load.
+        /// The model whose weights the engines have to load.
         model: ModelName,
     },
     /// Plain HTTP services.
@@ -45,24 +46,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// What stands behind it.
+    /// Whether model engines or plain HTTP servers serve the service.
     pub kind: ServiceKind,
-    /// Copies of an answer that peers hold before a token is released: 0 or 1.
+    /// How many peers must hold a copy of a token before the token is sent to the caller: 0 or 1.
     #[serde(default = "default_copies")]
     pub copies: u8,
-    /// Silence of an engine, in milliseconds, after which its generation goes on elsewhere.
+    /// Time without a token from an engine, in milliseconds, after which the router continues the
+    /// generation at another engine. The first token may take four times as long.
     #[serde(default = "default_silence_ms")]
     pub silence_ms: u64,
-    /// Whether a steady stream is given up sooner than that, by the gaps that it had.
+    /// Whether the bound of `silence_ms` is narrowed for a stream whose earlier gaps between tokens
+    /// were short and regular.
     #[serde(default)]
     pub adaptive_silence: bool,
-    /// How long a generation runs on without its caller, in milliseconds.
+    /// How long a generation keeps running without a connected caller, in milliseconds.
     #[serde(default = "default_linger_ms")]
     pub linger_ms: u64,
-    /// The most tokens of one answer.
+    /// Upper bound of the tokens of one answer.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
-    /// The longest wait for a place at an engine, in milliseconds.
+    /// How long a request may wait in the queue for a free slot of an engine, in milliseconds.
     #[serde(default = "default_queue_ms")]
     pub queue_ms: u64,
 }
@@ -84,14 +87,14 @@
 }
 
 impl Service {
-    /// A model service with the usual settings.
+    /// A service of model engines, with the default of every other setting.
     pub fn model(model: &str) -> Self {
         Self::with_kind(ServiceKind::Model {
             model: model.into(),
         })
     }
 
-    /// A plain service with the usual settings.
+    /// A plain service, with the default of every other setting.
     pub fn plain(repeatable: Repeatable) -> Self {
         Self::with_kind(ServiceKind::Plain { repeatable })
     }
@@ -113,10 +116,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UpstreamState {
-    /// It takes new work.
+    /// The upstream receives new requests.
     #[default]
     Active,
-    /// It takes none; what runs there runs to its end.
+    /// The upstream receives no new requests; those in flight run to completion.
     Leaving,
 }
 
@@ -124,23 +127,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
-    /// The service that it serves.
+    /// The one service that the upstream serves.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that the upstream listens on.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// The data centre of the upstream; a router prefers upstreams of its own.
     pub data_centre: DataCentre,
-    /// Rises each time the name is used again; a mark to leave binds one incarnation.
+    /// Number of this use of the upstream's name, from 1. An operator raises the number to use the
+    /// name of an upstream that left again: a leave mark covers the incarnations up to the marked one.
     #[serde(default = "default_incarnation")]
     pub incarnation: u64,
-    /// Whether it takes new work.
+    /// Whether the upstream receives new requests.
     #[serde(default)]
     pub state: UpstreamState,
-    /// Whether it checks the fence of an order.  Operators may set it; nothing reads it yet,
-    /// as routers give upstreams no orders.
+    /// Whether the upstream checks the fencing token of an order. Operators may set the field, but
+    /// nothing reads it, as routers send upstreams no orders.
     #[serde(default)]
     pub checks_fence: bool,
-    /// Generations that it runs at once.
+    /// How many generations the upstream runs concurrently.
     #[serde(default = "default_slots")]
     pub slots: u32,
 }
@@ -153,7 +157,7 @@
 }
 
 impl Upstream {
-    /// An active upstream with the usual settings.
+    /// An active upstream of incarnation 1, with the default of every other setting.
     pub fn new(service: ServiceName, address: SocketAddr, data_centre: DataCentre) -> Self {
         Self {
             service,
@@ -173,21 +177,21 @@
 pub struct Account {
     /// SHA-256 of the account's key, in hexadecimal.
     pub key_sha256: KeyDigest,
-    /// Services that it may call.
+    /// Services that the account may call.
     pub services: Vec<ServiceName>,
-    /// Adapters that it may name.
+    /// Model adapters that the account's requests may select.
     #[serde(default)]
     pub adapters: Vec<AdapterName>,
-    /// Requests a second over all routers.
+    /// Rate limit in requests per second, of all routers together.
     #[serde(default = "default_requests")]
     pub requests_per_s: u32,
-    /// Generated tokens a second over all routers.
+    /// Rate limit in generated tokens per second, of all routers together.
     #[serde(default = "default_tokens")]
     pub tokens_per_s: u32,
-    /// Its share against other accounts when places are short.
+    /// Weight of the account in the fair queue, which shares free slots among waiting accounts.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// The highest priority that it may ask for, 0 to 9.
+    /// The highest priority that the account's requests may have, 0 to 9.
     #[serde(default)]
     pub max_priority: u8,
 }
@@ -203,7 +207,9 @@
 }
 
 impl Account {
-    /// An account with the usual limits that may call the given services.
+    /// An account that may call the given services, with the default limits and priority 0.
+    ///
+    /// Only the SHA-256 digest of `key` is kept.
     pub fn new(key: &str, services: Vec<ServiceName>) -> Self {
         Self {
             key_sha256: KeyDigest::of(key),
@@ -217,7 +223,7 @@
     }
 }
 
-/// A whole configuration.
+/// A whole configuration: all services, upstreams and client accounts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Config {
     /// Services by name.
@@ -226,7 +232,7 @@
     /// Upstreams by name.
     #[serde(default)]
     pub upstreams: BTreeMap<UpstreamName, Upstream>,
-    /// Client accounts by name; shared with the parts that they came in, as there are many.
+    /// Client accounts by name; shared with the parts that contain them, as there are many accounts.
     #[serde(default)]
     pub accounts: BTreeMap<AccountName, Arc<Account>>,
 }
--- a/crates/daemon/cloverpier_config/src/plan.rs
+++ b/crates/daemon/cloverpier_config/src/plan.rs
@@ -1,9 +1,10 @@
-//! From an operator's intent to a plan, and what a racing operator changed meanwhile.
+//! Turns an operator's intent into a plan, and rebases a plan onto a later version.
 //!
-//! Question: what would this intent change, and does a plan still hold against a later version?
-//! It does as long as nothing that it touches moved. Owns no state.
+//! A plan lists the changes that an intent makes to one version of the configuration. The plan may
+//! be confirmed at a later version if no other operator has changed an item that the plan changes.
+//! Owns no state; the stored plans and the configuration are passed in.
 
-use crate::check::{Fault, check};
+use crate::check::{FieldError, check};
 use crate::model::{Account, Config, Service, Upstream, UpstreamState};
 use cloverpier_core::{AccountName, ServiceName, UpstreamName};
 use serde::{Deserialize, Serialize};
@@ -12,18 +13,18 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Names a plan.
+/// The id of a plan, unique among the stored plans. The router that makes the plan assigns it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PlanId(Arc<str>);
 
 impl PlanId {
-    /// Makes the name from text.
+    /// Makes an id of any text, without checks.
     pub fn new(text: impl AsRef<str>) -> Self {
         Self(Arc::from(text.as_ref()))
     }
 
-    /// The name as text.
+    /// The id as text, as in the plan's object key on the platform.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -35,15 +36,15 @@
     }
 }
 
-/// One thing of a configuration.
+/// The kind and name of a configured item. Displayed as a path, such as `upstreams.e1`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Item {
-    /// A service.
+    /// A service by its name.
     Service(ServiceName),
-    /// An upstream.
+    /// An upstream by its name.
     Upstream(UpstreamName),
-    /// A client account.
+    /// A client account by its name.
     Account(AccountName),
 }
 
@@ -57,7 +58,7 @@
     }
 }
 
-/// What an operator wants: things to set, things to remove, upstreams to leave.
+/// A change that an operator requests: items to set, items to remove, upstreams to drain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Intent {
@@ -70,73 +71,74 @@
     /// Client accounts to create or replace.
     #[serde(default)]
     pub accounts: BTreeMap<AccountName, Account>,
-    /// Upstreams that shall take no new work.
+    /// Upstreams to set to [`UpstreamState::Leaving`], so that they receive no new requests. Applied
+    /// after the upstreams that the intent sets.
     #[serde(default)]
     pub leave: Vec<UpstreamName>,
-    /// Things to remove.
+    /// Items to remove. Applied last.
     #[serde(default)]
     pub remove: Vec<Item>,
 }
 
-/// What a change does.
+/// How a change affects its item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChangeKind {
-    /// Makes something new.
+    /// The item doesn't exist before the change.
     Create,
-    /// Replaces what stands.
+    /// The item exists before and after the change, with different content.
     Replace,
-    /// Takes something away.
+    /// The item doesn't exist after the change.
     Remove,
 }
 
-/// One line of a plan: the thing, and its text before and after.
+/// One change of a plan: an item, and its content before and after.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The thing.
+    /// The item that changes.
     pub item: Item,
-    /// What is done to it.
+    /// Whether the item is created, replaced or removed.
     pub kind: ChangeKind,
-    /// Its JSON before, when it stood.
+    /// The item's JSON before the change; `None` if the change creates the item.
     pub before: Option<String>,
-    /// Its JSON after, when it will stand.
+    /// The item's JSON after the change; `None` if the change removes the item.
     pub after: Option<String>,
 }
 
-/// A plan: what an intent would change, against one version.
+/// The changes that an intent would make to one version of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The version that the plan was made against.
+    /// The version of the configuration that `changes` were computed for.
     pub base: u64,
-    /// The changes; none means that the intent is met already.
+    /// The changes, ordered by item; empty if the configuration meets the intent already.
     pub changes: Vec<Change>,
-    /// The intent.
+    /// The intent, which is applied to the current configuration when the plan is confirmed.
     pub intent: Intent,
 }
 
-/// Why an intent has no plan, or a plan can't be confirmed.
+/// The reason why an intent is rejected or a plan can't be confirmed.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(visibility(pub))]
 pub enum PlanError {
-    /// The configuration that would result can't stand.
+    /// The intent, or the configuration that would result, is invalid.
     #[snafu(display("the intent can't stand"))]
-    Faulty {
-        /// All that is wrong with it.
-        faults: Vec<Fault>,
+    Invalid {
+        /// All invalid fields.
+        errors: Vec<FieldError>,
     },
-    /// Another operator changed what the plan touches.
-    #[snafu(display("version {now} changed what the plan of version {base} touches"))]
-    Moved {
-        /// The plan's version.
+    /// Another operator changed an item that the plan changes.
+    #[snafu(display("version {current} changed what the plan of version {base} touches"))]
+    Conflict {
+        /// The version of the configuration that the plan was made for.
         base: u64,
-        /// The version that stands now.
-        now: u64,
-        /// The things that moved.
+        /// The current version of the configuration.
+        current: u64,
+        /// The items of the plan whose content is no longer that of version `base`.
         items: Vec<Item>,
     },
 }
 
-fn text_of(config: &Config, item: &Item) -> Option<String> {
+fn item_json(config: &Config, item: &Item) -> Option<String> {
     let json = match item {
         Item::Service(name) => config.services.get(name).map(serde_json::to_string),
         Item::Upstream(name) => config.upstreams.get(name).map(serde_json::to_string),
@@ -153,7 +155,7 @@
 }
 
 impl Intent {
-    /// The configuration that results when the intent is met.
+    /// Returns the configuration with the intent applied, without validation.
     pub fn apply(&self, config: &Config) -> Config {
         let mut next = config.clone();
         next.services.extend(self.services.clone());
@@ -176,33 +178,34 @@
         next
     }
 
-    /// Things that the intent names but that don't exist.
-    fn missing(&self, config: &Config) -> Vec<Fault> {
+    /// Errors for the items to drain or to remove that don't exist.
+    fn missing_item_errors(&self, config: &Config) -> Vec<FieldError> {
         let leave = self.leave.iter().cloned().map(Item::Upstream);
-        let named = leave.chain(self.remove.iter().cloned());
-        named
-            .filter(|item| text_of(config, item).is_none())
-            .map(|item| Fault {
+        let listed = leave.chain(self.remove.iter().cloned());
+        listed
+            .filter(|item| item_json(config, item).is_none())
+            .map(|item| FieldError {
                 field: item.to_string(),
                 expected: "something that exists".to_owned(),
             })
             .collect()
     }
 
-    /// Upstreams whose new state would use a name again without a new incarnation.
-    fn returning(&self, config: &Config) -> Vec<Fault> {
-        let back = |name: &UpstreamName, new: &Upstream| {
+    /// Errors for upstreams whose incarnation falls, or doesn't rise though the upstream returns
+    /// from [`UpstreamState::Leaving`]: routers would apply the earlier leave mark to it.
+    fn incarnation_errors(&self, config: &Config) -> Vec<FieldError> {
+        let is_stale = |name: &UpstreamName, new: &Upstream| {
             config.upstreams.get(name).is_some_and(|old| {
-                let left = old.state == UpstreamState::Leaving;
-                let taken_back = left && new.state == UpstreamState::Active;
+                let was_leaving = old.state == UpstreamState::Leaving;
+                let is_reactivated = was_leaving && new.state == UpstreamState::Active;
                 new.incarnation < old.incarnation
-                    || (taken_back && new.incarnation == old.incarnation)
+                    || (is_reactivated && new.incarnation == old.incarnation)
             })
         };
         self.upstreams
             .iter()
-            .filter(|(name, new)| back(name, new))
-            .map(|(name, _)| Fault {
+            .filter(|(name, new)| is_stale(name, new))
+            .map(|(name, _)| FieldError {
                 field: format!("upstreams.{name}.incarnation"),
                 expected: "a higher number than before, as it left".to_owned(),
             })
@@ -210,18 +213,19 @@
     }
 }
 
-/// Answers an intent with what it would change.
+/// Computes the changes that an intent would make to a configuration of the given version.
 ///
 /// # Errors
 ///
-/// [`PlanError::Faulty`] lists every field that can't stand.
+/// [`PlanError::Invalid`] with every invalid field of the intent and of the resulting
+/// configuration.
 pub fn plan(config: &Config, version: u64, intent: &Intent) -> Result<Plan, PlanError> {
     let next = intent.apply(config);
-    let mut faults = intent.missing(config);
-    faults.extend(intent.returning(config));
-    faults.extend(check(&next));
-    if !faults.is_empty() {
-        return Err(PlanError::Faulty { faults });
+    let mut errors = intent.missing_item_errors(config);
+    errors.extend(intent.incarnation_errors(config));
+    errors.extend(check(&next));
+    if !errors.is_empty() {
+        return Err(PlanError::Invalid { errors });
     }
     Ok(Plan {
         base: version,
@@ -237,12 +241,12 @@
     items.dedup();
     items
         .into_iter()
-        .filter_map(|item| change_of(before, after, item))
+        .filter_map(|item| item_change(before, after, item))
         .collect()
 }
 
-fn change_of(before: &Config, after: &Config, item: Item) -> Option<Change> {
-    let (before, after) = (text_of(before, &item), text_of(after, &item));
+fn item_change(before: &Config, after: &Config, item: Item) -> Option<Change> {
+    let (before, after) = (item_json(before, &item), item_json(after, &item));
     let kind = match (&before, &after) {
         (old, new) if old == new => return None,
         (None, _) => ChangeKind::Create,
@@ -257,32 +261,32 @@
     })
 }
 
-/// Checks that a plan still says what it would change, and gives the configuration that results.
-///
-/// A later version is fine as long as nothing that the plan touches moved.
+/// Applies a plan to a configuration of the same or a later version, and returns the result.
 ///
 /// # Errors
 ///
-/// [`PlanError::Moved`] when it did; [`PlanError::Faulty`] when the result can't stand.
+/// [`PlanError::Conflict`] if an item that the plan changes is not as it was at the plan's version;
+/// [`PlanError::Invalid`] if the result is invalid, for example because another operator removed a
+/// service that the plan's upstreams serve.
 pub fn rebase(plan: &Plan, config: &Config, version: u64) -> Result<Config, PlanError> {
-    let moved: Vec<Item> = plan
+    let conflicts: Vec<Item> = plan
         .changes
         .iter()
-        .filter(|c| text_of(config, &c.item) != c.before)
+        .filter(|c| item_json(config, &c.item) != c.before)
         .map(|c| c.item.clone())
         .collect();
-    if !moved.is_empty() {
-        return Err(PlanError::Moved {
+    if !conflicts.is_empty() {
+        return Err(PlanError::Conflict {
             base: plan.base,
-            now: version,
-            items: moved,
+            current: version,
+            items: conflicts,
         });
     }
     let next = plan.intent.apply(config);
-    let faults = check(&next);
-    if faults.is_empty() {
+    let errors = check(&next);
+    if errors.is_empty() {
         Ok(next)
     } else {
-        Err(PlanError::Faulty { faults })
+        Err(PlanError::Invalid { errors })
     }
 }
--- a/crates/daemon/cloverpier_config/tests/plans.rs
+++ b/crates/daemon/cloverpier_config/tests/plans.rs
@@ -1,9 +1,9 @@
-//! Plans: what an intent would change, races of operators, and bad intents.
+//! Tests of plans: the changes of an intent, conflicts between operators, and invalid intents.
 
 use cloverpier_config::prelude::*;
 use cloverpier_core::{KeyDigest, UpstreamName};
 
-fn base() -> Config {
+fn base_config() -> Config {
     let mut intent = Intent::default();
     intent
         .services
@@ -25,7 +25,7 @@
     )
 }
 
-fn leaving(name: &str) -> Intent {
+fn leave_intent(name: &str) -> Intent {
     Intent {
         leave: vec![name.into()],
         ..Intent::default()
@@ -33,19 +33,19 @@
 }
 
 #[test]
-fn a_plan_reads_as_a_diff() {
-    let mut intent = leaving("e1");
+fn a_plan_lists_changes_with_content_before_and_after() {
+    let mut intent = leave_intent("e1");
     intent.upstreams.insert("e3".into(), engine(9003));
     intent.remove.push(Item::Service("status".into()));
-    let plan = plan(&base(), 4, &intent).unwrap();
+    let plan = plan(&base_config(), 4, &intent).unwrap();
     insta::assert_json_snapshot!(plan.changes);
 }
 
 #[test]
-fn a_plan_whose_things_did_not_move_holds_against_a_later_version() {
-    let config = base();
-    let mine = plan(&config, 1, &leaving("e1")).unwrap();
-    let theirs = leaving("e2").apply(&config);
+fn a_plan_applies_to_a_later_version_that_left_its_items_unchanged() {
+    let config = base_config();
+    let mine = plan(&config, 1, &leave_intent("e1")).unwrap();
+    let theirs = leave_intent("e2").apply(&config);
     let both = rebase(&mine, &theirs, 2).unwrap();
     let state = |name: &str| both.upstreams[&UpstreamName::new(name)].state;
     assert_eq!(state("e1"), UpstreamState::Leaving);
@@ -53,34 +53,34 @@
 }
 
 #[test]
-fn a_plan_whose_things_moved_is_refused_and_names_them() {
-    let config = base();
-    let mine = plan(&config, 1, &leaving("e1")).unwrap();
+fn a_plan_is_rejected_with_its_conflicting_items_when_they_changed() {
+    let config = base_config();
+    let mine = plan(&config, 1, &leave_intent("e1")).unwrap();
     let mut other = Intent::default();
     let mut changed = engine(9001);
     changed.slots = 4;
     other.upstreams.insert("e1".into(), changed);
     let theirs = other.apply(&config);
-    let moved = rebase(&mine, &theirs, 2).unwrap_err();
-    let expected = PlanError::Moved {
+    let error = rebase(&mine, &theirs, 2).unwrap_err();
+    let expected = PlanError::Conflict {
         base: 1,
-        now: 2,
+        current: 2,
         items: vec![Item::Upstream("e1".into())],
     };
-    assert_eq!(moved, expected);
+    assert_eq!(error, expected);
 }
 
 #[test]
-fn an_intent_that_is_met_already_changes_nothing() {
-    let config = base();
-    let left = leaving("e1").apply(&config);
-    let plan = plan(&left, 3, &leaving("e1")).unwrap();
+fn an_intent_that_is_met_already_has_no_changes() {
+    let config = base_config();
+    let left = leave_intent("e1").apply(&config);
+    let plan = plan(&left, 3, &leave_intent("e1")).unwrap();
     assert!(plan.changes.is_empty());
 }
 
 #[test]
-fn all_faults_of_an_intent_are_told_at_once() {
-    let mut intent = leaving("nobody");
+fn all_errors_of_an_intent_are_reported_at_once() {
+    let mut intent = leave_intent("nobody");
     let mut wrong = engine(1);
     wrong.service = "missing".into();
     wrong.slots = 0;
@@ -95,22 +95,22 @@
     service.silence_ms = 1;
     service.max_tokens = 0;
     intent.services.insert("s".into(), service);
-    let PlanError::Faulty { faults } = plan(&base(), 1, &intent).unwrap_err() else {
+    let PlanError::Invalid { errors } = plan(&base_config(), 1, &intent).unwrap_err() else {
         panic!("expected faults");
     };
-    let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
+    let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
     insta::assert_json_snapshot!(lines);
 }
 
 #[test]
-fn a_name_that_left_comes_back_only_as_a_higher_incarnation() {
-    let left = leaving("e1").apply(&base());
+fn an_upstream_that_left_returns_only_with_a_higher_incarnation() {
+    let left = leave_intent("e1").apply(&base_config());
     let mut intent = Intent::default();
     intent.upstreams.insert("e1".into(), engine(9001));
-    let PlanError::Faulty { faults } = plan(&left, 2, &intent).unwrap_err() else {
+    let PlanError::Invalid { errors } = plan(&left, 2, &intent).unwrap_err() else {
         panic!("expected a fault");
     };
-    assert_eq!(faults[0].field, "upstreams.e1.incarnation");
+    assert_eq!(errors[0].field, "upstreams.e1.incarnation");
     let mut next = engine(9001);
     next.incarnation = 2;
     intent.upstreams.insert("e1".into(), next);
@@ -123,16 +123,16 @@
         remove: vec![Item::Service("drafts".into())],
         ..Intent::default()
     };
-    let PlanError::Faulty { faults } = plan(&base(), 1, &intent).unwrap_err() else {
+    let PlanError::Invalid { errors } = plan(&base_config(), 1, &intent).unwrap_err() else {
         panic!("expected faults");
     };
-    let fields: Vec<&str> = faults.iter().map(|f| f.field.as_str()).collect();
+    let fields: Vec<&str> = errors.iter().map(|f| f.field.as_str()).collect();
     assert!(fields.contains(&"upstreams.e1.service"));
     assert!(fields.contains(&"accounts.lab.services"));
 }
 
 #[test]
-fn an_unknown_key_in_an_intent_is_refused_by_name() {
+fn an_unknown_key_in_an_intent_is_rejected_by_name() {
     let text = r#"{"upstreams": {"e1": {"service": "drafts", "addres": "10.0.0.1:1"}}}"#;
     let error = serde_json::from_str::<Intent>(text).unwrap_err();
     assert!(error.to_string().contains("addres"), "{error}");
--- a/crates/daemon/cloverpier_daemon/src/app.rs
+++ b/crates/daemon/cloverpier_daemon/src/app.rs
@@ -7,7 +7,7 @@
 use crate::answers::table::Answers;
 use crate::crashes::state::Crashes;
 use crate::members::cluster::Cluster;
-use cloverpier_config::{Applied, Config};
+use cloverpier_config::{AppliedConfig, Config};
 use cloverpier_core::{hash_of, lock, wall_ms};
 use cloverpier_member::{Member, MemberList};
 use cloverpier_object_api::{Platform, ReadError, WriteError};
@@ -53,7 +53,7 @@
     /// Members, and the detector of silent ones.
     pub cluster: Mutex<Cluster>,
     /// The configuration in force.
-    pub applied: Mutex<Applied>,
+    pub applied: Mutex<AppliedConfig>,
     /// Upstreams as this router sees them.
     pub view: Mutex<View>,
     /// Seeded choices.
--- a/crates/daemon/cloverpier_daemon/src/config/change.rs
+++ b/crates/daemon/cloverpier_daemon/src/config/change.rs
@@ -11,8 +11,8 @@
 use crate::config::{PART_PREFIX, PLAN_PREFIX, ROOT_KEY};
 use crate::error::ApiError;
 use cloverpier_config::{
-    Applied, ApplyStep, Config, Fault, Intent, Item, Part, Plan, PlanError, PlanId, Root, plan,
-    rebase, split,
+    AppliedConfig, ApplyOutcome, Config, FieldError, Intent, Item, Part, Plan, PlanError, PlanId,
+    Root, plan, rebase, split,
 };
 use cloverpier_core::lock;
 use cloverpier_object_api::{Found, WriteError};
@@ -51,16 +51,16 @@
 
 fn plan_error(error: &PlanError) -> ApiError {
     match error {
-        PlanError::Faulty { faults } => {
-            let lines: Vec<String> = faults.iter().map(Fault::to_string).collect();
+        PlanError::Invalid { errors } => {
+            let lines: Vec<String> = errors.iter().map(FieldError::to_string).collect();
             let mut api = ApiError::field(
-                faults.first().map_or("", |f| f.field.as_str()),
+                errors.first().map_or("", |f| f.field.as_str()),
                 lines.join("; "),
             );
             api.code = "invalid_intent";
             api
         }
-        PlanError::Moved { items, .. } => {
+        PlanError::Conflict { items, .. } => {
             let names: Vec<String> = items.iter().map(Item::to_string).collect();
             let message = format!("{error}: {}", names.join(", "));
             ApiError::not_run(StatusCode::CONFLICT, "plan_moved", message)
@@ -77,16 +77,16 @@
         value: Root::default(),
     });
     let known = lock(&app.applied).parts(&value.parts);
-    let mut applied = Applied::default();
+    let mut applied = AppliedConfig::default();
     let mut fetched = known;
-    if let ApplyStep::Lacks { parts } = applied.offer(&value, fetched.clone()) {
+    if let ApplyOutcome::MissingParts { parts } = applied.try_apply(&value, fetched.clone()) {
         for digest in parts {
             let key = format!("{PART_PREFIX}{}", digest.as_str());
             let part = app.platform.read::<Part>(&key).await;
             let part = part.map_err(platform_down)?;
             fetched.extend(part.map(|f| f.value));
         }
-        applied.offer(&value, fetched);
+        applied.try_apply(&value, fetched);
     }
     Ok((version, value, (*applied.config()).clone()))
 }
--- a/crates/daemon/cloverpier_daemon/src/config/learn.rs
+++ b/crates/daemon/cloverpier_daemon/src/config/learn.rs
@@ -1,12 +1,12 @@
 //! How a router learns the configuration: from the platform, or from peers.
 //!
 //! A router serves once it has learned a configuration since it started. Which root is newer is
-//! decided by `cloverpier_config::Applied`.
+//! decided by `cloverpier_config::AppliedConfig`.
 
 use crate::app::App;
 use crate::config::{MARKS_KEY, PART_PREFIX, ROOT_KEY};
 use crate::members;
-use cloverpier_config::{ApplyStep, Part, PartDigest, Root};
+use cloverpier_config::{ApplyOutcome, Part, PartDigest, Root};
 use cloverpier_core::{jitter, lock};
 use cloverpier_object_api::{Found, WriteError};
 use cloverpier_peer::{PeerReply, PeerRequest};
@@ -123,21 +123,21 @@
         return false;
     };
     let digests = match offer(app, &root, Vec::new(), "peer") {
-        ApplyStep::Lacks { parts } => parts,
+        ApplyOutcome::MissingParts { parts } => parts,
         _ => return true,
     };
     let request = PeerRequest::PullParts { digests };
     let reply = app.peers.call(peers_at, &request, PULL_TIMEOUT).await;
     if let Ok(PeerReply::Parts(parts)) = reply {
         let step = offer(app, &root, parts, "peer");
-        return !matches!(step, ApplyStep::Lacks { .. });
+        return !matches!(step, ApplyOutcome::MissingParts { .. });
     }
     false
 }
 
 async fn apply_from_platform(app: &App, root: &Root) -> bool {
     let lacks = match offer(app, root, Vec::new(), "platform") {
-        ApplyStep::Lacks { parts } => parts,
+        ApplyOutcome::MissingParts { parts } => parts,
         _ => return true,
     };
     let mut parts = Vec::new();
@@ -148,7 +148,7 @@
         }
     }
     let step = offer(app, root, parts, "platform");
-    !matches!(step, ApplyStep::Lacks { .. })
+    !matches!(step, ApplyOutcome::MissingParts { .. })
 }
 
 async fn read_part(app: &App, digest: &PartDigest) -> Option<Part> {
@@ -159,13 +159,13 @@
 }
 
 /// Offers a root to this router and puts it in force when nothing is lacking.
-pub(super) fn offer(app: &App, root: &Root, parts: Vec<Part>, from: &'static str) -> ApplyStep {
+pub(super) fn offer(app: &App, root: &Root, parts: Vec<Part>, from: &'static str) -> ApplyOutcome {
     let (step, config) = {
         let mut applied = lock(&app.applied);
-        let step = applied.offer(root, parts);
+        let step = applied.try_apply(root, parts);
         (step, applied.config())
     };
-    if let ApplyStep::InForce { version } = step {
+    if let ApplyOutcome::Applied { version } = step {
         let routers = app.members().members.len();
         let mut view = lock(&app.view);
         view.apply(&config);
