--- a/crates/daemon/cloverpier_daemon/src/answers/attempt.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/attempt.rs
@@ -195,7 +195,7 @@
         quiet.on_event(app.now());
         match take(live, attempt, event) {
             Taken::GoOn => {
-                if !stream.has_buffered() {
+                if !stream.has_buffered_event() {
                     send_news(app, live);
                 }
             }
@@ -252,7 +252,7 @@
     let event = match event {
         Ok(Some(event)) => event,
         Ok(None) => return Taken::Over(Over::Failed(Failure::Closed)),
-        Err(StreamError::Lost { .. }) => {
+        Err(StreamError::ConnectionBroken { .. }) => {
             return Taken::Over(Over::Failed(Failure::ConnectionBroken));
         }
         // All other errors are of the form of an event.
--- a/crates/daemon/cloverpier_daemon/src/answers/failure.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/failure.rs
@@ -60,8 +60,8 @@
 /// What an engine says of itself in its answer to an order, if it answered.
 pub(super) fn said_of(started: &Result<EventStream, StartError>) -> Option<&UpstreamStatement> {
     match started {
-        Ok(stream) => Some(&stream.said),
-        Err(error) => error.said(),
+        Ok(stream) => Some(&stream.statement),
+        Err(error) => error.statement(),
     }
 }
 
@@ -70,6 +70,6 @@
     match error {
         StartError::NotReached { .. } => Failure::NotReached,
         StartError::Refused { .. } => Failure::Refused,
-        StartError::Broken { .. } => Failure::BrokenBeforeStream,
+        StartError::OutcomeUnknown { .. } => Failure::BrokenBeforeStream,
     }
 }
--- a/crates/daemon/cloverpier_daemon/src/app.rs
+++ b/crates/daemon/cloverpier_daemon/src/app.rs
@@ -17,7 +17,7 @@
 use cloverpier_route::View;
 use cloverpier_settings::DaemonSettings;
 use cloverpier_timers::Timers;
-use cloverpier_upstream::Engines;
+use cloverpier_upstream::EnginePool;
 use reqwest::Client;
 use serde::Serialize;
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
     /// Connections to peers.
     pub peers: Peers,
     /// Connections to engines.
-    pub engines: Engines,
+    pub engines: EnginePool,
     /// Connections to plain services; none is kept, so that a call is never
     /// sent into a connection that is closing.
     pub plain: Client,
@@ -94,7 +94,7 @@
             metrics,
             platform: Platform::new(settings.platform),
             peers: Peers::new(settings.peer_secret.clone()),
-            engines: Engines::new(),
+            engines: EnginePool::new(),
             plain: plain_client(),
             cluster: Mutex::new(Cluster::new(&me, now)),
             applied: Mutex::default(),
--- a/crates/daemon/cloverpier_daemon/src/loads.rs
+++ b/crates/daemon/cloverpier_daemon/src/loads.rs
@@ -55,7 +55,7 @@
 }
 
 async fn ask(app: Arc<App>, name: UpstreamName, address: SocketAddr) {
-    let Ok(EngineLoad { load, said }) = app.engines.engine(address).load().await else {
+    let Ok(EngineLoad { load, statement }) = app.engines.engine(address).load().await else {
         return;
     };
     let now = app.now();
@@ -67,6 +67,6 @@
         at: now.checked_sub(age).unwrap_or(now),
     };
     lock(&app.view).on_report(&name, report);
-    statements::hear(&app, &name, &said);
+    statements::hear(&app, &name, &statement);
     app.admission.pump(&app);
 }
--- a/crates/daemon/cloverpier_daemon/src/plain.rs
+++ b/crates/daemon/cloverpier_daemon/src/plain.rs
@@ -14,7 +14,7 @@
 use cloverpier_crashes::{Admission, ContentKey, LossCause, RequestContent};
 use cloverpier_record::{Outcome, Record, Refusal, StoredAnswer};
 use cloverpier_route::{Ask, Choice, Chosen};
-use cloverpier_upstream::{PlainAnswer, PlainCall, PlainError, UpstreamStatement, call_plain};
+use cloverpier_upstream::{PlainCall, PlainError, PlainResponse, UpstreamStatement, call_plain};
 use reqwest::Method;
 use salvo::http::StatusCode;
 use std::sync::Arc;
@@ -53,7 +53,7 @@
     key: &RequestKey,
     req: &PlainCall,
     repeatable: bool,
-) -> Result<PlainAnswer, ApiError> {
+) -> Result<PlainResponse, ApiError> {
     if repeatable {
         call_repeatable(app, service, key, req).await
     } else {
@@ -116,19 +116,19 @@
     content: &RequestContent<'_>,
     chosen: &Chosen,
     req: &PlainCall,
-) -> Result<PlainAnswer, PlainError> {
+) -> Result<PlainResponse, PlainError> {
     let begun = app.now();
     let result = call_plain(&app.plain, chosen.address, req).await;
     match &result {
         Ok(answer) => {
             lock(&app.view).on_success(&chosen.upstream);
-            statements::hear(app, &chosen.upstream, &answer.said);
+            statements::hear(app, &chosen.upstream, &answer.statement);
             crashes::on_completed(app, content);
         }
         Err(error) => {
             // Whatever the cause, it counts as a failure of the upstream.
             lock(&app.view).on_failure(&chosen.upstream, app.now());
-            if error.may_be_end_of_upstream() {
+            if error.may_be_crash() {
                 let ran_for = app.now().saturating_duration_since(begun);
                 crashes::on_lost(
                     app,
@@ -149,7 +149,7 @@
     service: &ServiceName,
     key: &RequestKey,
     req: &PlainCall,
-) -> Result<PlainAnswer, ApiError> {
+) -> Result<PlainResponse, ApiError> {
     let content = content(service, key, req);
     let content_key = ContentKey::of(&content);
     let mut failed = Vec::new();
@@ -167,7 +167,7 @@
             Ok(answer) => return Ok(answer),
             // `try_at` has counted it; the next try goes elsewhere.
             Err(error) => {
-                may_have_run |= matches!(error, PlainError::NoReply { .. });
+                may_have_run |= matches!(error, PlainError::NoResponse { .. });
                 failed.push(chosen.upstream);
             }
         }
@@ -188,7 +188,7 @@
     service: &ServiceName,
     key: &RequestKey,
     req: &PlainCall,
-) -> Result<PlainAnswer, ApiError> {
+) -> Result<PlainResponse, ApiError> {
     let body = body_digest(req);
     let written = match claims::claim(app, key, body).await {
         Ok(written) => written,
@@ -206,7 +206,7 @@
     service: ServiceName,
     written: Written,
     req: PlainCall,
-) -> Result<PlainAnswer, ApiError> {
+) -> Result<PlainResponse, ApiError> {
     let content = content(&service, &written.key, &req);
     let content_key = ContentKey::of(&content);
     let mut failed = Vec::new();
@@ -226,8 +226,8 @@
                 return Ok(answer);
             }
             // No byte can have reached it: another one may be tried.
-            Err(PlainError::NeverSent { .. }) => failed.push(chosen.upstream),
-            Err(PlainError::NoReply { .. }) => {
+            Err(PlainError::NotReached { .. }) => failed.push(chosen.upstream),
+            Err(PlainError::NoResponse { .. }) => {
                 claims::settle(&app, &written, &Outcome::Unknown).await;
                 return Err(ApiError::unknown(
                     "the upstream did not answer; it may have run the call",
@@ -239,7 +239,7 @@
     Err(nobody(&app, &service))
 }
 
-fn stored(answer: &PlainAnswer) -> StoredAnswer {
+fn stored(answer: &PlainResponse) -> StoredAnswer {
     let keep = answer.body.len() <= KEEP_BODY;
     StoredAnswer {
         status: answer.status,
@@ -256,7 +256,7 @@
 }
 
 /// Answers a key that was claimed before.
-fn from_record(record: Record, body: u64) -> Result<PlainAnswer, ApiError> {
+fn from_record(record: Record, body: u64) -> Result<PlainResponse, ApiError> {
     if record.body != body {
         let message = "the key was used for another request";
         let error = ApiError::not_run(StatusCode::UNPROCESSABLE_ENTITY, "key_reused", message);
@@ -270,11 +270,11 @@
             status,
             content_type,
             body: Some(body),
-        }) => Ok(PlainAnswer {
+        }) => Ok(PlainResponse {
             status,
             content_type,
             body: body.into(),
-            said: UpstreamStatement::default(),
+            statement: UpstreamStatement::default(),
         }),
         Outcome::Done(_) => {
             let message = "the request was run before; its answer was too large to keep";
--- a/crates/daemon/cloverpier_daemon/src/web/services.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/services.rs
@@ -8,7 +8,7 @@
 use crate::web::app_of;
 use crate::web::request::{caller, keyed, may_take, raw_body, repeatable};
 use cloverpier_config::ServiceKind;
-use cloverpier_upstream::{PlainAnswer, PlainCall};
+use cloverpier_upstream::{PlainCall, PlainResponse};
 use reqwest::Method;
 use salvo::http::header::CONTENT_TYPE;
 use salvo::http::{HeaderValue, StatusCode};
@@ -33,7 +33,7 @@
     }
 }
 
-async fn pass_on(app: &Arc<App>, req: &mut Request) -> Result<PlainAnswer, ApiError> {
+async fn pass_on(app: &Arc<App>, req: &mut Request) -> Result<PlainResponse, ApiError> {
     may_take(app)?;
     let caller = caller(app, req)?;
     // The route has the parameter, so it is always there.
@@ -68,7 +68,7 @@
     plain::call(app, &service, &keyed.key, &call, may_repeat).await
 }
 
-fn render(res: &mut Response, answer: PlainAnswer) {
+fn render(res: &mut Response, answer: PlainResponse) {
     let status = StatusCode::from_u16(answer.status);
     // A status that does not exist is the upstream's fault.
     res.status_code(status.unwrap_or(StatusCode::BAD_GATEWAY));
--- a/crates/daemon/cloverpier_upstream/src/engine.rs
+++ b/crates/daemon/cloverpier_upstream/src/engine.rs
@@ -1,6 +1,7 @@
-//! Calls to a model engine.
+//! HTTP client of model engines.
 //!
-//! Each failure says whether the generation can have run. Owns the connections to engines.
+//! An error of a call distinguishes whether the engine may have run the generation. Owns the
+//! connections to engines, which are reused.
 
 use crate::statement::UpstreamStatement;
 use crate::wire::{EngineEvent, GenerateBody, GenerationBody, LoadBody};
@@ -14,83 +15,84 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a connection to an engine may take to come up.
+/// Timeout of connecting to an engine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long an engine may take to answer a question or a cancellation.
+/// Timeout of a whole load query or cancellation, from the request to the end of the response.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(800);
-/// Bytes of a line of an engine's stream at most; a longer one ends the stream.
-const MAX_LINE: usize = 1 << 20;
+/// Upper bound of the buffered bytes of an engine's stream that contain no whole line; a longer line
+/// fails the stream.
+const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// Why a generation did not start.
+/// The reason why a generation was not started or resumed.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// The engine was never reached: the generation did not run.
-    #[snafu(display("no connection: {source}"))]
+    /// No connection to the engine was established: the generation did not run.
+    #[snafu(display("no connection to the engine: {source}"))]
     NotReached {
-        /// What the call ran into.
+        /// The error of the HTTP client.
         source: reqwest::Error,
     },
-    /// The engine refused it: the generation did not run.
-    #[snafu(display("refused with status {status}"))]
+    /// The engine refused the request with a status other than 200: the generation did not run.
+    #[snafu(display("the engine refused the request with status {status}"))]
     Refused {
         /// The HTTP status.
         status: u16,
-        /// What the engine says of itself.
-        said: UpstreamStatement,
+        /// The announcements in the response's headers.
+        statement: UpstreamStatement,
     },
-    /// The connection broke after the order may have arrived.
-    #[snafu(display("broken: {source}"))]
-    Broken {
-        /// What the call ran into.
+    /// The request failed after the engine may have received it: the generation may have run.
+    #[snafu(display("the request to the engine failed: {source}"))]
+    OutcomeUnknown {
+        /// The error of the HTTP client.
         source: reqwest::Error,
     },
 }
 
 impl StartError {
-    /// Whether the generation certainly did not run.
+    /// Whether it is certain that this call did not start the generation.
     pub fn not_run(&self) -> bool {
-        !matches!(self, Self::Broken { .. })
+        !matches!(self, Self::OutcomeUnknown { .. })
     }
 
-    /// What the engine says of itself, if it answered.
-    pub fn said(&self) -> Option<&UpstreamStatement> {
+    /// The announcements in the engine's response; `None` if no response arrived.
+    pub fn statement(&self) -> Option<&UpstreamStatement> {
         match self {
-            Self::Refused { said, .. } => Some(said),
-            Self::NotReached { .. } | Self::Broken { .. } => None,
+            Self::Refused { statement, .. } => Some(statement),
+            Self::NotReached { .. } | Self::OutcomeUnknown { .. } => None,
         }
     }
 }
 
-/// Why a stream ended before its end.
+/// The reason why a stream of events failed before the end of its response.
 #[derive(Debug, Snafu)]
 pub enum StreamError {
-    /// The connection broke.
-    #[snafu(display("broken: {source}"))]
-    Lost {
-        /// What the stream ran into.
+    /// The connection broke before the response was complete.
+    #[snafu(display("the connection to the engine broke: {source}"))]
+    ConnectionBroken {
+        /// The error of the HTTP client.
         source: reqwest::Error,
     },
-    /// A line is not of the expected shape.
-    #[snafu(display("a line can't be read: {source}"))]
-    Line {
-        /// What is wrong.
+    /// A line is not the JSON of an [`EngineEvent`].
+    #[snafu(display("a line of the engine's stream is no valid event: {source}"))]
+    InvalidLine {
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
-    /// A line is longer than any token.
-    #[snafu(display("a line is longer than {MAX_LINE} bytes"))]
-    LongLine,
+    /// A line exceeds the bound on buffered bytes, which is far above the length of any token.
+    #[snafu(display("a line of the engine's stream is longer than {MAX_LINE_BYTES} bytes"))]
+    LineTooLong,
 }
 
-/// Connections to engines.
+/// A pool of connections to engines; clones share the pool.
 #[derive(Clone, Debug)]
-pub struct Engines {
+pub struct EnginePool {
     http: Client,
 }
 
-impl Engines {
-    /// A pool without connections.
+impl EnginePool {
+    /// Creates a pool without open connections.
     pub fn new() -> Self {
-        // The builder fails only where TLS can't be set up, and none is in use.
+        // The builder fails only if TLS can't be set up, and this client uses no TLS.
         let http = Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
             .tcp_nodelay(true)
@@ -100,7 +102,7 @@
         }
     }
 
-    /// The engine at an address.
+    /// A client of the engine at an address; connects on the first call.
     pub fn engine(&self, address: SocketAddr) -> Engine {
         Engine {
             http: self.http.clone(),
@@ -109,13 +111,13 @@
     }
 }
 
-impl Default for Engines {
+impl Default for EnginePool {
     fn default() -> Self {
         Self::new()
     }
 }
 
-/// One engine.
+/// A client of one engine, which shares the connections of its [`EnginePool`].
 #[derive(Clone, Debug)]
 pub struct Engine {
     http: Client,
@@ -123,20 +125,23 @@
 }
 
 impl Engine {
-    /// Starts a generation.
+    /// Starts a generation and returns its events.
+    ///
+    /// Has no timeout: the caller bounds the wait for the response.
     ///
     /// # Errors
     ///
-    /// [`StartError`] says whether it certainly did not run.
+    /// [`StartError::not_run`] is whether it is certain that the generation did not run.
     pub async fn generate(&self, body: &GenerateBody) -> Result<EventStream, StartError> {
         self.start("generate", body).await
     }
 
-    /// Goes on with the stream of a generation that the engine still runs.
+    /// Resumes the stream of a generation that the engine still holds, from the body's offset on.
     ///
     /// # Errors
     ///
-    /// [`StartError::Refused`] when the engine doesn't know it or no longer has the tokens.
+    /// [`StartError::Refused`] if the engine doesn't hold the generation, or not the tokens from that
+    /// offset on.
     pub async fn resume(&self, body: &GenerationBody) -> Result<EventStream, StartError> {
         self.start("resume", body).await
     }
@@ -146,64 +151,65 @@
             .http
             .post(format!("{}/v1/{call}", self.base))
             .json(body);
-        let res = req.send().await.map_err(start_error)?;
+        let res = req.send().await.map_err(classify_send_error)?;
         if res.status() != StatusCode::OK {
             return RefusedSnafu {
                 status: res.status().as_u16(),
-                said: UpstreamStatement::of(&res),
+                statement: UpstreamStatement::from_response(&res),
             }
             .fail();
         }
         Ok(EventStream::new(res))
     }
 
-    /// Ends a generation whose answer nobody wants any more.
+    /// Cancels a generation whose answer is no longer needed, and ignores a failure to do so.
     pub async fn cancel(&self, generation: &str) {
         let body = GenerationBody {
             generation: generation.to_owned(),
             offset: 0,
         };
         let req = self.http.post(format!("{}/v1/cancel", self.base));
-        // A lost cancel costs the engine some tokens and the caller nothing.
+        // If the request is lost, the engine generates some tokens in vain; no caller is affected.
         let _ = req.timeout(QUERY_TIMEOUT).json(&body).send().await;
     }
 
-    /// Asks for the engine's load.
+    /// Queries the engine's load.
     ///
     /// # Errors
     ///
-    /// The error of the call; an engine that doesn't answer isn't idle.
+    /// The error of the HTTP client, if no valid response arrives within 800 ms. The caller must not
+    /// take an engine without a response for idle.
     pub async fn load(&self) -> Result<EngineLoad, reqwest::Error> {
         let req = self.http.get(format!("{}/v1/load", self.base));
         let res = req.timeout(QUERY_TIMEOUT).send().await?;
-        let mut said = UpstreamStatement::of(&res);
+        let mut statement = UpstreamStatement::from_response(&res);
         let load: LoadBody = res.error_for_status()?.json().await?;
-        said.is_leaving |= load.leaving;
-        Ok(EngineLoad { load, said })
+        statement.is_leaving |= load.leaving;
+        Ok(EngineLoad { load, statement })
     }
 }
 
-fn start_error(source: reqwest::Error) -> StartError {
+fn classify_send_error(source: reqwest::Error) -> StartError {
     if source.is_connect() {
         StartError::NotReached { source }
     } else {
-        StartError::Broken { source }
+        StartError::OutcomeUnknown { source }
     }
 }
 
-/// An engine's answer on its load.
+/// An engine's response to a load query.
 #[derive(Clone, Debug)]
 pub struct EngineLoad {
-    /// Its load.
+    /// The reported load.
     pub load: LoadBody,
-    /// What it says of itself.
-    pub said: UpstreamStatement,
+    /// The announcements in the response's headers; `is_leaving` is also set if the load report has it.
+    pub statement: UpstreamStatement,
 }
 
-/// The events of a generation.
+/// The stream of a generation's events.
 pub struct EventStream {
-    /// What the engine says of itself.
-    pub said: UpstreamStatement,
+    /// The announcements in the response's headers.
+    pub statement: UpstreamStatement,
     body: BoxStream<'static, Result<Bytes, reqwest::Error>>,
     buf: BytesMut,
 }
@@ -217,35 +223,42 @@
 impl EventStream {
     fn new(res: Response) -> Self {
         Self {
-            said: UpstreamStatement::of(&res),
+            statement: UpstreamStatement::from_response(&res),
             body: res.bytes_stream().boxed(),
             buf: BytesMut::new(),
         }
     }
 
-    /// The next event; `None` when the stream was closed.
+    /// Returns the next event; `None` once the engine closed the stream, whether or not a
+    /// [`EngineEvent::Finish`] came before.
+    ///
+    /// Cancellation-safe: no bytes are lost if the future is dropped.
     ///
     /// # Errors
     ///
-    /// [`StreamError`] when the connection breaks or a line makes no sense.
+    /// [`StreamError`] if the connection breaks or a line is invalid or too long.
     pub async fn next(&mut self) -> Result<Option<EngineEvent>, StreamError> {
         loop {
             if let Some(end) = self.buf.iter().position(|b| *b == b'\n') {
                 let line = self.buf.split_to(end + 1);
-                return serde_json::from_slice(&line).map(Some).context(LineSnafu);
+                return serde_json::from_slice(&line)
+                    .map(Some)
+                    .context(InvalidLineSnafu);
             }
-            if self.buf.len() > MAX_LINE {
-                return LongLineSnafu.fail();
+            if self.buf.len() > MAX_LINE_BYTES {
+                return LineTooLongSnafu.fail();
             }
             match self.body.next().await {
                 None => return Ok(None),
-                Some(chunk) => self.buf.extend_from_slice(&chunk.context(LostSnafu)?),
+                Some(chunk) => self
+                    .buf
+                    .extend_from_slice(&chunk.context(ConnectionBrokenSnafu)?),
             }
         }
     }
 
-    /// Whether a whole event is buffered already.
-    pub fn has_buffered(&self) -> bool {
+    /// Whether [`EventStream::next`] would return without waiting for more bytes.
+    pub fn has_buffered_event(&self) -> bool {
         self.buf.contains(&b'\n')
     }
 }
--- a/crates/daemon/cloverpier_upstream/src/lib.rs
+++ b/crates/daemon/cloverpier_upstream/src/lib.rs
@@ -1,18 +1,17 @@
-//! Model engines and plain services, met through their protocols.
+//! HTTP clients of model engines and plain services.
 //!
-//! All knowledge of an upstream's wire shapes is here. Failures are
-//! distinguished by what they mean for the request: whether it can have run. No
-//! connection to a plain service is kept, so a connection that was never made
-//! proves that nothing ran, and `reqwest` does. The router on the platform keeps
-//! connections and has to know whether a byte was written
-//! (`cloverpier_router::connection`).
+//! This crate owns the wire formats of upstreams. Its errors distinguish whether the upstream may
+//! have executed the request. Connections to plain services are not reused, so only a failed
+//! connection attempt proves that a request was not executed, and `reqwest` reports that case. The
+//! router on the platform reuses connections and therefore has to find out whether a byte was
+//! written (`cloverpier_router::connection`).
 //!
 //! ```no_run
-//! # async fn example(order: cloverpier_upstream::GenerateBody) {
+//! # async fn example(request: cloverpier_upstream::GenerateBody) {
 //! use cloverpier_upstream::prelude::*;
 //!
-//! let engine = Engines::new().engine("127.0.0.1:9000".parse().unwrap());
-//! let mut stream = engine.generate(&order).await.unwrap();
+//! let engine = EnginePool::new().engine("127.0.0.1:9000".parse().unwrap());
+//! let mut stream = engine.generate(&request).await.unwrap();
 //! while let Ok(Some(event)) = stream.next().await {
 //!     println!("{event:?}");
 //! }
@@ -24,10 +23,10 @@
 mod statement;
 mod wire;
 
-/// What users of the crate need daily.
+/// All public types and functions, for a glob import.
 pub mod prelude {
-    pub use crate::engine::{Engine, EngineLoad, Engines, EventStream, StartError, StreamError};
-    pub use crate::plain::{PlainAnswer, PlainCall, PlainError, call_plain};
+    pub use crate::engine::{Engine, EngineLoad, EnginePool, EventStream, StartError, StreamError};
+    pub use crate::plain::{PlainCall, PlainError, PlainResponse, call_plain};
     pub use crate::statement::UpstreamStatement;
     pub use crate::wire::{EngineEvent, GenerateBody, GenerationBody, LoadBody};
 }
--- a/crates/daemon/cloverpier_upstream/src/plain.rs
+++ b/crates/daemon/cloverpier_upstream/src/plain.rs
@@ -1,7 +1,8 @@
-//! Calls to a plain service.
+//! HTTP calls to plain services.
 //!
-//! A failure says whether a byte can have reached the service. No connection is kept, as one that
-//! closes while a call is sent leaves that open.
+//! An error distinguishes whether bytes of the request may have reached the service. The caller
+//! passes in an HTTP client that doesn't reuse connections: if the service closes an idle connection
+//! while a request is being sent, it is uncertain whether the request arrived.
 
 use crate::statement::UpstreamStatement;
 use bytes::Bytes;
@@ -11,72 +12,74 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A call as it is passed on.
+/// A call as the router forwards it to the service.
 #[derive(Clone, Debug)]
 pub struct PlainCall {
-    /// The method.
+    /// The method of the caller's request.
     pub method: Method,
     /// Path and query, with the leading slash.
     pub path: String,
-    /// The content type of the body.
+    /// The `Content-Type` of the body; `None` if the caller sent none.
     pub content_type: Option<String>,
-    /// The request's key, passed on as `Idempotency-Key`.
+    /// The idempotency key of the request, sent in the `Idempotency-Key` header.
     pub key: String,
-    /// The body.
+    /// The body of the caller's request.
     pub body: Bytes,
-    /// The longest wait for an answer.
+    /// Timeout of the whole call, from connecting to the end of the response.
     pub timeout: Duration,
 }
 
-/// A plain service's answer.
+/// A plain service's response.
 #[derive(Clone, Debug)]
-pub struct PlainAnswer {
+pub struct PlainResponse {
     /// The HTTP status.
     pub status: u16,
-    /// The content type.
+    /// The `Content-Type` of the body; `None` if the header is absent or not ASCII text.
     pub content_type: Option<Arc<str>>,
-    /// The body.
+    /// The whole body.
     pub body: Bytes,
-    /// What the server says of itself; nothing where the answer is one that was kept.
-    pub said: UpstreamStatement,
+    /// The announcements in the response's headers; empty if the response is a stored one.
+    pub statement: UpstreamStatement,
 }
 
-/// Why a call has no answer.
+/// The reason why a call has no response.
 #[derive(Debug, Snafu)]
 pub enum PlainError {
-    /// The server was never reached: the call did not run.
-    #[snafu(display("no connection: {source}"))]
-    NeverSent {
-        /// What the call ran into.
+    /// No connection to the server was established: the call was not executed.
+    #[snafu(display("no connection to the server: {source}"))]
+    NotReached {
+        /// The error of the HTTP client.
         source: reqwest::Error,
     },
-    /// The connection broke or no answer came in time: the call may have run.
-    #[snafu(display("no answer: {source}"))]
-    NoReply {
-        /// What the call ran into.
+    /// The connection broke, or the timeout passed, before the response was complete: the call may
+    /// have been executed.
+    #[snafu(display("no complete response from the server: {source}"))]
+    NoResponse {
+        /// The error of the HTTP client.
         source: reqwest::Error,
     },
 }
 
 impl PlainError {
-    /// Whether the server may have ended while it had the call: the connection broke before the time
-    /// was over.
-    pub fn may_be_end_of_upstream(&self) -> bool {
-        matches!(self, Self::NoReply { source } if !source.is_timeout())
+    /// Whether the server may have crashed while it executed the call: an established connection
+    /// broke before the timeout.
+    pub fn may_be_crash(&self) -> bool {
+        matches!(self, Self::NoResponse { source } if !source.is_timeout())
     }
 }
 
-/// Passes a call on.
+/// Forwards a call to the server at `address` and returns its response, whatever the status.
+///
+/// `http` must not reuse connections (see the module).
 ///
 /// # Errors
 ///
-/// [`PlainError`] says whether the call certainly did not run: only a
-/// connection that was never made proves it.
+/// [`PlainError::NotReached`] is the only error that proves that the call was not executed.
 pub async fn call_plain(
     http: &Client,
     address: SocketAddr,
     call: &PlainCall,
-) -> Result<PlainAnswer, PlainError> {
+) -> Result<PlainResponse, PlainError> {
     let url = format!("http://{address}{}", call.path);
     let mut req = http
         .request(call.method.clone(), url)
@@ -88,24 +91,24 @@
     }
     let res = req.send().await.map_err(|source| {
         if source.is_connect() {
-            PlainError::NeverSent { source }
+            PlainError::NotReached { source }
         } else {
-            PlainError::NoReply { source }
+            PlainError::NoResponse { source }
         }
     })?;
     let status = res.status().as_u16();
-    let said = UpstreamStatement::of(&res);
+    let statement = UpstreamStatement::from_response(&res);
     let kind = res.headers().get("Content-Type");
-    // A type that is no text is left out of the answer.
+    // A content type that is not ASCII text is omitted from the response.
     let content_type = kind.and_then(|v| v.to_str().ok()).map(Arc::from);
     let body = res
         .bytes()
         .await
-        .map_err(|source| PlainError::NoReply { source })?;
-    Ok(PlainAnswer {
+        .map_err(|source| PlainError::NoResponse { source })?;
+    Ok(PlainResponse {
         status,
         content_type,
         body,
-        said,
+        statement,
     })
 }
--- a/crates/daemon/cloverpier_upstream/src/wire.rs
+++ b/crates/daemon/cloverpier_upstream/src/wire.rs
@@ -1,36 +1,37 @@
-//! Shapes of the engine's JSON.
+//! The JSON bodies of the engine's protocol.
 //!
-//! Names of fields are the engine's. Nothing outside this crate sees them but stand-ins.
+//! The engine's protocol defines the names of fields and variants. Besides the clients in this
+//! crate, the router uses the types to build requests, and the stand-in engine implements them.
 
 use cloverpier_core::{AdapterName, ModelName};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// An order to generate.
+/// The request to start a generation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct GenerateBody {
-    /// Names the generation; unique for each attempt.
+    /// Id of the generation, assigned by the router; unique for each attempt.
     pub generation: String,
-    /// The model that must be loaded.
+    /// The model that the engine must have loaded.
     pub model: ModelName,
-    /// The prompt.
+    /// The text to generate an answer for.
     pub prompt: Arc<str>,
-    /// Tokens that an earlier attempt has generated; the new ones go on from there.
+    /// Tokens of the answer that earlier attempts generated; the generation continues after them.
     pub prefix: Vec<Arc<str>>,
-    /// The most tokens of the whole answer, the prefix included.
+    /// Upper bound of the tokens of the whole answer, including `prefix`.
     pub max_tokens: u32,
-    /// 0 to 9; higher goes first.
+    /// 0 to 9; the engine starts requests of higher priority first.
     pub priority: u8,
-    /// The adapter, when one is asked for.
+    /// The model adapter to apply; `None` for the plain model.
     pub adapter: Option<AdapterName>,
 }
 
-/// Names a generation and an offset in its answer.
+/// The request to resume or cancel a generation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct GenerationBody {
-    /// The generation.
+    /// Id of the generation, as in [`GenerateBody::generation`].
     pub generation: String,
-    /// Where to go on, for a resume.
+    /// Offset in the whole answer of the first token to send again; a cancellation ignores it.
     #[serde(default)]
     pub offset: u64,
 }
@@ -39,33 +40,33 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineEvent {
-    /// A token of the answer.
+    /// A generated token.
     Token {
-        /// Its offset in the whole answer.
+        /// Number of tokens before this one in the whole answer, including the request's prefix.
         offset: u64,
-        /// Its text.
+        /// Text of the token.
         text: Arc<str>,
     },
-    /// The end of the answer.
+    /// The end of the generation, after the last token.
     Finish {
-        /// Tokens in the whole answer.
+        /// Number of tokens in the whole answer, including the request's prefix.
         at: u64,
-        /// Whether the limit ended it.
+        /// Whether the answer ended because it reached `max_tokens`.
         length: bool,
     },
 }
 
-/// A load report.
+/// The engine's load, as its response to a load query reports it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadBody {
-    /// Generations that run.
+    /// Number of running generations.
     pub running: u32,
-    /// Generations that wait.
+    /// Number of generations in the engine's queue.
     pub waiting: u32,
-    /// Generations that can run at once.
+    /// Upper bound of concurrently running generations.
     pub slots: u32,
-    /// Whether the upstream is about to leave.
+    /// Whether the engine is about to stop and accepts no new generations.
     pub leaving: bool,
-    /// Age of the report, in milliseconds.
+    /// Time since the engine measured the other values, in milliseconds.
     pub age_ms: u64,
 }
