--- a/crates/daemon/cloverpier_daemon/src/answers/outbox.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/outbox.rs
@@ -11,7 +11,7 @@
 use cloverpier_answer::{Entry, EntryHead};
 use cloverpier_core::{MemberId, hash_of, lock, rendezvous_rank};
 use cloverpier_member::Member;
-use cloverpier_peer::{LocateNote, PeerReply, PeerRequest};
+use cloverpier_peer::{CopyLocation, PeerReply, PeerRequest};
 use serde::Serialize;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -77,7 +77,7 @@
     let holder = holder?;
     tokio::spawn(tell_directory(
         Arc::clone(app),
-        LocateNote {
+        CopyLocation {
             key: live.key.clone(),
             holder: holder.clone(),
         },
@@ -115,7 +115,7 @@
     first.first().map(|m| m.id.clone())
 }
 
-async fn tell_directory(app: Arc<App>, note: LocateNote) {
+async fn tell_directory(app: Arc<App>, note: CopyLocation) {
     let list = app.members();
     for member in noted_at(&list, &note.key) {
         if member == app.me.id {
--- a/crates/daemon/cloverpier_daemon/src/app.rs
+++ b/crates/daemon/cloverpier_daemon/src/app.rs
@@ -12,7 +12,7 @@
 use cloverpier_member::{Member, MemberList};
 use cloverpier_object_api::{Platform, ReadError, WriteError};
 use cloverpier_observe::{Log, Metrics};
-use cloverpier_peer::{PeerReply, PeerRequest, Peers, Versions};
+use cloverpier_peer::{PeerClient, PeerReply, PeerRequest, Versions};
 use cloverpier_record::{Horizon, Records};
 use cloverpier_route::View;
 use cloverpier_settings::DaemonSettings;
@@ -44,7 +44,7 @@
     /// The platform.
     pub platform: Platform,
     /// Connections to peers.
-    pub peers: Peers,
+    pub peers: PeerClient,
     /// Connections to engines.
     pub engines: EnginePool,
     /// Connections to plain services; none is kept, so that a call is never
@@ -93,7 +93,7 @@
             log,
             metrics,
             platform: Platform::new(settings.platform),
-            peers: Peers::new(settings.peer_secret.clone()),
+            peers: PeerClient::new(settings.peer_secret.clone()),
             engines: EnginePool::new(),
             plain: plain_client(),
             cluster: Mutex::new(Cluster::new(&me, now)),
--- a/crates/daemon/cloverpier_daemon/src/config/acceptance.rs
+++ b/crates/daemon/cloverpier_daemon/src/config/acceptance.rs
@@ -148,7 +148,7 @@
             router: Some(router(Some(versions.config))),
             guests,
         },
-        Err(e) if e.nobody_listens() => Asked {
+        Err(e) if e.is_connect_error() => Asked {
             router: None,
             guests: Vec::new(),
         },
--- a/crates/daemon/cloverpier_daemon/src/web/peers.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/peers.rs
@@ -10,7 +10,9 @@
 use cloverpier_answer::Entry;
 use cloverpier_core::{MemberId, RequestKey, lock, same_secret};
 use cloverpier_member::Member;
-use cloverpier_peer::{LocateNote, PEER_HEADER, PeerReply, PeerRequest, Versions, decode, encode};
+use cloverpier_peer::{
+    CopyLocation, PEER_HEADER, PeerReply, PeerRequest, Versions, decode, encode,
+};
 use cloverpier_record::{ClaimId, Outcome, Slot};
 use salvo::http::StatusCode;
 use salvo::prelude::*;
@@ -143,7 +145,7 @@
     PeerReply::Seal(copies.seal(key, term, owner, app.now()))
 }
 
-fn on_note(app: &App, notes: Vec<LocateNote>) -> PeerReply {
+fn on_note(app: &App, notes: Vec<CopyLocation>) -> PeerReply {
     let now = app.now();
     let mut directory = lock(&app.answers.directory);
     for note in notes {
--- a/crates/daemon/cloverpier_peer/src/client.rs
+++ b/crates/daemon/cloverpier_peer/src/client.rs
@@ -1,7 +1,8 @@
-//! Calls to peers.
+//! HTTP client for calls to peers.
 //!
-//! One request, one reply, over kept connections; owns the counts of bytes. A closed port is
-//! distinguished from silence, as no process acts on anything there.
+//! Each call sends one request and receives one reply. Owns the reused connections to peers and the
+//! counts of calls and bytes. Errors distinguish a failed connection from a timeout, because callers
+//! take the first as a sign that no router process runs at the address.
 
 use crate::message::{CodecError, PeerReply, PeerRequest, decode, encode};
 use cloverpier_core::Secret;
@@ -12,85 +13,88 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Connections that nobody used for this long are closed: a confirmation asks every member, and
-/// must not leave a connection to each.
-const IDLE_CONNECTION: Duration = Duration::from_secs(5);
-/// Idle connections kept to one peer at most.
-const IDLE_CONNECTIONS: usize = 4;
+/// A connection that has been idle for this time is closed. The confirmation of a configuration calls
+/// every member, and must not leave a connection to each of them open.
+const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
+/// Upper bound of the idle connections to one peer.
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
-/// How long a connection to a peer may take to come up.
+/// Timeout of connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The header that carries the peers' secret.
+/// The request header with the secret that all routers share; a peer rejects a request without the
+/// right one.
 pub const PEER_HEADER: &str = "cloverpier-peer";
 
-/// Why a call to a peer has no reply.
+/// The reason why a call to a peer has no reply.
 #[derive(Debug, Snafu)]
 pub enum PeerError {
-    /// The peer can't be reached or did not answer in time.
-    #[snafu(display("no reply: {source}"))]
+    /// The connection failed, or no complete reply arrived before the timeout.
+    #[snafu(display("no reply from the peer: {source}"))]
     NoReply {
-        /// What the call ran into.
+        /// The error of the HTTP client.
         source: reqwest::Error,
     },
-    /// The peer refused the call.
-    #[snafu(display("refused with status {status}"))]
+    /// The peer sent a status other than 200, such as 401 for a wrong secret or 400 for a request
+    /// that it can't decode.
+    #[snafu(display("the peer rejected the request with status {status}"))]
     Rejected {
         /// The HTTP status.
         status: u16,
     },
-    /// The reply can't be read, or the request can't be written.
+    /// The request can't be encoded, or the reply can't be decoded.
     #[snafu(display("{source}"), context(false))]
     Codec {
-        /// Why.
+        /// The error of the codec.
         source: CodecError,
     },
-    /// The reply is of another kind than the request asks for.
-    #[snafu(display("a reply of another kind"))]
-    OtherKind,
+    /// The reply is not of the variant that belongs to the request.
+    #[snafu(display("the peer's reply does not match the request"))]
+    UnexpectedReply,
 }
 
 impl PeerError {
-    /// Whether the peer's machine answered that no process listens there.
-    pub fn nobody_listens(&self) -> bool {
+    /// Whether connecting to the peer failed before the timeout, as when the peer's machine refuses
+    /// the connection because no process listens on the port.
+    pub fn is_connect_error(&self) -> bool {
         matches!(self, Self::NoReply { source } if source.is_connect() && !source.is_timeout())
     }
 }
 
-/// Connections to peers, and the bytes that went over them.
+/// A client for calls to all peers; clones share the connections and the counts.
 #[derive(Clone, Debug)]
-pub struct Peers {
+pub struct PeerClient {
     http: Client,
     secret: Secret,
-    traffic: Arc<Counters>,
+    traffic: Arc<TrafficCounters>,
 }
 
 #[derive(Debug, Default)]
-struct Counters {
+struct TrafficCounters {
     calls: AtomicU64,
     sent: AtomicU64,
     received: AtomicU64,
 }
 
-/// What went to peers and came back so far.
+/// Counts of the calls through a [`PeerClient`] and its clones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Calls.
+    /// Number of calls, including failed ones.
     pub calls: u64,
-    /// Bytes of bodies sent.
+    /// Bytes of the bodies of all requests.
     pub sent: u64,
-    /// Bytes of bodies received.
+    /// Bytes of the bodies of the replies with status 200.
     pub received: u64,
 }
 
-impl Peers {
-    /// A pool without connections.
+impl PeerClient {
+    /// Creates a client without open connections; `secret` authenticates its requests.
     pub fn new(secret: Secret) -> Self {
         let http = Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
             .tcp_nodelay(true)
-            .pool_idle_timeout(IDLE_CONNECTION)
-            .pool_max_idle_per_host(IDLE_CONNECTIONS)
+            .pool_idle_timeout(IDLE_CONNECTION_TIMEOUT)
+            .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
             .redirect(reqwest::redirect::Policy::none())
             .build();
         Self {
@@ -100,11 +104,13 @@
         }
     }
 
-    /// Sends a request and waits for its reply.
+    /// Sends a request to the peer that listens at `peers_at` and waits for its reply.
+    ///
+    /// `timeout` bounds the whole call, including connecting.
     ///
     /// # Errors
     ///
-    /// [`PeerError`]; the peer may have acted on the request all the same.
+    /// [`PeerError`]; the peer may have executed the request even then.
     pub async fn call(
         &self,
         peers_at: SocketAddr,
@@ -134,7 +140,7 @@
         Ok(decode(&body)?)
     }
 
-    /// What went to peers and came back so far.
+    /// The current counts of calls and bytes.
     pub fn traffic(&self) -> Traffic {
         Traffic {
             calls: self.traffic.calls.load(Ordering::Relaxed),
--- a/crates/daemon/cloverpier_peer/src/lib.rs
+++ b/crates/daemon/cloverpier_peer/src/lib.rs
@@ -1,7 +1,8 @@
-//! What routers say to each other: typed messages in `MessagePack` over HTTP.
+//! The protocol between routers: typed messages in `MessagePack` over HTTP.
 //!
-//! One request has one reply. Fields are written by name, so that routers of
-//! two releases understand each other while a fleet is upgraded.
+//! Each request has one reply. Fields are encoded by name, so that routers of two releases can
+//! decode each other's messages while a fleet is upgraded. This crate holds the messages, their
+//! codec and the client; the server is part of `cloverpier_daemon`.
 //!
 //! ```
 //! use cloverpier_peer::prelude::*;
@@ -13,11 +14,11 @@
 mod client;
 mod message;
 
-/// What users of the crate need daily.
+/// All public types and functions, for a glob import.
 pub mod prelude {
-    pub use crate::client::{PEER_HEADER, PeerError, Peers, Traffic};
+    pub use crate::client::{PEER_HEADER, PeerClient, PeerError, Traffic};
     pub use crate::message::{
-        CodecError, Guest, LocateNote, PeerReply, PeerRequest, Versions, decode, encode,
+        CodecError, CopyLocation, Guest, PeerReply, PeerRequest, Versions, decode, encode,
     };
 }
 
--- a/crates/daemon/cloverpier_peer/src/message.rs
+++ b/crates/daemon/cloverpier_peer/src/message.rs
@@ -1,8 +1,8 @@
-//! The messages and their codec.
+//! The messages between routers and their codec.
 //!
-//! Fields are written by name, so names of fields and variants are on the wire; golden files hold
-//! the bytes. The router on the platform has messages of its own, datagrams without field names
-//! (`cloverpier_router::peer_messages`); each codec has its error.
+//! Fields are encoded by name, so the names of fields and variants are part of the protocol; golden
+//! files pin the bytes. The router on the platform has other messages, datagrams without field
+//! names (`cloverpier_router::peer_messages`), and a codec with an error type of its own.
 
 use cloverpier_admit::{Loan, Quota};
 use cloverpier_answer::{AppendReply, Entry, SealReply};
@@ -17,21 +17,22 @@
 use snafu::{ResultExt, Snafu};
 use std::net::SocketAddr;
 
-/// What a router acts on; carried by every heartbeat and its reply.
+/// The versions of a router's shared state, in every heartbeat and its reply. A router that receives
+/// other versions than its own fetches what it is missing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Versions {
-    /// Who acts on it.
+    /// The id of the router process that sends the message.
     pub member: MemberId,
-    /// Where it is reached.
+    /// The address at which the router accepts peer messages.
     pub peers_at: SocketAddr,
-    /// The epoch.
+    /// The epoch of the router's list of members.
     pub epoch: u64,
-    /// The configuration's version.
+    /// The version of the configuration in force at the router; 0 before the first.
     pub config: u64,
-    /// Digest of the marks to leave.
+    /// Digest of the router's leave marks.
     pub marks: u64,
-    /// Digest of the contents that ended upstreams; 0 where none is known. Left out then, as routers
-    /// of a release without it read and write no such field.
+    /// Digest of the router's reports on request contents that crashed upstreams; 0 if it has none.
+    /// Zero is not encoded, because routers of earlier releases don't have this field.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub crashes: u64,
 }
@@ -40,197 +41,203 @@
     *digest == 0
 }
 
-/// A router that serves though it is not on the list of members: it started, or was taken off,
-/// while it could not reach the platform.
+/// A router that may serve although it is not on the list of members: it started, or was removed
+/// from the list, while it could not reach the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Guest {
-    /// Its run.
+    /// The id of the router process.
     pub member: MemberId,
-    /// Where it is reached.
+    /// The address at which the router accepts peer messages.
     pub peers_at: SocketAddr,
 }
 
-/// Where the copy of an answer is.
+/// The member that holds the copy of a request's answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LocateNote {
-    /// The request.
+pub struct CopyLocation {
+    /// The key of the request.
     pub key: RequestKey,
-    /// The member that holds the copy.
+    /// The member that the answer's tokens are copied to.
     pub holder: MemberId,
 }
 
-/// A request of one router to another.
+/// A request of one router, the sender, to another, the receiver.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// I am here, and act on this.
+    /// Reports that the sender is alive, with the versions of its shared state.
     Heartbeat {
-        /// What the sender acts on.
+        /// The sender's id, address and versions.
         versions: Versions,
     },
-    /// Put me on the list of members, together with others that ask now.
+    /// Requests that the receiver adds the sender to the list of members. The receiver may add several
+    /// new members with one update of the list.
     Join {
-        /// The new member.
+        /// The sender, as an entry of the list.
         member: Member,
     },
-    /// Lend me some of an account's limit.
+    /// Requests quota of a client account's rate limit from the receiver, which lends the limit to all
+    /// routers.
     Borrow {
-        /// The account.
+        /// The name of the account.
         account: AccountName,
-        /// What a request needs.
+        /// The quota that the sender's current request needs.
         need: Quota,
-        /// What will soon be needed.
+        /// The quota that the sender prefers, which also covers requests expected soon.
         want: Quota,
     },
-    /// Do you reach this member?
+    /// Requests that the receiver sends a heartbeat to a member from which the sender receives
+    /// nothing.
     Probe {
-        /// Its address for peers.
+        /// The address at which that member accepts peer messages.
         peers_at: SocketAddr,
     },
-    /// Hold these tokens.
+    /// Adds tokens to the copies that the receiver holds of the sender's answers.
     Append {
-        /// The owner of all the answers.
+        /// The sender, which owns all answers of `entries`.
         owner: MemberId,
-        /// Batches of several answers.
+        /// The new tokens, in one batch for each answer.
         entries: Vec<Entry>,
     },
-    /// Refuse owners of lower terms and hand out the copy.
+    /// Makes the sender the owner of an answer: the receiver rejects owners of lower terms from then
+    /// on, and replies with its copy.
     Seal {
-        /// The request.
+        /// The key of the answer's request.
         key: RequestKey,
         /// The new owner's term.
         term: u64,
-        /// The new owner.
+        /// The sender.
         owner: MemberId,
     },
-    /// Remember where copies are.
+    /// Stores in the receiver's directory which members hold the copies of answers.
     Note {
-        /// The places.
-        notes: Vec<LocateNote>,
+        /// One location for each answer.
+        notes: Vec<CopyLocation>,
     },
-    /// Where is the copy of this answer?
+    /// Requests the member that holds the copy of an answer.
     Locate {
-        /// The request.
+        /// The key of the answer's request.
         key: RequestKey,
     },
-    /// Write down that this request is about to be dispatched.
+    /// Claims a request that may be executed at most once, before the sender dispatches it.
     Claim {
-        /// The epoch that the claimant acts on.
+        /// The epoch of the sender's list of members.
         epoch: u64,
-        /// The request.
+        /// The key of the request.
         key: RequestKey,
-        /// Digest of the request.
+        /// Digest of the request; a key that is used again for a different request is detected by it.
         body: u64,
-        /// The claim.
+        /// The id of the claim.
         claim: ClaimId,
     },
-    /// Write down its outcome.
+    /// Records the outcome of a claimed request.
     Settle {
-        /// The request.
+        /// The key of the request.
         key: RequestKey,
-        /// The claim.
+        /// The id of the claim that the request was dispatched under.
         claim: ClaimId,
-        /// What became of it.
+        /// Whether the request has a known outcome, and the response if so.
         outcome: Outcome,
     },
-    /// It was certainly not run: give the key free.
+    /// Withdraws a claim, so that the key can be claimed again; the request was certainly not executed.
     Release {
-        /// The request.
+        /// The key of the request.
         key: RequestKey,
-        /// The claim.
+        /// The id of the claim to withdraw.
         claim: ClaimId,
     },
-    /// Hand out the records of a slot.
+    /// Requests the records of a slot.
     Sync {
-        /// The slot.
+        /// The slot, which holds the records of all keys that hash to it.
         slot: Slot,
-        /// The epoch up to which records are asked for.
+        /// The epoch up to which claims are requested.
         level: u64,
-        /// The epoch that the asker acts on.
+        /// The epoch of the sender's list of members.
         epoch: u64,
     },
-    /// Hand out the list of members.
+    /// Requests the receiver's list of members.
     PullMembers,
-    /// Hand out the configuration's root.
+    /// Requests the root of the configuration in force at the receiver.
     PullRoot,
-    /// Hand out parts of the configuration.
+    /// Requests parts of the configuration.
     PullParts {
-        /// Their digests.
+        /// The digests of the requested parts.
         digests: Vec<PartDigest>,
     },
-    /// Take these marks to leave, and hand out yours.
+    /// Adds the sender's leave marks to those of the receiver, which replies with all of its marks.
     Marks {
-        /// The sender's marks.
+        /// The sender's leave marks.
         marks: LeaveMarks,
     },
-    /// Take what I know of contents that ended upstreams, and hand out what you know.
+    /// Adds the sender's reports on request contents that crashed upstreams to those of the receiver,
+    /// which replies with all of its reports.
     Crashes {
-        /// What the sender knows.
+        /// The sender's reports.
         reports: Vec<ContentReport>,
     },
 }
 
-/// A reply.
+/// The receiver's reply to a [`PeerRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// To a heartbeat.
+    /// The reply to [`PeerRequest::Heartbeat`].
     Here {
-        /// What the receiver acts on.
+        /// The receiver's id, address and versions.
         versions: Versions,
-        /// Guests that sent it something recently.
+        /// The guests from which the receiver recently received a heartbeat.
         guests: Vec<Guest>,
     },
-    /// To a borrow.
+    /// The reply to [`PeerRequest::Borrow`]: the quota lent, or the time until there is enough.
     Loan(Loan),
-    /// To a probe: whether the member answered.
+    /// The reply to [`PeerRequest::Probe`].
     Probed {
-        /// Whether it did.
+        /// Whether the member replied to the receiver's heartbeat.
         reached: bool,
     },
-    /// To an append, one for each batch.
+    /// The replies to [`PeerRequest::Append`], one for each batch in the order of the request.
     Appended(Vec<AppendReply>),
-    /// To a seal.
+    /// The reply to [`PeerRequest::Seal`].
     Seal(SealReply),
-    /// To a locate.
+    /// The reply to [`PeerRequest::Locate`].
     Located {
-        /// The member that holds the copy.
+        /// The member that holds the copy; `None` if the receiver has no location of it.
         holder: Option<MemberId>,
     },
-    /// To a claim.
+    /// The reply to [`PeerRequest::Claim`].
     Claim(ClaimReply),
-    /// To a sync.
+    /// The reply to [`PeerRequest::Sync`].
     Sync(SyncReply),
-    /// To a pull of the list of members.
+    /// The reply to [`PeerRequest::PullMembers`].
     Members(MemberList),
-    /// To a pull of the root.
+    /// The reply to [`PeerRequest::PullRoot`].
     Root(Root),
-    /// To a pull of parts; those that the receiver has.
+    /// The reply to [`PeerRequest::PullParts`]: those of the requested parts that the receiver has.
     Parts(Vec<Part>),
-    /// To marks: the receiver's.
+    /// The reply to [`PeerRequest::Marks`]: all leave marks of the receiver.
     Marks(LeaveMarks),
-    /// To contents that ended upstreams: those that the receiver knows.
+    /// The reply to [`PeerRequest::Crashes`]: all reports of the receiver.
     Crashes(Vec<ContentReport>),
-    /// Done.
+    /// The reply to [`PeerRequest::Join`], [`PeerRequest::Note`], [`PeerRequest::Settle`] and
+    /// [`PeerRequest::Release`].
     Done,
 }
 
-/// Why bytes could not be written or read.
+/// The reason why a message could not be encoded or decoded.
 #[derive(Debug, Snafu)]
 pub enum CodecError {
-    /// A message can't be written.
-    #[snafu(display("a message can't be written: {source}"))]
+    /// The message has no `MessagePack` encoding.
+    #[snafu(display("the peer message can't be encoded: {source}"))]
     Encode {
-        /// Why.
+        /// The error of the encoder.
         source: rmp_serde::encode::Error,
     },
-    /// Bytes aren't a message.
-    #[snafu(display("bytes aren't a message: {source}"))]
+    /// The bytes are not the encoding of a message of the expected type.
+    #[snafu(display("the bytes are not a valid peer message: {source}"))]
     Decode {
-        /// Why.
+        /// The error of the decoder.
         source: rmp_serde::decode::Error,
     },
 }
 
-/// Writes a message.
+/// Encodes a message as `MessagePack`, with the names of its fields.
 ///
 /// # Errors
 ///
@@ -239,7 +246,8 @@
     rmp_serde::to_vec_named(message).context(EncodeSnafu)
 }
 
-/// Reads a message.
+/// Decodes a message. Unknown fields are ignored, except in types that deny them, such as
+/// [`cloverpier_config::Service`].
 ///
 /// # Errors
 ///
--- a/crates/daemon/cloverpier_peer/tests/wire.rs
+++ b/crates/daemon/cloverpier_peer/tests/wire.rs
@@ -1,7 +1,7 @@
-//! Messages between routers of `cloverpierd` and its stored objects, as golden files.
+//! Golden files of the messages between routers of `cloverpierd` and of its stored objects.
 //!
-//! The golden files were written by commit 72eb395. Messages are held as bytes, stored
-//! objects as JSON; each is read back, so that both releases read each other.
+//! They guard against an encoding that routers of an earlier release can't decode. Messages are
+//! compared as bytes, stored objects as JSON; each is also decoded again.
 
 use cloverpier_admit::{Loan, Quota};
 use cloverpier_answer::{
@@ -21,14 +21,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-fn at(port: u16) -> SocketAddr {
+fn address(port: u16) -> SocketAddr {
     ([127, 0, 0, 1], port).into()
 }
 
 fn versions() -> Versions {
     Versions {
         member: MemberId::new("vm-1~7"),
-        peers_at: at(7201),
+        peers_at: address(7201),
         epoch: 11,
         config: 12,
         marks: 13,
@@ -37,7 +37,13 @@
 }
 
 fn member(n: u16) -> Member {
-    Member::new(&format!("vm-{n}"), 7, "hall-a", at(7200 + n), at(7100 + n))
+    Member::new(
+        &format!("vm-{n}"),
+        7,
+        "hall-a",
+        address(7200 + n),
+        address(7100 + n),
+    )
 }
 
 fn members() -> MemberList {
@@ -108,7 +114,7 @@
     }
 }
 
-fn done() -> Outcome {
+fn done_outcome() -> Outcome {
     Outcome::Done(StoredAnswer {
         status: 201,
         content_type: Some("text/plain".into()),
@@ -135,7 +141,7 @@
     config
         .services
         .insert("status".into(), Service::plain(Repeatable::Reads));
-    let upstream = Upstream::new("drafts".into(), at(9000), "hall-a".into());
+    let upstream = Upstream::new("drafts".into(), address(9000), "hall-a".into());
     config.upstreams.insert("e1".into(), upstream);
     let account = Account::new("lab.secret", vec!["drafts".into()]);
     config.accounts.insert("lab".into(), Arc::new(account));
@@ -163,7 +169,9 @@
             need: quota(1.0),
             want: quota(2.5),
         },
-        PeerRequest::Probe { peers_at: at(7202) },
+        PeerRequest::Probe {
+            peers_at: address(7202),
+        },
         PeerRequest::Append {
             owner: MemberId::new("vm-1~7"),
             entries: entries(),
@@ -174,7 +182,7 @@
             owner: MemberId::new("vm-3~7"),
         },
         PeerRequest::Note {
-            notes: vec![LocateNote {
+            notes: vec![CopyLocation {
                 key: key.clone(),
                 holder: MemberId::new("vm-2~7"),
             }],
@@ -189,7 +197,7 @@
         PeerRequest::Settle {
             key: key.clone(),
             claim: claim(),
-            outcome: done(),
+            outcome: done_outcome(),
         },
         PeerRequest::Release {
             key,
@@ -220,7 +228,7 @@
     };
     let guest = Guest {
         member: MemberId::new("vm-9~1"),
-        peers_at: at(7209),
+        peers_at: address(7209),
     };
     vec![
         PeerReply::Here {
@@ -253,7 +261,7 @@
         PeerReply::Claim(ClaimReply::NotReady { retry_ms: 69 }),
         PeerReply::Sync(SyncReply::Records(vec![
             record(Outcome::Unknown),
-            record(done()),
+            record(done_outcome()),
         ])),
         PeerReply::Sync(SyncReply::NoClaims),
         PeerReply::Sync(SyncReply::Unknown),
@@ -271,12 +279,17 @@
     Root::default().next(&plan, &parts())
 }
 
-/// The message's bytes, with text shown as text.
+/// Encodes a message, checks that decoding gives the message back, and returns the bytes as text:
+/// printable ASCII as is, other bytes as `\` and two hexadecimal digits.
 #[track_caller]
-fn bytes_of<T: Serialize + DeserializeOwned + Debug>(message: &T) -> String {
+fn encode_to_text<T: Serialize + DeserializeOwned + Debug>(message: &T) -> String {
     let bytes = encode(message).unwrap();
-    let read: T = decode(&bytes).unwrap();
-    assert_eq!(format!("{read:?}"), format!("{message:?}"), "is read back");
+    let decoded: T = decode(&bytes).unwrap();
+    assert_eq!(
+        format!("{decoded:?}"),
+        format!("{message:?}"),
+        "the decoded message differs"
+    );
     let shown = bytes.iter().map(|b| match b {
         0x20..=0x7e if *b != b'\\' => char::from(*b).to_string(),
         _ => format!("\\{b:02x}"),
@@ -305,19 +318,20 @@
     }]
 }
 
-/// What the releases before wrote and read has no part in these.
+/// Routers of earlier releases don't have these messages, so their bytes are in a golden file of
+/// their own.
 #[test]
-fn messages_on_crashing_contents_keep_their_bytes() {
+fn crash_report_messages_keep_their_bytes() {
     let versions = Versions {
         crashes: 14,
         ..versions()
     };
     let reports = crash_reports();
-    let mut text = bytes_of(&PeerRequest::Heartbeat { versions });
-    text += &bytes_of(&PeerRequest::Crashes {
+    let mut text = encode_to_text(&PeerRequest::Heartbeat { versions });
+    text += &encode_to_text(&PeerRequest::Crashes {
         reports: reports.clone(),
     });
-    text += &bytes_of(&PeerReply::Crashes(reports));
+    text += &encode_to_text(&PeerReply::Crashes(reports));
     insta::assert_snapshot!(text);
 }
 
@@ -325,16 +339,19 @@
 fn messages_between_routers_keep_their_bytes() {
     let mut text = String::new();
     for request in requests() {
-        let _ = writeln!(text, "{}", bytes_of(&request));
+        let _ = writeln!(text, "{}", encode_to_text(&request));
     }
     for reply in replies() {
-        let _ = writeln!(text, "{}", bytes_of(&reply));
+        let _ = writeln!(text, "{}", encode_to_text(&reply));
     }
     insta::assert_snapshot!(text);
 }
 
 #[track_caller]
-fn json_of<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, stored: &T) -> String {
+fn encode_to_json<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+    name: &str,
+    stored: &T,
+) -> String {
     let json = serde_json::to_string_pretty(stored).unwrap();
     assert_eq!(&serde_json::from_str::<T>(&json).unwrap(), stored, "{name}");
     format!("== {name}\n{json}\n")
@@ -342,12 +359,12 @@
 
 #[test]
 fn stored_objects_keep_their_form() {
-    let mut text = json_of("members", &members());
-    text += &json_of("root", &root());
+    let mut text = encode_to_json("members", &members());
+    text += &encode_to_json("root", &root());
     for part in parts() {
-        text += &json_of("part", &part);
+        text += &encode_to_json("part", &part);
     }
-    text += &json_of("marks", &marks());
+    text += &encode_to_json("marks", &marks());
     insta::assert_snapshot!(text);
 }
 
--- a/crates/daemon/cloverpier_upstream/src/engine.rs
+++ b/crates/daemon/cloverpier_upstream/src/engine.rs
@@ -73,7 +73,7 @@
         source: reqwest::Error,
     },
     /// A line is not the JSON of an [`EngineEvent`].
-    #[snafu(display("a line of the engine's stream is no valid event: {source}"))]
+    #[snafu(display("a line of the engine's stream is not a valid event: {source}"))]
     InvalidLine {
         /// The error of the JSON parser.
         source: serde_json::Error,
