--- a/crates/daemon/cloverpier_daemon/src/app.rs
+++ b/crates/daemon/cloverpier_daemon/src/app.rs
@@ -10,7 +10,7 @@
 use cloverpier_config::{AppliedConfig, Config};
 use cloverpier_core::{hash_of, lock, wall_ms};
 use cloverpier_member::{Member, MemberList};
-use cloverpier_object_api::{Platform, ReadError, WriteError};
+use cloverpier_object_api::{PlatformClient, ReadError, WriteError};
 use cloverpier_observe::{Log, Metrics};
 use cloverpier_peer::{PeerClient, PeerReply, PeerRequest, Versions};
 use cloverpier_record::{Horizon, Records};
@@ -42,7 +42,7 @@
     /// Monotonic time, and waits by it.
     pub timers: Timers,
     /// The platform.
-    pub platform: Platform,
+    pub platform: PlatformClient,
     /// Connections to peers.
     pub peers: PeerClient,
     /// Connections to engines.
@@ -92,7 +92,7 @@
         Arc::new(Self {
             log,
             metrics,
-            platform: Platform::new(settings.platform),
+            platform: PlatformClient::new(settings.platform),
             peers: PeerClient::new(settings.peer_secret.clone()),
             engines: EnginePool::new(),
             plain: plain_client(),
--- a/crates/daemon/cloverpier_daemon/src/config/change.rs
+++ b/crates/daemon/cloverpier_daemon/src/config/change.rs
@@ -15,7 +15,7 @@
     Root, plan, rebase, split,
 };
 use cloverpier_core::lock;
-use cloverpier_object_api::{Found, WriteError};
+use cloverpier_object_api::{VersionedObject, WriteError};
 use salvo::http::StatusCode;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -72,10 +72,11 @@
 async fn read_config(app: &App) -> Result<(u64, Root, Config), ApiError> {
     let read = app.platform.read::<Root>(ROOT_KEY).await;
     // Before the first change nothing is stored.
-    let Found { version, value } = read.map_err(platform_down)?.unwrap_or(Found {
-        version: 0,
-        value: Root::default(),
-    });
+    let VersionedObject { version, value } =
+        read.map_err(platform_down)?.unwrap_or(VersionedObject {
+            version: 0,
+            value: Root::default(),
+        });
     let known = lock(&app.applied).parts(&value.parts);
     let mut applied = AppliedConfig::default();
     let mut fetched = known;
--- a/crates/daemon/cloverpier_daemon/src/config/learn.rs
+++ b/crates/daemon/cloverpier_daemon/src/config/learn.rs
@@ -8,7 +8,7 @@
 use crate::members;
 use cloverpier_config::{ApplyOutcome, Part, PartDigest, Root};
 use cloverpier_core::{jitter, lock};
-use cloverpier_object_api::{Found, WriteError};
+use cloverpier_object_api::{VersionedObject, WriteError};
 use cloverpier_peer::{PeerReply, PeerRequest};
 use cloverpier_route::LeaveMarks;
 use serde::Serialize;
@@ -198,7 +198,7 @@
         .inspect_err(|e| app.log_unread("marks to leave", e))
         .ok()?;
     // Before the first mark nothing is stored.
-    let found = read.unwrap_or(Found {
+    let found = read.unwrap_or(VersionedObject {
         version: 0,
         value: LeaveMarks::default(),
     });
@@ -210,7 +210,7 @@
         Ok(_) => Some(all),
         // Another router was faster.
         Err(WriteError::Conflict { .. }) => None,
-        Err(e @ (WriteError::NotDone { .. } | WriteError::Unknown { .. })) => {
+        Err(e @ (WriteError::NotApplied { .. } | WriteError::OutcomeUnknown { .. })) => {
             app.log_failed("marks to leave", &e);
             None
         }
--- a/crates/daemon/cloverpier_daemon/src/members/join.rs
+++ b/crates/daemon/cloverpier_daemon/src/members/join.rs
@@ -7,7 +7,7 @@
 use crate::members::MEMBERS_KEY;
 use cloverpier_core::{MemberId, hash_of, jitter, lock, rendezvous_rank};
 use cloverpier_member::{Member, MemberList, Rejoin};
-use cloverpier_object_api::{Found, WriteError};
+use cloverpier_object_api::{VersionedObject, WriteError};
 use cloverpier_peer::{PeerReply, PeerRequest};
 use serde::Serialize;
 use std::sync::Arc;
@@ -95,7 +95,7 @@
     let read = app.platform.read::<MemberList>(MEMBERS_KEY).await;
     let found = match read {
         // Before the first member nothing is stored.
-        Ok(found) => found.unwrap_or(Found {
+        Ok(found) => found.unwrap_or(VersionedObject {
             version: 0,
             value: MemberList::default(),
         }),
@@ -110,7 +110,7 @@
     };
     match app.platform.write(MEMBERS_KEY, found.version, &next).await {
         Ok(_) => Try::Done(next),
-        Err(e @ (WriteError::NotDone { .. } | WriteError::Unknown { .. })) => {
+        Err(e @ (WriteError::NotApplied { .. } | WriteError::OutcomeUnknown { .. })) => {
             app.log_failed("update of the members", &e);
             Try::Again
         }
--- a/crates/daemon/cloverpier_object_api/src/client.rs
+++ b/crates/daemon/cloverpier_object_api/src/client.rs
@@ -1,8 +1,8 @@
-//! Calls to the platform.
+//! HTTP client of the platform's object store.
 //!
-//! A read, a watch and a conditional write, each with the few outcomes that matter; a write
-//! without an answer is one of its own. The users' platform has another protocol, which
-//! `cloverpier_adapter` (`platform/`) meets, by reads alone.
+//! Offers a read, a watch and a conditional write. The errors of a write distinguish whether it may
+//! have taken effect. The users' platform has another protocol, which `cloverpier_adapter`
+//! (`platform/`) implements and only reads from.
 
 use crate::wire::{ObjectBody, StoredObject, VersionBody};
 use reqwest::{Client, Response, StatusCode};
@@ -12,75 +12,77 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a call may take; the platform answers in milliseconds (the brief).
+/// Timeout of a whole call, far above the few milliseconds in which the platform usually responds. A
+/// watch may take this much longer than its requested wait.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Why a read gave nothing.
+/// The reason why a read or a watch failed.
 #[derive(Debug, Snafu)]
 pub enum ReadError {
-    /// The platform can't be reached, is down or too slow.
+    /// No complete and valid response arrived before the timeout.
     #[snafu(display("the platform is unavailable: {source}"))]
     Unavailable {
-        /// What the call ran into.
+        /// The error of the HTTP client.
         source: reqwest::Error,
     },
-    /// The platform answered with an unexpected status.
+    /// The platform responded with a status other than 200, 304 and 404.
     #[snafu(display("the platform answered {status}"))]
-    Status {
+    UnexpectedStatus {
         /// The HTTP status.
         status: u16,
     },
-    /// The object isn't of the expected shape.
+    /// The object's value is not the JSON of the requested type.
     #[snafu(display("the object {key} can't be read: {source}"))]
-    Shape {
+    InvalidValue {
         /// The object's key.
         key: String,
-        /// What is wrong.
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
 }
 
-/// Why a conditional update isn't known to have taken effect.
+/// The reason why a conditional update did not take effect, or may not have.
 #[derive(Debug, Snafu)]
 pub enum WriteError {
-    /// Another update came first; this one did not take effect.
+    /// The update did not take effect: the object's version is not the expected one.
     #[snafu(display("another update came first: version {version} stands"))]
     Conflict {
-        /// The version that stands.
+        /// The object's current version; 0 if there is no object.
         version: u64,
     },
-    /// The update did not take effect: the platform refused it or was never reached.
+    /// The update did not take effect: the platform refused it, no connection to the platform was
+    /// established, or the value has no JSON.
     #[snafu(display("the platform did not take the update: {reason}"))]
-    NotDone {
-        /// Why.
+    NotApplied {
+        /// The cause, for the log.
         reason: String,
     },
-    /// No answer came: the update may or may not have taken effect.
+    /// No complete and valid response arrived: the update may or may not have taken effect.
     #[snafu(display("the answer to the update was lost: {source}"))]
-    Unknown {
-        /// What the call ran into.
+    OutcomeUnknown {
+        /// The error of the HTTP client.
         source: reqwest::Error,
     },
 }
 
-/// An object that was read.
+/// An object as it was read.
 #[derive(Clone, Debug)]
-pub struct Found<T> {
-    /// The object's version.
+pub struct VersionedObject<T> {
+    /// The object's version, from 1; to pass to [`PlatformClient::write`] or [`PlatformClient::watch`].
     pub version: u64,
-    /// Its value.
+    /// The object's value, parsed.
     pub value: T,
 }
 
-/// A client of the platform.
+/// A client of the platform's object store; clones share the connections.
 #[derive(Clone, Debug)]
-pub struct Platform {
+pub struct PlatformClient {
     http: Client,
     base: String,
 }
 
-impl Platform {
-    /// A client of the platform at an address.
+impl PlatformClient {
+    /// Creates a client of the platform at an address; connects on the first call.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             http: Client::new(),
@@ -88,34 +90,36 @@
         }
     }
 
-    /// Reads an object; `None` when there is none.
+    /// Reads an object; `None` if there is no object under the key.
     ///
     /// # Errors
     ///
-    /// [`ReadError`] when the platform is unavailable or the object has another shape.
+    /// [`ReadError`] if the platform is unavailable or the value is not of type `T`.
     pub async fn read<T: DeserializeOwned>(
         &self,
         key: &str,
-    ) -> Result<Option<Found<T>>, ReadError> {
+    ) -> Result<Option<VersionedObject<T>>, ReadError> {
         let url = format!("{}/objects/{key}", self.base);
         let req = self.http.get(url).timeout(CALL_TIMEOUT);
         let res = req.send().await.context(UnavailableSnafu)?;
-        found(key, res).await
+        read_object(key, res).await
     }
 
-    /// Waits until an object's version is above a given one.
+    /// Waits until an object's version is higher than `after`, for `wait` at most, and returns the
+    /// object.
     ///
-    /// `None` when the wait ended without a change. The wait counts as one call.
+    /// Returns `None` if there was no higher version within that time. The platform counts a watch
+    /// as one call.
     ///
     /// # Errors
     ///
-    /// As [`Platform::read`].
+    /// The errors of [`PlatformClient::read`].
     pub async fn watch<T: DeserializeOwned>(
         &self,
         key: &str,
         after: u64,
         wait: Duration,
-    ) -> Result<Option<Found<T>>, ReadError> {
+    ) -> Result<Option<VersionedObject<T>>, ReadError> {
         let wait_ms = wait.as_millis();
         let url = format!(
             "{}/objects/{key}?after={after}&wait_ms={wait_ms}",
@@ -123,41 +127,44 @@
         );
         let req = self.http.get(url).timeout(wait + CALL_TIMEOUT);
         let res = req.send().await.context(UnavailableSnafu)?;
-        found(key, res).await
+        read_object(key, res).await
     }
 
-    /// Updates an object if its version is the given one; 0 creates it.
+    /// Replaces an object's value if the object's version is `if_version`, and returns the new version.
+    ///
+    /// With `if_version` 0, creates the object if there is none.
     ///
     /// # Errors
     ///
-    /// [`WriteError`] says whether the update certainly did not take effect.
+    /// [`WriteError::OutcomeUnknown`] if the update may have taken effect; after any other error it did
+    /// not.
     pub async fn write<T: Serialize>(
         &self,
         key: &str,
         if_version: u64,
         value: &T,
     ) -> Result<u64, WriteError> {
-        let value = serde_json::to_value(value).map_err(|e| WriteError::NotDone {
+        let value = serde_json::to_value(value).map_err(|e| WriteError::NotApplied {
             reason: e.to_string(),
         })?;
         let body = ObjectBody { if_version, value };
         let url = format!("{}/objects/{key}", self.base);
         let req = self.http.put(url).timeout(CALL_TIMEOUT).json(&body);
-        let res = req.send().await.map_err(lost)?;
+        let res = req.send().await.map_err(classify_send_error)?;
         let status = res.status();
         match status {
             StatusCode::OK => {
-                let body: VersionBody = res.json().await.context(UnknownSnafu)?;
+                let body: VersionBody = res.json().await.context(OutcomeUnknownSnafu)?;
                 Ok(body.version)
             }
             StatusCode::CONFLICT => {
-                let body: VersionBody = res.json().await.context(UnknownSnafu)?;
+                let body: VersionBody = res.json().await.context(OutcomeUnknownSnafu)?;
                 ConflictSnafu {
                     version: body.version,
                 }
                 .fail()
             }
-            _ => NotDoneSnafu {
+            _ => NotAppliedSnafu {
                 reason: format!("status {status}"),
             }
             .fail(),
@@ -165,34 +172,35 @@
     }
 }
 
-async fn found<T: DeserializeOwned>(
+async fn read_object<T: DeserializeOwned>(
     key: &str,
     res: Response,
-) -> Result<Option<Found<T>>, ReadError> {
+) -> Result<Option<VersionedObject<T>>, ReadError> {
     match res.status() {
         StatusCode::OK => {}
         StatusCode::NOT_FOUND | StatusCode::NOT_MODIFIED => return Ok(None),
         status => {
-            return StatusSnafu {
+            return UnexpectedStatusSnafu {
                 status: status.as_u16(),
             }
             .fail();
         }
     }
     let stored: StoredObject = res.json().await.context(UnavailableSnafu)?;
-    let value = serde_json::from_value(stored.value).context(ShapeSnafu { key })?;
-    Ok(Some(Found {
+    let value = serde_json::from_value(stored.value).context(InvalidValueSnafu { key })?;
+    Ok(Some(VersionedObject {
         version: stored.version,
         value,
     }))
 }
 
-/// A call that never connected did not take effect; of any other, nobody knows.
-fn lost(source: reqwest::Error) -> WriteError {
+/// A write that failed before a connection was established did not take effect; the outcome of any
+/// other failed write is unknown.
+fn classify_send_error(source: reqwest::Error) -> WriteError {
     if source.is_connect() {
-        return WriteError::NotDone {
+        return WriteError::NotApplied {
             reason: source.to_string(),
         };
     }
-    WriteError::Unknown { source }
+    WriteError::OutcomeUnknown { source }
 }
--- a/crates/daemon/cloverpier_object_api/src/lib.rs
+++ b/crates/daemon/cloverpier_object_api/src/lib.rs
@@ -1,17 +1,16 @@
-//! The platform's object API, as a typed client.
+//! A typed client of the platform's object API.
 //!
-//! All knowledge of the platform's wire shapes is here. Each call gives one
-//! of a few outcomes; an update whose answer was lost is an outcome of its
-//! own, since it may have taken effect.
+//! This crate owns the wire format of the platform. An update whose response was lost fails with an
+//! error of its own, because the update may have taken effect.
 //!
 //! ```no_run
 //! # async fn example() {
 //! use cloverpier_object_api::prelude::*;
 //!
-//! let platform = Platform::new("127.0.0.1:7000".parse().unwrap());
+//! let platform = PlatformClient::new("127.0.0.1:7000".parse().unwrap());
 //! match platform.read::<u64>("counter").await {
 //!     Ok(Some(found)) => println!("{} at version {}", found.value, found.version),
-//!     Ok(None) => println!("nothing there"),
+//!     Ok(None) => println!("no such object"),
 //!     Err(e) => println!("{e}"),
 //! }
 //! # }
@@ -20,9 +19,9 @@
 mod client;
 mod wire;
 
-/// What users of the crate need daily.
+/// All public types, for a glob import.
 pub mod prelude {
-    pub use crate::client::{Found, Platform, ReadError, WriteError};
+    pub use crate::client::{PlatformClient, ReadError, VersionedObject, WriteError};
     pub use crate::wire::{ObjectBody, StoredObject, VersionBody};
 }
 
--- a/crates/daemon/cloverpier_object_api/src/wire.rs
+++ b/crates/daemon/cloverpier_object_api/src/wire.rs
@@ -1,31 +1,33 @@
-//! Shapes of the platform's JSON.
+//! The JSON bodies of the platform's object API.
 //!
-//! Names of fields are the platform's. Nothing outside this crate sees them but stand-ins.
+//! The platform defines the names of the fields. Besides the client of this crate, only the stand-in
+//! platform uses these types.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// An object as it is read.
+/// The response to a read or a watch that found an object.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StoredObject {
-    /// The object's version; rises by one with each update.
+    /// The object's version: 1 when it is created, one higher with each update.
     pub version: u64,
-    /// Its value.
+    /// The JSON that the last update wrote.
     pub value: Value,
 }
 
-/// An object as it is written.
+/// The request of a conditional write.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ObjectBody {
-    /// The version that must stand; 0 when the object must not exist yet.
+    /// The version that the object must have for the write to take effect; 0 if there must be no
+    /// object.
     pub if_version: u64,
-    /// The new value.
+    /// The new value, as any JSON.
     pub value: Value,
 }
 
-/// The answer to a write, and to one that was refused.
+/// The response to a conditional write, whether it took effect or the version did not match.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct VersionBody {
-    /// The version that stands.
+    /// The object's version after the request; 0 if there is no object.
     pub version: u64,
 }
