--- a/crates/daemon/cloverpier_cli/src/caller.rs
+++ b/crates/daemon/cloverpier_cli/src/caller.rs
@@ -5,7 +5,7 @@
 use crate::Outcome;
 use crate::args::{Args, Call, Generate, Key};
 use crate::table::print_rows;
-use cloverpier_client::{Caller, Generate as Ask};
+use cloverpier_client::{Caller, GenerateRequest};
 use cloverpier_core::KeyDigest;
 use reqwest::Method;
 use serde_json::json;
@@ -59,7 +59,7 @@
     };
     // A router that does not list the addresses can still serve.
     let _ = caller.addresses().await;
-    let mut what = Ask::new(&ask.service, &ask.prompt, ask.max_tokens);
+    let mut what = GenerateRequest::new(&ask.service, &ask.prompt, ask.max_tokens);
     what.priority = ask.priority;
     what.key.clone_from(&ask.key);
     let quiet = args.json;
@@ -76,14 +76,14 @@
             if args.json {
                 let line = json!({
                     "text": answer.text(), "tokens": answer.tokens.len(),
-                    "proved": answer.proved, "repeated": answer.repeated,
+                    "proved": answer.is_verified, "repeated": answer.repeated,
                     "connections": answer.connections,
                 });
                 println!("{line}");
             } else {
                 println!();
             }
-            if answer.proved {
+            if answer.is_verified {
                 Outcome::Done
             } else {
                 Outcome::Failed("count and digest are not those that the router told".to_owned())
--- a/crates/daemon/cloverpier_cli/src/operator.rs
+++ b/crates/daemon/cloverpier_cli/src/operator.rs
@@ -6,7 +6,7 @@
 use crate::Outcome;
 use crate::args::{Args, Confirm, Drain, Plan, Show, Version};
 use crate::table::print_rows;
-use cloverpier_client::{Confirmed, Operator, Planned};
+use cloverpier_client::{ConfirmReport, Operator, PlanReport};
 use cloverpier_config::{Change, ChangeKind, Intent};
 use serde::Serialize;
 use serde_json::Value;
@@ -62,7 +62,7 @@
     }
 }
 
-fn print_plan(json: bool, planned: &Planned) {
+fn print_plan(json: bool, planned: &PlanReport) {
     if json {
         return print_json(planned);
     }
@@ -109,7 +109,7 @@
     report(args.json, operator.version(version.version).await)
 }
 
-fn report(json: bool, result: Result<Confirmed, cloverpier_client::OperatorError>) -> Outcome {
+fn report(json: bool, result: Result<ConfirmReport, cloverpier_client::OperatorError>) -> Outcome {
     let confirmed = match result {
         Ok(confirmed) => confirmed,
         Err(e) => return Outcome::Failed(e.to_string()),
--- a/crates/daemon/cloverpier_client/src/caller.rs
+++ b/crates/daemon/cloverpier_client/src/caller.rs
@@ -1,11 +1,11 @@
-//! The caller's side.
+//! A caller's client of the routers.
 //!
-//! Owns the addresses that callers may use and the retries over them: an answer that breaks off
-//! is continued at the next address with its last event id, and each token is handed out once. The
-//! clock is the machine's unless [`Caller::with_clock`] passes another one in.
+//! [`Caller`] owns the addresses of the routers and retries requests over them: when the stream of an
+//! answer breaks off, it requests the rest at the next address with the id of the last event. It uses
+//! the system clock unless [`Caller::with_clock`] replaces it.
 
 use crate::events::Events;
-use crate::progress::{Progress, Step};
+use crate::progress::{EventOutcome, Progress};
 use cloverpier_core::{Clock, SystemClock};
 use reqwest::{Client, Method, RequestBuilder, Response, StatusCode};
 use serde::Deserialize;
@@ -15,63 +15,66 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long a connection to a router may take to come up.
+/// Timeout of connecting to a router.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a router may take to begin its answer: longer than a service's wait for a place
-/// (`queue_ms`, 2 s by default).
+/// Timeout of the headers of a router's response to a generation, and of a whole call of a plain
+/// service. Longer than a request may wait in the router's queue (`queue_ms` of the service, 2 s by
+/// default).
 const HEADERS_TIMEOUT: Duration = Duration::from_secs(15);
-/// Pause before another address is tried; doubled until something arrives again.
-const FIRST_PAUSE: Duration = Duration::from_millis(10);
-/// Upper bound of that pause.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
-/// A stream that says nothing for this long is given up and opened elsewhere; routers move a silent
-/// engine's answers well before.
-const SILENCE: Duration = Duration::from_secs(8);
+/// Delay before the first retry. It is doubled for each further retry, until a connection delivers a
+/// token.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Upper bound of the delay before a retry.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// A stream without an event for this time is abandoned, and the rest of the answer requested at
+/// another router. Routers move an answer from a silent engine to another one much earlier.
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// How long a caller goes on trying if it does not say: a minute.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(60);
+/// The default of [`GenerateRequest::timeout`].
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One address that callers may use.
+/// The address of one router for callers.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Address {
-    /// The VM.
+pub struct RouterAddress {
+    /// Name of the router's VM.
     pub vm: String,
-    /// Its data centre.
+    /// Name of the VM's data centre.
     pub data_centre: String,
-    /// Where to connect.
+    /// Address at which the router accepts callers.
     pub address: SocketAddr,
 }
 
-/// Which addresses to use, and for how long.
+/// A router's response with the addresses that callers should use.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Addresses {
-    /// Seconds to keep the answer.
+pub struct RouterAddresses {
+    /// Time for which the addresses may be cached, in seconds.
     pub ttl_s: u64,
-    /// How many of the first addresses to spread requests over.
+    /// How many of the first addresses to distribute requests over.
     pub spread: usize,
-    /// The addresses.
-    pub addresses: Vec<Address>,
+    /// The addresses, in the order in which to use them.
+    pub addresses: Vec<RouterAddress>,
 }
 
-/// What to generate.
+/// A request to generate an answer.
 #[derive(Clone, Debug)]
-pub struct Generate {
-    /// The service.
+pub struct GenerateRequest {
+    /// Name of the model service.
     pub service: String,
-    /// The prompt.
+    /// The text to generate an answer for.
     pub prompt: String,
-    /// The most tokens.
+    /// Upper bound of the answer's tokens.
     pub max_tokens: u32,
-    /// The priority.
+    /// 0 to 9; a router's queue serves higher priorities first.
     pub priority: u8,
-    /// The idempotency key; one is made up by the router when empty.
+    /// The idempotency key; if empty, the router assigns one.
     pub key: String,
-    /// How long to go on trying.
-    pub patience: Duration,
+    /// Time after which no further connection is opened; zero allows only the first one. A connection
+    /// that is open by then is still read to its end.
+    pub timeout: Duration,
 }
 
-impl Generate {
-    /// An ask with priority 0 and a minute of patience.
+impl GenerateRequest {
+    /// A request of priority 0, with a key that the router assigns and a timeout of 60 s.
     pub fn new(service: &str, prompt: &str, max_tokens: u32) -> Self {
         Self {
             service: service.to_owned(),
@@ -79,97 +82,102 @@
             max_tokens,
             priority: 0,
             key: String::new(),
-            patience: DEFAULT_PATIENCE,
+            timeout: DEFAULT_TIMEOUT,
         }
     }
 }
 
-/// A token as it arrived.
+/// A token of an answer, with the time and source of its arrival.
 #[derive(Clone, Debug)]
-pub struct Got {
-    /// Its text.
+pub struct ReceivedToken {
+    /// Text of the token.
     pub text: Arc<str>,
-    /// When it arrived.
+    /// Time of arrival.
     pub at: Instant,
-    /// The router that sent it.
+    /// Address of the router that sent the token.
     pub from: SocketAddr,
 }
 
-/// A whole answer.
+/// An answer that arrived to its end.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Tokens in order.
-    pub tokens: Vec<Got>,
-    /// Whether count and digest are those that the router reported.
-    pub proved: bool,
-    /// Tokens that arrived again after they had arrived already.
+    /// All tokens in the order of their arrival.
+    pub tokens: Vec<ReceivedToken>,
+    /// Whether the number and the digest of the tokens are those that the router reported at the end.
+    pub is_verified: bool,
+    /// Number of tokens that arrived more than once; `tokens` contains each of their arrivals.
     pub repeated: u64,
-    /// Connections that it took.
+    /// Number of connections that were attempted.
     pub connections: u32,
 }
 
 impl Answer {
-    /// The text.
+    /// The texts of all tokens, joined.
     pub fn text(&self) -> String {
         self.tokens.iter().map(|t| &*t.text).collect()
     }
 }
 
-/// Why there is no answer.
+/// The reason why a call has no answer.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// A router refused the request.
+    /// A router refused the request, or ended the stream with an error that excludes a retry.
     #[snafu(display("refused with status {status}: {body}"))]
     Refused {
-        /// The HTTP status.
+        /// The HTTP status; 200 if the error arrived within the stream.
         status: u16,
-        /// Whether it was run, as the router says.
+        /// Whether the request was executed, as the router reports it: `not-run`, `unknown` or `done`;
+        /// empty if the response doesn't contain it.
         run: String,
-        /// The body.
+        /// The response body, or the data of the error event.
         body: String,
     },
-    /// No router could be reached in time.
+    /// No complete response arrived from any router before the timeout. A router may have executed
+    /// the request.
     #[snafu(display("no router could be reached in time"))]
     NoRouter,
 }
 
-/// A reply of a plain service.
+/// The response to a call of a plain service, sent by the service or by the router itself.
 #[derive(Clone, Debug)]
-pub struct PlainReply {
+pub struct PlainResponse {
     /// The HTTP status.
     pub status: u16,
-    /// Whether it was run, as the router says; empty when it answered.
+    /// Whether the call was executed, as the router reports it: `not-run`, `unknown` or `done`; empty
+    /// if the response is the service's.
     pub run: String,
-    /// The body.
+    /// The whole body, as text.
     pub body: String,
 }
 
-/// A caller of the routers.
+/// A client that calls the routers on behalf of one client account.
 #[derive(Debug)]
 pub struct Caller {
     http: Client,
     key: String,
     clock: Arc<dyn Clock>,
-    known: Mutex<Known>,
+    state: Mutex<AddressState>,
 }
 
 #[derive(Debug)]
-struct Known {
+struct AddressState {
     addresses: Vec<SocketAddr>,
     spread: usize,
     next: usize,
 }
 
-/// What one connection came to.
-enum Connection {
+/// The outcome of one connection for an answer.
+enum ConnectionOutcome {
+    /// The answer is complete.
     Done,
+    /// The rest of the answer has to be requested over another connection.
     Broken,
     Refused(CallError),
 }
 
 impl Caller {
-    /// A caller that knows one address to ask.
-    pub fn new(ask: SocketAddr, key: &str) -> Self {
+    /// Creates a caller with the address of one router; `key` is the key of its client account.
+    pub fn new(first_address: SocketAddr, key: &str) -> Self {
         let http = Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
             .tcp_nodelay(true)
@@ -178,155 +186,166 @@
             http: http.expect("a client without TLS can always be built"),
             key: key.to_owned(),
             clock: Arc::new(SystemClock),
-            known: Mutex::new(Known {
-                addresses: vec![ask],
+            state: Mutex::new(AddressState {
+                addresses: vec![first_address],
                 spread: 1,
                 next: 0,
             }),
         }
     }
 
-    /// The same caller by another clock.
+    /// Replaces the clock, which bounds [`GenerateRequest::timeout`] and stamps received tokens.
     #[must_use]
     pub fn with_clock(self, clock: Arc<dyn Clock>) -> Self {
         Self { clock, ..self }
     }
 
-    /// Asks which addresses to use and keeps them.
+    /// Fetches the addresses of the routers from one of the current addresses, and uses them for later
+    /// requests.
     ///
     /// # Errors
     ///
-    /// [`CallError::NoRouter`] when no known address answers.
-    pub async fn addresses(&self) -> Result<Addresses, CallError> {
-        for address in self.all_known() {
+    /// [`CallError::NoRouter`] if none of the current addresses gives a valid response; the current
+    /// addresses are kept.
+    pub async fn addresses(&self) -> Result<RouterAddresses, CallError> {
+        for address in self.current_addresses() {
             let url = format!("http://{address}/v1/addresses");
             let req = self.http.get(url).bearer_auth(&self.key);
             let res = req.timeout(CONNECT_TIMEOUT * 2).send().await;
             let Ok(res) = res else {
                 continue;
             };
-            if let Ok(found) = res.json::<Addresses>().await
+            if let Ok(found) = res.json::<RouterAddresses>().await
                 && !found.addresses.is_empty()
             {
-                let mut known = cloverpier_core::lock(&self.known);
-                known.addresses = found.addresses.iter().map(|a| a.address).collect();
-                known.spread = found.spread.clamp(1, known.addresses.len());
-                drop(known);
+                let mut state = cloverpier_core::lock(&self.state);
+                state.addresses = found.addresses.iter().map(|a| a.address).collect();
+                state.spread = found.spread.clamp(1, state.addresses.len());
+                drop(state);
                 return Ok(found);
             }
         }
         NoRouterSnafu.fail()
     }
 
-    fn all_known(&self) -> Vec<SocketAddr> {
-        cloverpier_core::lock(&self.known).addresses.clone()
+    fn current_addresses(&self) -> Vec<SocketAddr> {
+        cloverpier_core::lock(&self.state).addresses.clone()
     }
 
-    /// Where a request goes first: its turn among the first addresses.
-    fn first_turn(&self) -> usize {
-        let mut known = cloverpier_core::lock(&self.known);
-        known.next += 1;
-        known.next % known.spread
+    /// The index of the address for a new request: round-robin over the first `spread` addresses.
+    fn next_start_index(&self) -> usize {
+        let mut state = cloverpier_core::lock(&self.state);
+        state.next += 1;
+        state.next % state.spread
     }
 
-    /// Where it goes after this many connections that did not end it.
-    fn pick(&self, first: usize, connections: u32) -> SocketAddr {
-        let known = cloverpier_core::lock(&self.known);
-        // Only a place in the rotation.
+    /// The address for a request after this many failed connections; each one moves to the next
+    /// address.
+    fn address_for_attempt(&self, first: usize, connections: u32) -> SocketAddr {
+        let state = cloverpier_core::lock(&self.state);
+        // A count that doesn't fit only starts the rotation again.
         let turn = first + usize::try_from(connections).unwrap_or(0);
-        known.addresses[turn % known.addresses.len()]
+        state.addresses[turn % state.addresses.len()]
     }
 
-    /// Streams an answer to its end, over as many connections as it takes.
+    /// Streams an answer to its end, over as many connections as necessary, and calls `on_token` for
+    /// each token as it arrives.
     ///
     /// # Errors
     ///
-    /// [`CallError`] when it is refused for good or the patience is over.
+    /// [`CallError::Refused`] if a router refuses the request with a status other than 429 and 503, or
+    /// still refuses it after the request's timeout; [`CallError::NoRouter`] if the timeout passes
+    /// otherwise.
     pub async fn generate(
         &self,
-        ask: &Generate,
-        mut on_token: impl FnMut(&Got),
+        request: &GenerateRequest,
+        mut on_token: impl FnMut(&ReceivedToken),
     ) -> Result<Answer, CallError> {
-        let until = self.clock.now() + ask.patience;
-        let mut progress = Progress::new(ask);
-        let mut pause = FIRST_PAUSE;
-        let first = self.first_turn();
+        let until = self.clock.now() + request.timeout;
+        let mut progress = Progress::new(request);
+        let mut pause = INITIAL_RETRY_DELAY;
+        let first = self.next_start_index();
         loop {
-            let router = self.pick(first, progress.connections);
+            let router = self.address_for_attempt(first, progress.connections);
             progress.connections += 1;
             let before = progress.tokens.len();
-            let outcome = self.connect(ask, router, &mut progress, &mut on_token);
+            let outcome = self.connect(request, router, &mut progress, &mut on_token);
             let outcome = outcome.await;
             if progress.tokens.len() > before {
-                pause = FIRST_PAUSE;
+                pause = INITIAL_RETRY_DELAY;
             }
             match outcome {
-                Connection::Done => return Ok(progress.answer()),
-                Connection::Refused(error) => {
-                    if self.clock.now() >= until || !may_come_back(&error) {
+                ConnectionOutcome::Done => return Ok(progress.into_answer()),
+                ConnectionOutcome::Refused(error) => {
+                    if self.clock.now() >= until || !is_retryable(&error) {
                         return Err(error);
                     }
                 }
-                Connection::Broken => {}
+                ConnectionOutcome::Broken => {}
             }
             if self.clock.now() >= until {
                 return NoRouterSnafu.fail();
             }
             tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            pause = (pause * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    /// One connection to one router: sends the request, then reads events until it ends.
+    /// Sends the request to one router and reads the events of the response until the stream ends.
     async fn connect(
         &self,
-        ask: &Generate,
+        request: &GenerateRequest,
         router: SocketAddr,
         progress: &mut Progress,
-        on_token: &mut impl FnMut(&Got),
-    ) -> Connection {
-        let req = self.completion_request(ask, router, progress);
+        on_token: &mut impl FnMut(&ReceivedToken),
+    ) -> ConnectionOutcome {
+        let req = self.completion_request(request, router, progress);
         let sent = tokio::time::timeout(HEADERS_TIMEOUT, req.send()).await;
         let Ok(Ok(res)) = sent else {
-            return Connection::Broken;
+            return ConnectionOutcome::Broken;
         };
         if res.status() != StatusCode::OK {
-            return Connection::Refused(refusal(res).await);
+            return ConnectionOutcome::Refused(read_refusal(res).await);
         }
         if let Some(key) = res.headers().get("Idempotency-Key") {
-            // Routers write keys as text only.
+            // Routers send only keys of ASCII text.
             progress.key = key.to_str().unwrap_or_default().to_owned();
         }
         read_events(Events::new(res), router, progress, &*self.clock, on_token).await
     }
 
-    /// The request for an answer, or for the rest of it after the last event that arrived.
+    /// Builds the HTTP request for an answer, or for the rest of the answer after the last event that
+    /// arrived.
     fn completion_request(
         &self,
-        ask: &Generate,
+        request: &GenerateRequest,
         router: SocketAddr,
         progress: &Progress,
     ) -> RequestBuilder {
         let body = json!({
-            "model": ask.service, "prompt": ask.prompt, "max_tokens": ask.max_tokens,
-            "priority": ask.priority, "stream": true,
+            "model": request.service, "prompt": request.prompt, "max_tokens": request.max_tokens,
+            "priority": request.priority, "stream": true,
         });
         let url = format!("http://{router}/v1/completions");
         let mut req = self.http.post(url).bearer_auth(&self.key).json(&body);
         if !progress.key.is_empty() {
             req = req.header("Idempotency-Key", &progress.key);
         }
-        if let Some(last) = &progress.last {
-            req = req.header("Last-Event-ID", last);
+        if let Some(last_event_id) = &progress.last_event_id {
+            req = req.header("Last-Event-ID", last_event_id);
         }
         req
     }
 
-    /// Calls a plain service once, at one router.
+    /// Calls a plain service through one router, without retries.
+    ///
+    /// `path` is the name of the service and the path within it, such as `status/runs/17`; `key` is
+    /// the idempotency key.
     ///
     /// # Errors
     ///
-    /// [`CallError::NoRouter`] when the router gave no reply.
+    /// [`CallError::NoRouter`] if no complete response arrives within 15 s; the service may have
+    /// executed the call.
     pub async fn call(
         &self,
         router: SocketAddr,
@@ -334,7 +353,7 @@
         path: &str,
         key: Option<&str>,
         body: &str,
-    ) -> Result<PlainReply, CallError> {
+    ) -> Result<PlainResponse, CallError> {
         let url = format!("http://{router}/services/{path}");
         let mut req = self.http.request(method, url).bearer_auth(&self.key);
         if let Some(key) = key {
@@ -345,60 +364,61 @@
             return NoRouterSnafu.fail();
         };
         let status = res.status().as_u16();
-        let run = run_of(&res);
+        let run = read_run_header(&res);
         match res.text().await {
-            Ok(body) => Ok(PlainReply { status, run, body }),
-            // A reply that broke off is no reply.
+            Ok(body) => Ok(PlainResponse { status, run, body }),
+            // An incomplete response counts as none.
             Err(_) => NoRouterSnafu.fail(),
         }
     }
 }
 
-/// Reads events until the answer ends, the stream breaks or it is silent for [`SILENCE`].
+/// Reads events until the answer ends, the stream breaks, or no event arrives for
+/// [`STREAM_IDLE_TIMEOUT`].
 async fn read_events(
     mut events: Events,
     router: SocketAddr,
     progress: &mut Progress,
     clock: &dyn Clock,
-    on_token: &mut impl FnMut(&Got),
-) -> Connection {
+    on_token: &mut impl FnMut(&ReceivedToken),
+) -> ConnectionOutcome {
     loop {
-        let event = tokio::time::timeout(SILENCE, events.next()).await;
+        let event = tokio::time::timeout(STREAM_IDLE_TIMEOUT, events.next()).await;
         let Ok(Some(event)) = event else {
-            return Connection::Broken;
+            return ConnectionOutcome::Broken;
         };
-        match progress.take(&event, router, clock.now()) {
-            Step::Token => {
+        match progress.on_event(&event, router, clock.now()) {
+            EventOutcome::Token => {
                 if let Some(token) = progress.tokens.last() {
                     on_token(token);
                 }
             }
-            Step::Nothing => {}
-            Step::Done => return Connection::Done,
-            Step::Failed(error) => {
-                return error.map_or(Connection::Broken, Connection::Refused);
+            EventOutcome::Ignored => {}
+            EventOutcome::Done => return ConnectionOutcome::Done,
+            EventOutcome::Failed(error) => {
+                return error.map_or(ConnectionOutcome::Broken, ConnectionOutcome::Refused);
             }
         }
     }
 }
 
-fn run_of(res: &Response) -> String {
+fn read_run_header(res: &Response) -> String {
     let run = res.headers().get("cloverpier-run");
-    // Not every reply says whether the request ran; none is an empty text.
+    // Not every response has the header; its absence is reported as an empty text.
     run.and_then(|v| v.to_str().ok())
         .unwrap_or_default()
         .to_owned()
 }
 
-async fn refusal(res: Response) -> CallError {
+async fn read_refusal(res: Response) -> CallError {
     let status = res.status().as_u16();
-    let run = run_of(&res);
-    // The status alone says that it was refused; a body that broke off is left out.
+    let run = read_run_header(&res);
+    // The status alone shows the refusal; an incomplete body is left out.
     let body = res.text().await.unwrap_or_default();
     CallError::Refused { status, run, body }
 }
 
-fn may_come_back(error: &CallError) -> bool {
+fn is_retryable(error: &CallError) -> bool {
     match error {
         CallError::Refused { status, .. } => *status == 503 || *status == 429,
         CallError::NoRouter => true,
--- a/crates/daemon/cloverpier_client/src/events.rs
+++ b/crates/daemon/cloverpier_client/src/events.rs
@@ -1,14 +1,15 @@
-//! Reads server-sent events from a stream of bytes.
+//! A parser of server-sent events.
 //!
-//! Owns the bytes that form no whole event yet. Follows the line rules of WHATWG HTML, "Server-
-//! sent events", as far as a client of this API needs them.
+//! Owns the buffer with the bytes of the next, still incomplete event. Implements the subset of WHATWG
+//! HTML, "Server-sent events", that the routers' responses use: lines end with a line feed, and a
+//! field's name and value are separated by a colon and a space.
 
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
 use futures_util::stream::BoxStream;
 use reqwest::Response;
 
-/// One event.
+/// One event; fields that the event doesn't have are `None` or empty.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Event {
     pub(crate) id: Option<String>,
@@ -16,7 +17,7 @@
     pub(crate) data: String,
 }
 
-/// The events of a response.
+/// The events of a response, parsed as they arrive.
 pub(crate) struct Events {
     body: BoxStream<'static, Result<Bytes, reqwest::Error>>,
     buf: BytesMut,
@@ -30,7 +31,9 @@
         }
     }
 
-    /// The next event; `None` when the connection ended or broke.
+    /// Returns the next event; `None` once the connection ended or broke.
+    ///
+    /// Cancellation-safe: no bytes are lost if the future is dropped.
     pub(crate) async fn next(&mut self) -> Option<Event> {
         loop {
             let end = self.buf.windows(2).position(|w| w == b"\n\n");
--- a/crates/daemon/cloverpier_client/src/lib.rs
+++ b/crates/daemon/cloverpier_client/src/lib.rs
@@ -1,16 +1,16 @@
-//! A caller's and an operator's client of the routers.
+//! HTTP clients of the routers, for callers and for operators.
 //!
-//! [`Caller`] asks for addresses, streams an answer, and goes on at another
-//! router when a connection breaks, checking count and digest at the end.
-//! [`Operator`] plans, confirms and asks for the state.
+//! [`Caller`] fetches the routers' addresses and streams answers. If a connection breaks, it continues
+//! the answer at another router, and it verifies the number and the digest of the tokens at the end.
+//! [`Operator`] makes and confirms plans, drains upstreams and reads a router's state.
 //!
 //! ```no_run
 //! # async fn example() {
 //! use cloverpier_client::prelude::*;
 //!
 //! let caller = Caller::new("127.0.0.1:7101".parse().unwrap(), "ops.secret");
-//! let ask = Generate::new("drafts", "Describe the face.", 64);
-//! let answer = caller.generate(&ask, |_| {}).await.unwrap();
+//! let request = GenerateRequest::new("drafts", "Describe the face.", 64);
+//! let answer = caller.generate(&request, |_| {}).await.unwrap();
 //! println!("{}", answer.text());
 //! # }
 //! ```
@@ -20,12 +20,13 @@
 mod operator;
 mod progress;
 
-/// What users of the crate need daily.
+/// All public types, for a glob import.
 pub mod prelude {
     pub use crate::caller::{
-        Address, Addresses, Answer, CallError, Caller, Generate, Got, PlainReply,
+        Answer, CallError, Caller, GenerateRequest, PlainResponse, ReceivedToken, RouterAddress,
+        RouterAddresses,
     };
-    pub use crate::operator::{Confirmed, Operator, OperatorError, Planned, Waiting};
+    pub use crate::operator::{ConfirmReport, Operator, OperatorError, PlanReport, RouterVersion};
 }
 
 pub use prelude::*;
--- a/crates/daemon/cloverpier_client/src/operator.rs
+++ b/crates/daemon/cloverpier_client/src/operator.rs
@@ -1,7 +1,7 @@
-//! The operator's side.
+//! An operator's client of a router.
 //!
-//! Each method is one call to one router. The result of a call without an answer is open: a
-//! confirmation is settled by repeating it.
+//! Each method makes one HTTP call to one router, without retries. If a call has no response, its
+//! outcome is unknown; a confirmation can be repeated to find out. Owns only the HTTP client.
 
 use cloverpier_config::{Intent, Plan};
 use reqwest::{Client, RequestBuilder};
@@ -12,58 +12,59 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long an operator's call may take; a confirmation waits 5 s for all routers.
-const TIMEOUT: Duration = Duration::from_secs(15);
+/// Timeout of a whole call; longer than a confirmation, in which the router waits up to 5 s for all
+/// routers.
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A plan as a router answered it.
+/// A stored plan, as a router returns it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Planned {
-    /// Its name.
+pub struct PlanReport {
+    /// The id to confirm the plan by.
     pub id: String,
-    /// The plan.
+    /// The changes, their base version and the intent.
     pub plan: Plan,
 }
 
-/// A router that doesn't act on a version yet.
+/// A router that doesn't act on the requested version of the configuration yet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Waiting {
-    /// The VM.
+pub struct RouterVersion {
+    /// Name of the router's VM.
     pub vm: String,
-    /// The version that it acts on; `None` when it can't be reached.
+    /// The version in force at the router; `None` if the router can't be reached.
     pub version: Option<u64>,
 }
 
-/// The answer to a confirmation.
+/// The response to a confirmation, or to the query whether a version is in force.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Confirmed {
-    /// `accepted` or `pending`.
+pub struct ConfirmReport {
+    /// `accepted` if all routers act on the version or a later one, else `pending`.
     pub outcome: String,
-    /// The version.
+    /// The version of the configuration.
     pub version: u64,
-    /// Routers that don't act on it yet.
-    pub waiting: Vec<Waiting>,
+    /// The routers that don't act on the version yet.
+    pub waiting: Vec<RouterVersion>,
 }
 
-/// Why an operator's call has no result.
+/// The reason why an operator's call has no result.
 #[derive(Debug, Snafu)]
 pub enum OperatorError {
-    /// The router can't be reached.
+    /// No complete and valid response arrived from the router; the outcome of the call is unknown.
     #[snafu(display("the router can't be reached: {source}"))]
     Unreachable {
-        /// What the call ran into.
+        /// The error of the HTTP client.
         source: reqwest::Error,
     },
-    /// The router refused.
+    /// The router refused the call.
     #[snafu(display("refused with status {status}: {body}"))]
-    Denied {
-        /// The HTTP status.
+    Refused {
+        /// The HTTP status, outside 200 to 299.
         status: u16,
-        /// The body.
+        /// The response body, which has the reason as JSON.
         body: String,
     },
 }
 
-/// An operator's client of one router.
+/// A client of one router, authorized by the operators' key.
 #[derive(Clone, Debug)]
 pub struct Operator {
     http: Client,
@@ -72,7 +73,7 @@
 }
 
 impl Operator {
-    /// A client of the router whose port for peers and operators is given.
+    /// Creates a client; `router` is the router's address for peers and operators.
     pub fn new(router: SocketAddr, key: &str) -> Self {
         Self {
             http: Client::new(),
@@ -82,59 +83,66 @@
     }
 
     async fn send<T: DeserializeOwned>(&self, req: RequestBuilder) -> Result<T, OperatorError> {
-        let sent = req.bearer_auth(&self.key).timeout(TIMEOUT).send().await;
+        let sent = req
+            .bearer_auth(&self.key)
+            .timeout(CALL_TIMEOUT)
+            .send()
+            .await;
         let res = sent.context(UnreachableSnafu)?;
         let status = res.status();
         if !status.is_success() {
-            // The status alone says that it was refused; a body that broke off is left out.
+            // The status alone shows the refusal; an incomplete body is left out.
             let body = res.text().await.unwrap_or_default();
             let status = status.as_u16();
-            return DeniedSnafu { status, body }.fail();
+            return RefusedSnafu { status, body }.fail();
         }
         res.json().await.context(UnreachableSnafu)
     }
 
-    /// Asks for a plan.
+    /// Makes and stores a plan for an intent, without changing the configuration.
     ///
     /// # Errors
     ///
-    /// [`OperatorError`].
-    pub async fn plan(&self, intent: &Intent) -> Result<Planned, OperatorError> {
+    /// [`OperatorError::Refused`] if the intent is invalid; [`OperatorError::Unreachable`].
+    pub async fn plan(&self, intent: &Intent) -> Result<PlanReport, OperatorError> {
         let req = self.http.post(format!("{}/plans", self.base));
         self.send(req.json(intent)).await
     }
 
-    /// Reads a plan.
+    /// Reads a stored plan.
     ///
     /// # Errors
     ///
-    /// [`OperatorError`].
-    pub async fn show(&self, id: &str) -> Result<Planned, OperatorError> {
+    /// [`OperatorError::Refused`] if there is no plan of this id; [`OperatorError::Unreachable`].
+    pub async fn show(&self, id: &str) -> Result<PlanReport, OperatorError> {
         self.send(self.http.get(format!("{}/plans/{id}", self.base)))
             .await
     }
 
-    /// Confirms a plan.
+    /// Applies a plan, and waits up to 5 s until all routers act on the resulting version.
+    ///
+    /// Confirming a plan again changes nothing.
     ///
     /// # Errors
     ///
-    /// [`OperatorError`].
-    pub async fn confirm(&self, id: &str) -> Result<Confirmed, OperatorError> {
+    /// [`OperatorError::Refused`] if another operator changed an item of the plan, the result is
+    /// invalid, or it is unknown whether the plan took effect; [`OperatorError::Unreachable`].
+    pub async fn confirm(&self, id: &str) -> Result<ConfirmReport, OperatorError> {
         let url = format!("{}/plans/{id}/confirm", self.base);
         self.send(self.http.post(url)).await
     }
 
-    /// Asks which routers act on a version.
+    /// Queries whether all routers act on a version of the configuration.
     ///
     /// # Errors
     ///
     /// [`OperatorError`].
-    pub async fn version(&self, version: u64) -> Result<Confirmed, OperatorError> {
+    pub async fn version(&self, version: u64) -> Result<ConfirmReport, OperatorError> {
         let url = format!("{}/versions/{version}", self.base);
         self.send(self.http.get(url)).await
     }
 
-    /// Reads the configuration in force at the router.
+    /// Reads the configuration in force at this router.
     ///
     /// # Errors
     ///
@@ -144,7 +152,7 @@
             .await
     }
 
-    /// Reads the router's state.
+    /// Reads the router's state: its versions, members, upstreams and counts.
     ///
     /// # Errors
     ///
@@ -154,7 +162,10 @@
             .await
     }
 
-    /// Marks an upstream to take no new work.
+    /// Marks an upstream as leaving, so that no router sends it new requests.
+    ///
+    /// The field `not_told` of the result lists the routers that could not be reached; their peers
+    /// send them the mark later.
     ///
     /// # Errors
     ///
@@ -164,21 +175,25 @@
         self.send(self.http.post(url)).await
     }
 
-    /// Begins a planned stop of the router.
+    /// Starts a planned shutdown of the router, and returns without waiting for its end.
     ///
     /// # Errors
     ///
     /// [`OperatorError`].
     pub async fn stop(&self) -> Result<(), OperatorError> {
         let req = self.http.post(format!("{}/stop", self.base));
-        let sent = req.bearer_auth(&self.key).timeout(TIMEOUT).send().await;
+        let sent = req
+            .bearer_auth(&self.key)
+            .timeout(CALL_TIMEOUT)
+            .send()
+            .await;
         let res = sent.context(UnreachableSnafu)?;
         if res.status().is_success() {
             return Ok(());
         }
         let status = res.status().as_u16();
-        // As above.
+        // As in `send`, an incomplete body is left out.
         let body = res.text().await.unwrap_or_default();
-        DeniedSnafu { status, body }.fail()
+        RefusedSnafu { status, body }.fail()
     }
 }
--- a/crates/daemon/cloverpier_daemon/tests/sessions.rs
+++ b/crates/daemon/cloverpier_daemon/tests/sessions.rs
@@ -5,7 +5,7 @@
 
 mod support;
 
-use cloverpier_client::{CallError, Generate};
+use cloverpier_client::{CallError, GenerateRequest};
 use cloverpier_daemon_standin::{EngineFaults, PlatformFaults, ServiceFaults, check_speech};
 use reqwest::Method;
 use serde_json::{Value, json};
@@ -20,7 +20,7 @@
         Ok(a) => json!({
             "tokens": a.tokens.len(),
             "repeated": a.repeated,
-            "count and digest as told": a.proved,
+            "count and digest as told": a.is_verified,
             "each token after those before it":
                 check_speech(a.tokens.iter().map(|t| &*t.text)).is_ok(),
         }),
@@ -32,10 +32,10 @@
 /// Streams an answer in a task of its own; each token is told as it arrives.
 fn stream(
     site: &Site,
-    ask: Generate,
+    ask: GenerateRequest,
 ) -> (
     tokio::task::JoinHandle<Result<cloverpier_client::Answer, CallError>>,
-    mpsc::UnboundedReceiver<cloverpier_client::Got>,
+    mpsc::UnboundedReceiver<cloverpier_client::ReceivedToken>,
 ) {
     let caller = Arc::new(site.caller(0));
     let (tx, rx) = mpsc::unbounded_channel();
@@ -64,7 +64,7 @@
 async fn an_answer_outlives_its_engine_and_its_router() {
     let mut site = Site::start().await;
     let version = site.configure(&site.intent()).await;
-    let (task, mut tokens) = stream(&site, Generate::new("drafts", "a long log", 300));
+    let (task, mut tokens) = stream(&site, GenerateRequest::new("drafts", "a long log", 300));
     let mut steps = vec![json!({"version in force": version})];
     let mut count = 0;
     while let Some(token) = tokens.recv().await {
@@ -94,7 +94,7 @@
         service.silence_ms = 400;
     }
     site.configure(&intent).await;
-    let (task, mut tokens) = stream(&site, Generate::new("drafts", "a long log", 200));
+    let (task, mut tokens) = stream(&site, GenerateRequest::new("drafts", "a long log", 200));
     let mut count = 0;
     while let Some(token) = tokens.recv().await {
         count += 1;
@@ -125,7 +125,7 @@
         service.silence_ms = SILENCE.as_millis() as u64;
     }
     site.configure(&intent).await;
-    let (task, mut tokens) = stream(&site, Generate::new("drafts", "a long log", 100));
+    let (task, mut tokens) = stream(&site, GenerateRequest::new("drafts", "a long log", 100));
     let mut count = 0;
     let mut suspended = None;
     loop {
@@ -268,7 +268,10 @@
     assert_eq!(status["version"], version);
     let answer = site
         .caller(2)
-        .generate(&Generate::new("drafts", "after the restart", 20), |_| {})
+        .generate(
+            &GenerateRequest::new("drafts", "after the restart", 20),
+            |_| {},
+        )
         .await;
     insta::assert_json_snapshot!(seen(&answer));
 }
@@ -278,7 +281,7 @@
     let site = Site::start().await;
     site.configure(&site.intent()).await;
     site.set_platform_down(true).await;
-    let (task, mut tokens) = stream(&site, Generate::new("drafts", "a long log", 250));
+    let (task, mut tokens) = stream(&site, GenerateRequest::new("drafts", "a long log", 250));
     tokens.recv().await.expect("a first token");
     for name in ["e0", "e1", "e2"] {
         let left = site.operator(0).leave(name).await.unwrap();
@@ -290,8 +293,8 @@
     }
     let mut steps = Vec::new();
     for router in 0..3 {
-        let mut ask = Generate::new("drafts", "too late", 5);
-        ask.patience = std::time::Duration::ZERO;
+        let mut ask = GenerateRequest::new("drafts", "too late", 5);
+        ask.timeout = std::time::Duration::ZERO;
         let answer = site.caller(router).generate(&ask, |_| {}).await;
         steps.push(json!({"asked of a router": seen(&answer)}));
     }
@@ -310,7 +313,7 @@
 async fn a_planned_stop_of_a_router_cuts_no_answer() {
     let site = Site::start().await;
     site.configure(&site.intent()).await;
-    let (task, mut tokens) = stream(&site, Generate::new("drafts", "a long log", 250));
+    let (task, mut tokens) = stream(&site, GenerateRequest::new("drafts", "a long log", 250));
     let first = tokens.recv().await.expect("a first token");
     let at = site.routers.iter().position(|r| r.callers_at == first.from);
     let at = at.expect("a router sent it");
@@ -321,8 +324,8 @@
         found.is_ok_and(|a| a.addresses.iter().all(|a| a.address != first.from))
     })
     .await;
-    let mut ask = Generate::new("drafts", "a new one", 5);
-    ask.patience = std::time::Duration::ZERO;
+    let mut ask = GenerateRequest::new("drafts", "a new one", 5);
+    ask.timeout = std::time::Duration::ZERO;
     let refused = site.caller(at).generate(&ask, |_| {}).await;
     let answer = task.await.unwrap();
     let connections = answer.as_ref().map_or(0, |a| a.connections);
--- a/tools/src/bin/demo.rs
+++ b/tools/src/bin/demo.rs
@@ -1,6 +1,6 @@
 //! `cargo demo`: one answer that outlives its engine and then its router.
 
-use cloverpier_client::{Answer, Generate, Got};
+use cloverpier_client::{Answer, GenerateRequest, ReceivedToken};
 use cloverpier_daemon_standin::check_speech;
 use cloverpier_tools::fleet::{Fleet, FleetSpec};
 use cloverpier_tools::process::build_programs;
@@ -47,7 +47,8 @@
     );
     let (tx, rx) = mpsc::unbounded_channel();
     let asked = tokio::spawn(async move {
-        let ask = Generate::new("drafts", "Summarise the calibration log of run 17.", TOKENS);
+        let ask =
+            GenerateRequest::new("drafts", "Summarise the calibration log of run 17.", TOKENS);
         caller
             .generate(&ask, |token| {
                 // The receiver lives as long as the demo.
@@ -66,7 +67,10 @@
 }
 
 /// Kills an engine and a router as the tokens arrive.
-async fn kill_on_the_way(fleet: &mut Fleet, mut rx: UnboundedReceiver<Got>) -> Vec<Fault> {
+async fn kill_on_the_way(
+    fleet: &mut Fleet,
+    mut rx: UnboundedReceiver<ReceivedToken>,
+) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut count = 0;
     while let Some(token) = rx.recv().await {
@@ -132,10 +136,13 @@
         "received {got} tokens over {} connections: {missing} missing, {repeated} repeated",
         answer.connections
     );
-    println!("count and digest as the router told: {}", answer.proved);
+    println!(
+        "count and digest as the router told: {}",
+        answer.is_verified
+    );
     println!(
         "every token generated after exactly those before it: {}",
         speech.is_ok()
     );
-    missing == 0 && repeated == 0 && answer.proved && speech.is_ok()
+    missing == 0 && repeated == 0 && answer.is_verified && speech.is_ok()
 }
--- a/tools/src/fleet/mod.rs
+++ b/tools/src/fleet/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::ports::free_addresses;
 use crate::process::Process;
-use cloverpier_client::{Caller, Confirmed, Operator};
+use cloverpier_client::{Caller, ConfirmReport, Operator};
 use cloverpier_config::{Account, Intent, Repeatable, Service, Upstream};
 use reqwest::Client;
 use serde_json::Value;
@@ -311,7 +311,7 @@
     }
 
     /// Puts the intent in force, accounts in several plans where one would be too large.
-    async fn configure(&self) -> io::Result<Confirmed> {
+    async fn configure(&self) -> io::Result<ConfirmReport> {
         let mut rest = self.intent();
         let mut accounts = std::mem::take(&mut rest.accounts).into_iter().peekable();
         loop {
--- a/tools/src/load.rs
+++ b/tools/src/load.rs
@@ -1,7 +1,7 @@
 //! Load from callers, and what they received.
 
 use crate::fleet::Fleet;
-use cloverpier_client::{Answer, CallError, Caller, Generate};
+use cloverpier_client::{Answer, CallError, Caller, GenerateRequest};
 use cloverpier_daemon_standin::{SpeechFault, check_speech};
 use futures_util::future::join_all;
 use std::sync::Arc;
@@ -87,9 +87,9 @@
 
 async fn one(caller: &Caller, load: &Load, i: usize) -> Outcome {
     let prompt = format!("{} asks for report {i} of the calibration log", load.name);
-    let mut ask = Generate::new("drafts", &prompt, load.tokens);
+    let mut ask = GenerateRequest::new("drafts", &prompt, load.tokens);
     ask.key = format!("{}-{i}", load.name);
-    ask.patience = load.patience;
+    ask.timeout = load.patience;
     let asked = Instant::now();
     let answer = caller.generate(&ask, |_| {}).await;
     Outcome {
@@ -118,7 +118,7 @@
         sum.missing += missing;
         sum.repeated += answer.repeated + extra;
         sum.mixed += u64::from(mixed);
-        let whole = answer.proved && missing + extra + answer.repeated == 0 && !mixed;
+        let whole = answer.is_verified && missing + extra + answer.repeated == 0 && !mixed;
         sum.whole += u64::from(whole);
     }
     sum
--- a/tools/src/scenarios/overload.rs
+++ b/tools/src/scenarios/overload.rs
@@ -4,7 +4,7 @@
 use crate::load::{Load, Outcome, first_tokens, run_with};
 use crate::report::{Figures, Spread};
 use crate::scenarios::meter::{Cost, figures};
-use cloverpier_client::{Caller, Generate};
+use cloverpier_client::{Caller, GenerateRequest};
 use serde_json::{Value, json};
 use std::io;
 use std::sync::Arc;
@@ -76,7 +76,7 @@
 }
 
 fn whole(flood: &[Outcome], little: &[Outcome]) -> usize {
-    let ended = |o: &&Outcome| o.answer.as_ref().is_ok_and(|a| a.proved);
+    let ended = |o: &&Outcome| o.answer.as_ref().is_ok_and(|a| a.is_verified);
     flood.iter().filter(ended).count() + little.iter().filter(ended).count()
 }
 
@@ -98,7 +98,7 @@
     while started.elapsed() < Duration::from_secs(20) {
         let mut first = None;
         let asked = Instant::now();
-        let ask = Generate::new("drafts", "a probe", 1);
+        let ask = GenerateRequest::new("drafts", "a probe", 1);
         let answer = caller.generate(&ask, |t| first = Some(t.at - asked)).await;
         if answer.is_ok() && first.is_some_and(|wait| wait <= RECOVERED) {
             return started.elapsed();
--- a/tools/src/scenarios/slopes.rs
+++ b/tools/src/scenarios/slopes.rs
@@ -3,7 +3,7 @@
 use crate::fleet::{Fleet, FleetSpec};
 use crate::load::{Load, between_tokens, faults, run as run_load};
 use crate::report::{Figures, Spread};
-use cloverpier_client::Confirmed;
+use cloverpier_client::ConfirmReport;
 use cloverpier_config::{Config, Intent, Service, Upstream, join, split};
 use cloverpier_core::{ManualClock, ServiceName, VmName};
 use cloverpier_daemon_standin::EngineModel;
@@ -164,7 +164,7 @@
 }
 
 /// Changes one account and tells how long it took until the change was accepted.
-async fn change_one_account(fleet: &Fleet) -> io::Result<(Confirmed, Duration)> {
+async fn change_one_account(fleet: &Fleet) -> io::Result<(ConfirmReport, Duration)> {
     let mut intent = Intent::default();
     if let Some((name, mut account)) = fleet.intent().accounts.pop_last() {
         account.weight += 1;
