--- a/crates/daemon/cloverpier_cli/src/args.rs
+++ b/crates/daemon/cloverpier_cli/src/args.rs
@@ -1,77 +1,79 @@
 //! The arguments of the command line.
 //!
-//! Owns names, defaults and help of all of them; environment variables replace two. What a command does
-//! with them is its own module's.
+//! Owns the names, defaults and help texts of all arguments; two of them may be given by environment
+//! variables instead. The commands are implemented in `caller` and `operator`.
 
 use argh::FromArgs;
 use std::net::SocketAddr;
 
-/// Command line of operators and callers. Exit codes: 0 done, 1 refused or
-/// failed, 2 wrong usage, 3 stored but not in force everywhere yet.
+/// Calls the routers as an operator or a caller. Exit codes: 0 done, 1 refused or
+/// failed, 2 wrong usage, 3 stored but not in force at all routers yet.
 #[derive(FromArgs)]
 pub struct Args {
-    /// a router's port for operators (`CLOVERPIER_ROUTER`)
+    /// address and port at which a router accepts operators
+    /// (default: `CLOVERPIER_ROUTER`)
     #[argh(option)]
     pub router: Option<SocketAddr>,
-    /// a router's port for callers (`CLOVERPIER_ADDRESS`)
+    /// address and port at which a router accepts callers
+    /// (default: `CLOVERPIER_ADDRESS`)
     #[argh(option)]
     pub address: Option<SocketAddr>,
     /// print JSON instead of tables
     #[argh(switch)]
     pub json: bool,
-    /// what to do
+    /// the command to execute
     #[argh(subcommand)]
     pub command: Command,
 }
 
 impl Args {
-    /// The router's port for operators.
+    /// The router's address for operators: the argument, else the environment variable.
     pub fn router(&self) -> Option<SocketAddr> {
         self.router.or_else(|| from_env("CLOVERPIER_ROUTER"))
     }
 
-    /// The router's port for callers.
+    /// The router's address for callers: the argument, else the environment variable.
     pub fn address(&self) -> Option<SocketAddr> {
         self.address.or_else(|| from_env("CLOVERPIER_ADDRESS"))
     }
 }
 
 fn from_env(name: &str) -> Option<SocketAddr> {
-    // An address that cannot be read counts as none; the caller then names both ways to give it.
+    // An invalid address counts as absent; the error message names both ways to give the address.
     std::env::var(name).ok()?.parse().ok()
 }
 
-/// What to do.
+/// The command to execute; the type of each variant has the command's arguments.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
-    /// Digest of a key.
+    /// Prints the digest of a client account's key.
     Key(Key),
-    /// Addresses.
+    /// Prints the routers' addresses for callers.
     Addresses(Addresses),
-    /// Generate.
+    /// Streams an answer of a model service.
     Generate(Generate),
-    /// Call a plain service.
+    /// Calls a plain service.
     Call(Call),
-    /// Plan.
+    /// Makes a plan.
     Plan(Plan),
-    /// Show a plan.
+    /// Prints a stored plan.
     Show(Show),
-    /// Confirm.
+    /// Confirms a plan.
     Confirm(Confirm),
-    /// Who acts on a version.
+    /// Prints which routers don't act on a version yet.
     Version(Version),
-    /// Configuration.
+    /// Prints the configuration.
     Config(Config),
-    /// Status.
+    /// Prints a router's state.
     Status(Status),
-    /// Drain.
+    /// Marks an upstream as leaving.
     Drain(Drain),
-    /// Stop.
+    /// Starts a planned shutdown of a router.
     Stop(Stop),
 }
 
-/// print the digest of a client account's key, as an intent wants it
+/// print the digest of a client account's key, for `key_sha256` in an intent
 #[derive(FromArgs)]
 #[argh(subcommand, name = "key")]
 pub struct Key {
@@ -80,87 +82,88 @@
     pub key: String,
 }
 
-/// print which addresses callers may use
+/// print the routers' addresses for callers
 #[derive(FromArgs)]
 #[argh(subcommand, name = "addresses")]
 pub struct Addresses {}
 
-/// stream an answer; the key is taken from `CLOVERPIER_KEY`
+/// stream an answer; the account's key is taken from `CLOVERPIER_KEY`
 #[derive(FromArgs)]
 #[argh(subcommand, name = "generate")]
 pub struct Generate {
-    /// the service
+    /// name of the model service
     #[argh(option)]
     pub service: String,
-    /// the most tokens
+    /// upper bound of the answer's tokens (default: 64)
     #[argh(option, default = "64")]
     pub max_tokens: u32,
-    /// the priority, 0 to 9, as far as the account may
+    /// priority of the request, 0 to 9, at most that of the account (default: 0)
     #[argh(option, default = "0")]
     pub priority: u8,
-    /// the idempotency key
+    /// idempotency key of the request (default: the router assigns a key)
     #[argh(option, default = "String::new()")]
     pub key: String,
-    /// the prompt
+    /// text to generate an answer for
     #[argh(positional)]
     pub prompt: String,
 }
 
-/// call a plain service; the key is taken from `CLOVERPIER_KEY`
+/// call a plain service; the account's key is taken from `CLOVERPIER_KEY`
 #[derive(FromArgs)]
 #[argh(subcommand, name = "call")]
 pub struct Call {
-    /// the method
+    /// HTTP method (default: GET)
     #[argh(option, default = "String::from(\"GET\")")]
     pub method: String,
-    /// the idempotency key
+    /// idempotency key, required for calls that may not be repeated
     #[argh(option)]
     pub key: Option<String>,
-    /// the body
+    /// body of the request (default: empty)
     #[argh(option, default = "String::new()")]
     pub body: String,
-    /// the service and the path, as in status/runs/17
+    /// name of the service and path within the service, such as status/runs/17
     #[argh(positional)]
     pub path: String,
 }
 
-/// ask what an intent would change; the key is taken from `CLOVERPIER_OPERATOR_KEY`
+/// make a plan: the changes of an intent, without applying them; the key is taken from
+/// `CLOVERPIER_OPERATOR_KEY`, as for all commands of operators
 #[derive(FromArgs)]
 #[argh(subcommand, name = "plan")]
 pub struct Plan {
-    /// the intent, a TOML file
+    /// path of a TOML file with the intent
     #[argh(positional)]
     pub intent: String,
 }
 
-/// print a plan
+/// print a stored plan
 #[derive(FromArgs)]
 #[argh(subcommand, name = "show")]
 pub struct Show {
-    /// the plan's name
+    /// id of the plan
     #[argh(positional)]
     pub plan: String,
 }
 
-/// put a plan in force
+/// confirm a plan: apply its changes and wait for all routers
 #[derive(FromArgs)]
 #[argh(subcommand, name = "confirm")]
 pub struct Confirm {
-    /// the plan's name
+    /// id of the plan
     #[argh(positional)]
     pub plan: String,
 }
 
-/// ask which routers act on a version
+/// print which routers don't act on a version of the configuration yet
 #[derive(FromArgs)]
 #[argh(subcommand, name = "version")]
 pub struct Version {
-    /// the version
+    /// version of the configuration
     #[argh(positional)]
     pub version: u64,
 }
 
-/// print the configuration in force
+/// print the configuration in force at the router
 #[derive(FromArgs)]
 #[argh(subcommand, name = "config")]
 pub struct Config {}
@@ -170,16 +173,16 @@
 #[argh(subcommand, name = "status")]
 pub struct Status {}
 
-/// give an upstream no new work from now on
+/// mark an upstream as leaving, so that it receives no new requests
 #[derive(FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub struct Drain {
-    /// the upstream
+    /// name of the upstream
     #[argh(positional)]
     pub upstream: String,
 }
 
-/// begin a planned stop of the router
+/// start a planned shutdown of the router
 #[derive(FromArgs)]
 #[argh(subcommand, name = "stop")]
 pub struct Stop {}
--- a/crates/daemon/cloverpier_cli/src/caller.rs
+++ b/crates/daemon/cloverpier_cli/src/caller.rs
@@ -1,6 +1,7 @@
-//! Commands of callers.
+//! The commands of callers.
 //!
-//! Each prints for people, or JSON with `--json`, and returns the exit code's reason.
+//! Each function prints its result as text, or as JSON with `--json`, and returns an [`Outcome`],
+//! which determines the exit code.
 
 use crate::Outcome;
 use crate::args::{Args, Call, Generate, Key};
@@ -11,29 +12,29 @@
 use serde_json::json;
 use std::io::Write;
 
-fn caller_of(args: &Args) -> Result<(Caller, std::net::SocketAddr), Outcome> {
+fn caller_from_args(args: &Args) -> Result<(Caller, std::net::SocketAddr), Outcome> {
     let missing = "--address or CLOVERPIER_ADDRESS: expected a router's port for callers";
     let address = args
         .address()
         .ok_or_else(|| Outcome::Usage(missing.to_owned()))?;
-    // Without a key the router refuses the call and says so.
+    // Without a key the router refuses the call, with an error that names the missing key.
     let key = std::env::var("CLOVERPIER_KEY").unwrap_or_default();
     Ok((Caller::new(address, &key), address))
 }
 
-/// Prints the digest of a key.
+/// Prints the SHA-256 digest of a client account's key.
 pub fn key(key: &Key) -> Outcome {
-    let whole = key.key.split_once('.');
-    if whole.is_none_or(|(account, secret)| account.is_empty() || secret.is_empty()) {
+    let key_parts = key.key.split_once('.');
+    if key_parts.is_none_or(|(account, secret)| account.is_empty() || secret.is_empty()) {
         return Outcome::Usage("key: expected account.secret".to_owned());
     }
     println!("{}", KeyDigest::of(&key.key).as_str());
     Outcome::Done
 }
 
-/// Prints the addresses.
+/// Prints the routers' addresses for callers.
 pub async fn addresses(args: &Args) -> Outcome {
-    let (caller, _) = match caller_of(args) {
+    let (caller, _) = match caller_from_args(args) {
         Ok(found) => found,
         Err(outcome) => return outcome,
     };
@@ -51,22 +52,22 @@
     }
 }
 
-/// Streams an answer.
+/// Streams an answer and prints its tokens as they arrive.
 pub async fn generate(args: &Args, ask: &Generate) -> Outcome {
-    let (caller, _) = match caller_of(args) {
+    let (caller, _) = match caller_from_args(args) {
         Ok(found) => found,
         Err(outcome) => return outcome,
     };
-    // A router that does not list the addresses can still serve.
+    // If the addresses can't be fetched, the router at the given address may still serve the request.
     let _ = caller.addresses().await;
-    let mut what = GenerateRequest::new(&ask.service, &ask.prompt, ask.max_tokens);
-    what.priority = ask.priority;
-    what.key.clone_from(&ask.key);
-    let quiet = args.json;
-    let streamed = caller.generate(&what, |token| {
-        if !quiet {
+    let mut request = GenerateRequest::new(&ask.service, &ask.prompt, ask.max_tokens);
+    request.priority = ask.priority;
+    request.key.clone_from(&ask.key);
+    let is_json = args.json;
+    let streamed = caller.generate(&request, |token| {
+        if !is_json {
             print!("{}", token.text);
-            // Closed output is no reason to end the call: its result is reported by the exit code.
+            // A closed output doesn't end the call, as the exit code reports the result.
             let _ = std::io::stdout().flush();
         }
     });
@@ -86,15 +87,17 @@
             if answer.is_verified {
                 Outcome::Done
             } else {
-                Outcome::Failed("count and digest are not those that the router told".to_owned())
+                Outcome::Failed(
+                    "the number or the digest of the tokens differs from the router's".to_owned(),
+                )
             }
         }
     }
 }
 
-/// Calls a plain service.
+/// Calls a plain service and prints the body of the response.
 pub async fn call(args: &Args, call: &Call) -> Outcome {
-    let (caller, address) = match caller_of(args) {
+    let (caller, address) = match caller_from_args(args) {
         Ok(found) => found,
         Err(outcome) => return outcome,
     };
--- a/crates/daemon/cloverpier_cli/src/main.rs
+++ b/crates/daemon/cloverpier_cli/src/main.rs
@@ -1,6 +1,7 @@
-//! `cloverpier`: the command line of operators and callers.
+//! `cloverpier`: the command line client of operators and callers.
 //!
-//! Owns the exit codes; each command is a function of [`caller`] or [`operator`].
+//! Owns the exit codes and prints error messages; each command is a function of [`caller`] or
+//! [`operator`].
 
 mod args;
 mod caller;
@@ -10,23 +11,23 @@
 use args::{Args, Command};
 use std::process::ExitCode;
 
-/// What a command came to.
+/// The outcome of a command, which determines the exit code.
 enum Outcome {
-    /// It did what was asked.
+    /// The command succeeded.
     Done,
-    /// It is stored, and some routers don't act on it yet.
+    /// The change is stored, but some routers don't act on it yet.
     Pending,
-    /// It was refused or failed; the text says why.
+    /// The call was refused or failed; the text is the error message.
     Failed(String),
-    /// The command itself can't stand.
+    /// The arguments or the intent file are invalid; the text is the error message.
     Usage(String),
 }
 
-/// Exit code of a command that was refused or failed; the codes are in `--help`.
+/// Exit code of a command that was refused or failed. `--help` lists the exit codes.
 const EXIT_FAILED: u8 = 1;
-/// Exit code of wrong usage.
+/// Exit code of invalid arguments or an invalid intent file.
 const EXIT_USAGE: u8 = 2;
-/// Exit code of a change that is stored, but not in force everywhere yet.
+/// Exit code of a change that is stored, but not in force at all routers yet.
 const EXIT_PENDING: u8 = 3;
 
 #[tokio::main]
@@ -49,12 +50,12 @@
     match outcome {
         Outcome::Done => ExitCode::SUCCESS,
         Outcome::Pending => ExitCode::from(EXIT_PENDING),
-        Outcome::Failed(why) => {
-            eprintln!("{why}");
+        Outcome::Failed(message) => {
+            eprintln!("{message}");
             ExitCode::from(EXIT_FAILED)
         }
-        Outcome::Usage(why) => {
-            eprintln!("{why}");
+        Outcome::Usage(message) => {
+            eprintln!("{message}");
             ExitCode::from(EXIT_USAGE)
         }
     }
--- a/crates/daemon/cloverpier_cli/src/operator.rs
+++ b/crates/daemon/cloverpier_cli/src/operator.rs
@@ -1,7 +1,7 @@
-//! Commands of operators.
+//! The commands of operators.
 //!
-//! Each makes one call to a router, prints for people or JSON with `--json`, and returns the exit
-//! code's reason. Golden files hold calls and output.
+//! Each function makes one call to a router, prints the result as text, or as JSON with `--json`, and
+//! returns an [`Outcome`], which determines the exit code. Golden files pin the calls and the output.
 
 use crate::Outcome;
 use crate::args::{Args, Confirm, Drain, Plan, Show, Version};
@@ -11,18 +11,18 @@
 use serde::Serialize;
 use serde_json::Value;
 
-fn operator_of(args: &Args) -> Result<Operator, Outcome> {
+fn operator_from_args(args: &Args) -> Result<Operator, Outcome> {
     let missing = "--router or CLOVERPIER_ROUTER: expected a router's port for operators";
     let router = args
         .router()
         .ok_or_else(|| Outcome::Usage(missing.to_owned()))?;
-    // Without a key the router refuses the call and says so.
+    // Without a key the router refuses the call, with an error that names the missing key.
     let key = std::env::var("CLOVERPIER_OPERATOR_KEY").unwrap_or_default();
     Ok(Operator::new(router, &key))
 }
 
 fn print_json<T: Serialize>(value: &T) {
-    // The types printed here have only text keys, so they can always be written as JSON.
+    // All maps in the printed types have text keys, so serialization never fails.
     println!("{}", serde_json::to_string(value).unwrap_or_default());
 }
 
@@ -32,9 +32,9 @@
     toml::from_str(&text).map_err(|e| Outcome::Usage(format!("{path}: {e}")))
 }
 
-/// Asks for a plan and prints it.
+/// Makes a plan for the intent of a TOML file, and prints the plan.
 pub async fn plan(args: &Args, plan: &Plan) -> Outcome {
-    let (operator, intent) = match (operator_of(args), read_intent(&plan.intent)) {
+    let (operator, intent) = match (operator_from_args(args), read_intent(&plan.intent)) {
         (Ok(operator), Ok(intent)) => (operator, intent),
         (Err(outcome), _) | (_, Err(outcome)) => return outcome,
     };
@@ -49,7 +49,7 @@
 
 /// Prints a stored plan.
 pub async fn show(args: &Args, show: &Show) -> Outcome {
-    let operator = match operator_of(args) {
+    let operator = match operator_from_args(args) {
         Ok(operator) => operator,
         Err(outcome) => return outcome,
     };
@@ -91,25 +91,28 @@
     }
 }
 
-/// Confirms a plan.
+/// Confirms a plan, and prints which routers don't act on the new version yet.
 pub async fn confirm(args: &Args, confirm: &Confirm) -> Outcome {
-    let operator = match operator_of(args) {
+    let operator = match operator_from_args(args) {
         Ok(operator) => operator,
         Err(outcome) => return outcome,
     };
-    report(args.json, operator.confirm(&confirm.plan).await)
+    print_confirmation(args.json, operator.confirm(&confirm.plan).await)
 }
 
-/// Prints which routers act on a version.
+/// Prints which routers don't act on a version yet.
 pub async fn version(args: &Args, version: &Version) -> Outcome {
-    let operator = match operator_of(args) {
+    let operator = match operator_from_args(args) {
         Ok(operator) => operator,
         Err(outcome) => return outcome,
     };
-    report(args.json, operator.version(version.version).await)
+    print_confirmation(args.json, operator.version(version.version).await)
 }
 
-fn report(json: bool, result: Result<ConfirmReport, cloverpier_client::OperatorError>) -> Outcome {
+fn print_confirmation(
+    json: bool,
+    result: Result<ConfirmReport, cloverpier_client::OperatorError>,
+) -> Outcome {
     let confirmed = match result {
         Ok(confirmed) => confirmed,
         Err(e) => return Outcome::Failed(e.to_string()),
@@ -132,9 +135,9 @@
     }
 }
 
-/// Prints the configuration in force.
+/// Prints the configuration in force at the router, as JSON.
 pub async fn config(args: &Args) -> Outcome {
-    let operator = match operator_of(args) {
+    let operator = match operator_from_args(args) {
         Ok(operator) => operator,
         Err(outcome) => return outcome,
     };
@@ -143,7 +146,7 @@
         Ok(config) => {
             println!(
                 "{}",
-                // As in `print_json`.
+                // All map keys are texts, so serialization never fails.
                 serde_json::to_string_pretty(&config).unwrap_or_default()
             );
             Outcome::Done
@@ -151,9 +154,9 @@
     }
 }
 
-/// Prints a router's state.
+/// Prints a router's state: its versions, members and upstreams.
 pub async fn status(args: &Args) -> Outcome {
-    let operator = match operator_of(args) {
+    let operator = match operator_from_args(args) {
         Ok(operator) => operator,
         Err(outcome) => return outcome,
     };
@@ -170,24 +173,24 @@
     }
 }
 
-fn cell(value: &Value) -> String {
+fn cell_text(value: &Value) -> String {
     value
         .as_str()
         .map_or_else(|| value.to_string(), str::to_owned)
 }
 
-fn rows(list: &Value, fields: &[&str]) -> Vec<Vec<String>> {
-    // A field that is no list is shown as an empty table.
+fn table_rows(list: &Value, fields: &[&str]) -> Vec<Vec<String>> {
+    // A field that is not a list is shown as an empty table.
     let list = list.as_array().cloned().unwrap_or_default();
-    let row = |one: &Value| fields.iter().map(|f| cell(&one[*f])).collect();
+    let row = |entry: &Value| fields.iter().map(|f| cell_text(&entry[*f])).collect();
     list.iter().map(row).collect()
 }
 
 fn print_status(status: &Value) {
     println!(
         "{} in {}: epoch {}, configuration {}, {} answers, {} copies, {} records",
-        cell(&status["vm"]),
-        cell(&status["data_centre"]),
+        cell_text(&status["vm"]),
+        cell_text(&status["data_centre"]),
         status["epoch"],
         status["version"],
         status["answers"],
@@ -203,35 +206,36 @@
         "stopping",
         "suspected",
     ];
-    print_rows(false, &fields, &rows(&status["members"], &fields));
+    print_rows(false, &fields, &table_rows(&status["members"], &fields));
     println!();
     let fields = ["upstream", "takes_work", "load", "own"];
-    print_rows(false, &fields, &rows(&status["upstreams"], &fields));
+    print_rows(false, &fields, &table_rows(&status["upstreams"], &fields));
 }
 
-/// Gives an upstream no new work.
+/// Marks an upstream as leaving, so that it receives no new requests, and prints which routers could
+/// not be reached.
 pub async fn drain(args: &Args, drain: &Drain) -> Outcome {
-    let operator = match operator_of(args) {
+    let operator = match operator_from_args(args) {
         Ok(operator) => operator,
         Err(outcome) => return outcome,
     };
     match operator.leave(&drain.upstream).await {
         Err(e) => Outcome::Failed(e.to_string()),
-        Ok(left) => {
-            // A reply without the field lists no router that the drain did not reach.
-            let not_told = left["not_told"].as_array().cloned().unwrap_or_default();
+        Ok(report) => {
+            // A response without the field means that the mark reached all routers.
+            let unreached = report["not_told"].as_array().cloned().unwrap_or_default();
             if args.json {
-                print_json(&left);
+                print_json(&report);
             } else {
                 println!("{} takes no new work", drain.upstream);
-                for router in &not_told {
+                for router in &unreached {
                     println!(
                         "  {} can't be reached; others will tell it",
-                        cell(&router["vm"])
+                        cell_text(&router["vm"])
                     );
                 }
             }
-            if not_told.is_empty() {
+            if unreached.is_empty() {
                 Outcome::Done
             } else {
                 Outcome::Pending
@@ -240,9 +244,9 @@
     }
 }
 
-/// Begins a planned stop.
+/// Starts a planned shutdown of the router.
 pub async fn stop(args: &Args) -> Outcome {
-    let operator = match operator_of(args) {
+    let operator = match operator_from_args(args) {
         Ok(operator) => operator,
         Err(outcome) => return outcome,
     };
--- a/crates/daemon/cloverpier_cli/tests/output.rs
+++ b/crates/daemon/cloverpier_cli/tests/output.rs
@@ -1,7 +1,7 @@
-//! What `cloverpier` asks of a router, prints and exits with, as golden files.
+//! Golden files of the requests, output and exit codes of `cloverpier`.
 //!
-//! The golden files were written by commit 72eb395, against a router that gives
-//! one fixed answer a path.
+//! They guard against a change that breaks scripts of operators. The test router sends one fixed
+//! response for each method and path.
 
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -28,7 +28,7 @@
 const ADDRESSES: &str = r#"{"ttl_s":20,"spread":1,"addresses":[
     {"vm":"vm-1","data_centre":"hall-a","address":"127.0.0.1:7101"}]}"#;
 
-fn answer_to(method: &str, path: &str) -> (u16, &'static str) {
+fn response_for(method: &str, path: &str) -> (u16, &'static str) {
     match (method, path) {
         ("POST", "/admin/plans") | ("GET", "/admin/plans/p-1") => (200, PLAN),
         ("GET", "/admin/plans/p-2") => (200, EMPTY_PLAN),
@@ -48,14 +48,14 @@
     }
 }
 
-/// Request lines and the headers that matter, as the router got them.
-type Seen = Arc<Mutex<Vec<String>>>;
+/// Request lines, bodies and some headers, in the order in which the router received the requests.
+type RecordedRequests = Arc<Mutex<Vec<String>>>;
 
-fn serve(stream: TcpStream, seen: &Seen) -> std::io::Result<()> {
+fn serve(stream: TcpStream, requests: &RecordedRequests) -> std::io::Result<()> {
     let mut reader = BufReader::new(stream.try_clone()?);
     let mut line = String::new();
     reader.read_line(&mut line)?;
-    let first = line.trim_end().to_owned();
+    let request_line = line.trim_end().to_owned();
     let mut headers = Vec::new();
     let mut length = 0;
     loop {
@@ -68,8 +68,8 @@
         if let Some(value) = header.strip_prefix("content-length: ") {
             length = value.parse().unwrap_or(0);
         }
-        let matters = ["authorization", "idempotency-key", "content-type"];
-        if matters.iter().any(|name| header.starts_with(name)) {
+        let recorded_headers = ["authorization", "idempotency-key", "content-type"];
+        if recorded_headers.iter().any(|name| header.starts_with(name)) {
             headers.push(header);
         }
     }
@@ -77,37 +77,37 @@
     reader.read_exact(&mut body)?;
     headers.sort();
     let body = String::from_utf8_lossy(&body).into_owned();
-    let request = format!("{first} [{}] {body}", headers.join("; "));
-    seen.lock().unwrap().push(request);
-    let mut words = first.split(' ');
+    let request = format!("{request_line} [{}] {body}", headers.join("; "));
+    requests.lock().unwrap().push(request);
+    let mut words = request_line.split(' ');
     let (method, path) = (words.next().unwrap_or(""), words.next().unwrap_or(""));
-    let (status, answer) = answer_to(method, path);
+    let (status, response) = response_for(method, path);
     let head = format!(
         "HTTP/1.1 {status} S\r\nconnection: close\r\ncontent-length: {}",
-        answer.len()
+        response.len()
     );
     let mut stream = stream;
     write!(
         stream,
-        "{head}\r\ncontent-type: application/json\r\n\r\n{answer}"
+        "{head}\r\ncontent-type: application/json\r\n\r\n{response}"
     )
 }
 
-fn start_router() -> (SocketAddr, Seen) {
+fn start_router() -> (SocketAddr, RecordedRequests) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let seen = Seen::default();
-    let shared = Arc::clone(&seen);
+    let requests = RecordedRequests::default();
+    let shared = Arc::clone(&requests);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            // A client that leaves early shows in what it prints.
+            // If the client disconnects early, its output shows the failure.
             let _ = serve(stream, &shared);
         }
     });
-    (address, seen)
+    (address, requests)
 }
 
-fn run(router: SocketAddr, seen: &Seen, args: &[&str]) -> String {
+fn run_command(router: SocketAddr, requests: &RecordedRequests, args: &[&str]) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_cloverpier"))
         .args(args)
         .env("CLOVERPIER_ROUTER", router.to_string())
@@ -117,7 +117,7 @@
         .output()
         .unwrap();
     let mut text = format!("$ cloverpier {}\n", args.join(" "));
-    for request in seen.lock().unwrap().drain(..) {
+    for request in requests.lock().unwrap().drain(..) {
         let _ = writeln!(text, "-> {request}");
     }
     text += &String::from_utf8_lossy(&output.stdout);
@@ -130,7 +130,7 @@
 
 #[test]
 fn commands_keep_their_calls_and_output() {
-    let (router, seen) = start_router();
+    let (router, requests) = start_router();
     let dir = tempfile::tempdir().unwrap();
     let intent = dir.path().join("intent.toml");
     std::fs::write(&intent, "leave = [\"e2\"]\n").unwrap();
@@ -170,7 +170,7 @@
         &["--json", "drain", "e2"],
         &["--json", "addresses"],
     ] {
-        text += &run(router, &seen, args).replace(&intent, "INTENT");
+        text += &run_command(router, &requests, args).replace(&intent, "INTENT");
     }
     insta::assert_snapshot!(text);
 }
