--- a/crates/daemon/cloverpier_client/src/caller.rs
+++ b/crates/daemon/cloverpier_client/src/caller.rs
@@ -1,8 +1,9 @@
 //! A caller's client of the routers.
 //!
 //! [`Caller`] owns the addresses of the routers and retries requests over them: when the stream of an
-//! answer breaks off, it requests the rest at the next address with the id of the last event. It uses
-//! the system clock unless [`Caller::with_clock`] replaces it.
+//! answer breaks off, the caller sends the id of the last event to the next address, and the router
+//! there continues after that event, so that each token arrives once. It uses the system clock unless
+//! [`Caller::with_clock`] replaces it.
 
 use crate::events::Events;
 use crate::progress::{EventOutcome, Progress};
--- a/crates/daemon/cloverpier_config/src/model.rs
+++ b/crates/daemon/cloverpier_config/src/model.rs
@@ -112,7 +112,7 @@
     }
 }
 
-/// Whether an upstream takes new work.
+/// Whether routers send an upstream new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UpstreamState {
@@ -133,8 +133,9 @@
     pub address: SocketAddr,
     /// The data centre of the upstream; a router prefers upstreams of its own.
     pub data_centre: DataCentre,
-    /// Number of this use of the upstream's name, from 1. An operator raises the number to use the
-    /// name of an upstream that left again: a leave mark covers the incarnations up to the marked one.
+    /// Counts the upstreams that have had this name, from 1. An operator raises the number to reuse
+    /// the name of an upstream that left, because a leave mark covers all incarnations up to the
+    /// marked one.
     #[serde(default = "default_incarnation")]
     pub incarnation: u64,
     /// Whether the upstream receives new requests.
@@ -226,13 +227,14 @@
 /// A whole configuration: all services, upstreams and client accounts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Config {
-    /// Services by name.
+    /// All services, by name.
     #[serde(default)]
     pub services: BTreeMap<ServiceName, Service>,
-    /// Upstreams by name.
+    /// The upstreams of all services, by name.
     #[serde(default)]
     pub upstreams: BTreeMap<UpstreamName, Upstream>,
-    /// Client accounts by name; shared with the parts that contain them, as there are many accounts.
+    /// All client accounts, by name. The accounts are shared with the parts that contain them, because
+    /// there are many.
     #[serde(default)]
     pub accounts: BTreeMap<AccountName, Arc<Account>>,
 }
--- a/crates/daemon/cloverpier_config/src/parts.rs
+++ b/crates/daemon/cloverpier_config/src/parts.rs
@@ -2,7 +2,7 @@
 //!
 //! A stored value of the platform is limited to a megabyte, and the accounts alone take more. A
 //! change writes the parts that it affects, each under the digest of its content, and then the
-//! root; therefore a reader never sees a change by half. Owns no state and does no I/O.
+//! root, so that a reader never sees half of a change. Owns no state and does no I/O.
 
 use crate::model::{Account, Config, Service, Upstream};
 use crate::plan::PlanId;
@@ -34,14 +34,15 @@
     }
 }
 
-/// One part of a configuration: the services, upstreams and accounts whose names hash to its index.
+/// One of the [`PART_COUNT`] parts of a configuration. A hash of kind and name assigns each service,
+/// upstream and account to a part.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// Services by name.
+    /// The services of this part, by name.
     pub services: BTreeMap<ServiceName, Service>,
-    /// Upstreams by name.
+    /// The upstreams of this part, by name.
     pub upstreams: BTreeMap<UpstreamName, Upstream>,
-    /// Client accounts by name.
+    /// The client accounts of this part, by name.
     pub accounts: BTreeMap<AccountName, Arc<Account>>,
 }
 
--- a/crates/daemon/cloverpier_peer/src/message.rs
+++ b/crates/daemon/cloverpier_peer/src/message.rs
@@ -148,7 +148,7 @@
     Sync {
         /// The slot, which holds the records of all keys that hash to it.
         slot: Slot,
-        /// The epoch up to which claims are requested.
+        /// The last epoch of the requested records: those of claims of this and all earlier epochs.
         level: u64,
         /// The epoch of the sender's list of members.
         epoch: u64,
--- a/crates/daemon/cloverpier_upstream/src/statement.rs
+++ b/crates/daemon/cloverpier_upstream/src/statement.rs
@@ -21,7 +21,8 @@
     /// For how long this router must send the upstream no requests; `None` if the upstream has not
     /// requested a pause.
     pub wait: Option<Duration>,
-    /// Name and value of a header that can't be parsed and is otherwise ignored, for the log.
+    /// Name and value of a header that can't be parsed and is otherwise ignored, for the log; `None`
+    /// if there is no such header.
     pub unreadable: Option<String>,
 }
 
