--- a/crates/daemon/cloverpier_cli/src/args.rs
+++ b/crates/daemon/cloverpier_cli/src/args.rs
@@ -51,7 +51,7 @@
     Key(Key),
     /// Prints the routers' addresses for callers.
     Addresses(Addresses),
-    /// Streams an answer of a model service.
+    /// Streams a generated response of a model service.
     Generate(Generate),
     /// Calls a plain service.
     Call(Call),
@@ -87,14 +87,14 @@
 #[argh(subcommand, name = "addresses")]
 pub struct Addresses {}
 
-/// stream an answer; the account's key is taken from `CLOVERPIER_KEY`
+/// stream a generated response; the account's key is taken from `CLOVERPIER_KEY`
 #[derive(FromArgs)]
 #[argh(subcommand, name = "generate")]
 pub struct Generate {
     /// name of the model service
     #[argh(option)]
     pub service: String,
-    /// upper bound of the answer's tokens (default: 64)
+    /// upper bound of the response's tokens (default: 64)
     #[argh(option, default = "64")]
     pub max_tokens: u32,
     /// priority of the request, 0 to 9, at most that of the account (default: 0)
@@ -103,7 +103,7 @@
     /// idempotency key of the request (default: the router assigns a key)
     #[argh(option, default = "String::new()")]
     pub key: String,
-    /// text to generate an answer for
+    /// text to generate a response to
     #[argh(positional)]
     pub prompt: String,
 }
--- a/crates/daemon/cloverpier_cli/src/caller.rs
+++ b/crates/daemon/cloverpier_cli/src/caller.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Streams an answer and prints its tokens as they arrive.
+/// Streams a generated response and prints its tokens as they arrive.
 pub async fn generate(args: &Args, ask: &Generate) -> Outcome {
     let (caller, _) = match caller_from_args(args) {
         Ok(found) => found,
@@ -73,18 +73,18 @@
     });
     match streamed.await {
         Err(e) => Outcome::Failed(e.to_string()),
-        Ok(answer) => {
+        Ok(response) => {
             if args.json {
                 let line = json!({
-                    "text": answer.text(), "tokens": answer.tokens.len(),
-                    "proved": answer.is_verified, "repeated": answer.repeated,
-                    "connections": answer.connections,
+                    "text": response.text(), "tokens": response.tokens.len(),
+                    "proved": response.is_verified, "repeated": response.repeated,
+                    "connections": response.connections,
                 });
                 println!("{line}");
             } else {
                 println!();
             }
-            if answer.is_verified {
+            if response.is_verified {
                 Outcome::Done
             } else {
                 Outcome::Failed(
--- a/crates/daemon/cloverpier_client/src/caller.rs
+++ b/crates/daemon/cloverpier_client/src/caller.rs
@@ -1,9 +1,9 @@
 //! A caller's client of the routers.
 //!
-//! [`Caller`] owns the addresses of the routers and retries requests over them: when the stream of an
-//! answer breaks off, the caller sends the id of the last event to the next address, and the router
-//! there continues after that event, so that each token arrives once. It uses the system clock unless
-//! [`Caller::with_clock`] replaces it.
+//! [`Caller`] owns the addresses of the routers and retries requests over them: when the stream of a
+//! generated response breaks off, the caller sends the id of the last event to the next address, and
+//! the router there continues after that event, so that each token arrives once. It uses the system
+//! clock unless [`Caller::with_clock`] replaces it.
 
 use crate::events::Events;
 use crate::progress::{EventOutcome, Progress};
@@ -27,8 +27,8 @@
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(10);
 /// Upper bound of the delay before a retry.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// A stream without an event for this time is abandoned, and the rest of the answer requested at
-/// another router. Routers move an answer from a silent engine to another one much earlier.
+/// A stream without an event for this time is abandoned, and the rest of the response requested at
+/// another router. Routers move a generation from a silent engine to another one much earlier.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// The default of [`GenerateRequest::timeout`].
@@ -56,14 +56,14 @@
     pub addresses: Vec<RouterAddress>,
 }
 
-/// A request to generate an answer.
+/// A request to generate a response to a prompt.
 #[derive(Clone, Debug)]
 pub struct GenerateRequest {
     /// Name of the model service.
     pub service: String,
-    /// The text to generate an answer for.
+    /// The text to generate a response to.
     pub prompt: String,
-    /// Upper bound of the answer's tokens.
+    /// Upper bound of the response's tokens.
     pub max_tokens: u32,
     /// 0 to 9; a router's queue serves higher priorities first.
     pub priority: u8,
@@ -88,7 +88,7 @@
     }
 }
 
-/// A token of an answer, with the time and source of its arrival.
+/// A token of a generated response, with the time and source of its arrival.
 #[derive(Clone, Debug)]
 pub struct ReceivedToken {
     /// Text of the token.
@@ -99,9 +99,9 @@
     pub from: SocketAddr,
 }
 
-/// An answer that arrived to its end.
+/// A complete generated response, which may have arrived over several connections.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct GeneratedResponse {
     /// All tokens in the order of their arrival.
     pub tokens: Vec<ReceivedToken>,
     /// Whether the number and the digest of the tokens are those that the router reported at the end.
@@ -112,14 +112,14 @@
     pub connections: u32,
 }
 
-impl Answer {
+impl GeneratedResponse {
     /// The texts of all tokens, joined.
     pub fn text(&self) -> String {
         self.tokens.iter().map(|t| &*t.text).collect()
     }
 }
 
-/// The reason why a call has no answer.
+/// The reason why a call has no complete response.
 #[derive(Debug, Snafu)]
 pub enum CallError {
     /// A router refused the request, or ended the stream with an error that excludes a retry.
@@ -167,11 +167,11 @@
     next: usize,
 }
 
-/// The outcome of one connection for an answer.
+/// The outcome of one connection for a generated response.
 enum ConnectionOutcome {
-    /// The answer is complete.
+    /// The generated response is complete.
     Done,
-    /// The rest of the answer has to be requested over another connection.
+    /// The rest of the generated response has to be requested over another connection.
     Broken,
     Refused(CallError),
 }
@@ -249,8 +249,8 @@
         state.addresses[turn % state.addresses.len()]
     }
 
-    /// Streams an answer to its end, over as many connections as necessary, and calls `on_token` for
-    /// each token as it arrives.
+    /// Streams a generated response to its end, over as many connections as necessary, and calls
+    /// `on_token` for each token as it arrives.
     ///
     /// # Errors
     ///
@@ -261,7 +261,7 @@
         &self,
         request: &GenerateRequest,
         mut on_token: impl FnMut(&ReceivedToken),
-    ) -> Result<Answer, CallError> {
+    ) -> Result<GeneratedResponse, CallError> {
         let until = self.clock.now() + request.timeout;
         let mut progress = Progress::new(request);
         let mut pause = INITIAL_RETRY_DELAY;
@@ -276,7 +276,7 @@
                 pause = INITIAL_RETRY_DELAY;
             }
             match outcome {
-                ConnectionOutcome::Done => return Ok(progress.into_answer()),
+                ConnectionOutcome::Done => return Ok(progress.into_response()),
                 ConnectionOutcome::Refused(error) => {
                     if self.clock.now() >= until || !is_retryable(&error) {
                         return Err(error);
@@ -315,8 +315,8 @@
         read_events(Events::new(res), router, progress, &*self.clock, on_token).await
     }
 
-    /// Builds the HTTP request for an answer, or for the rest of the answer after the last event that
-    /// arrived.
+    /// Builds the HTTP request for a generated response, or for the rest of it after the last event
+    /// that arrived.
     fn completion_request(
         &self,
         request: &GenerateRequest,
@@ -374,7 +374,7 @@
     }
 }
 
-/// Reads events until the answer ends, the stream breaks, or no event arrives for
+/// Reads events until the generated response ends, the stream breaks, or no event arrives for
 /// [`STREAM_IDLE_TIMEOUT`].
 async fn read_events(
     mut events: Events,
--- a/crates/daemon/cloverpier_client/src/progress.rs
+++ b/crates/daemon/cloverpier_client/src/progress.rs
@@ -1,9 +1,9 @@
-//! The state of an answer whose events arrive over one connection or several.
+//! The state of a generated response whose events arrive over one connection or several.
 //!
 //! Owns the tokens received so far and their digest. Tokens are taken in the order of their arrival;
 //! a repeated or missing one shows in the digest, which is compared with the router's at the end.
 
-use crate::caller::{Answer, CallError, GenerateRequest, ReceivedToken};
+use crate::caller::{CallError, GenerateRequest, GeneratedResponse, ReceivedToken};
 use crate::events::Event;
 use cloverpier_core::TokenDigest;
 use reqwest::StatusCode;
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The received part of an answer, and what is necessary to request the rest.
+/// The received part of a generated response, and what is necessary to request the rest.
 #[derive(Debug)]
 pub(crate) struct Progress {
     /// The idempotency key; empty until the router's response has the key that it assigned.
@@ -23,17 +23,17 @@
     digest: TokenDigest,
     is_verified: bool,
     repeated: u64,
-    /// Number of connections attempted for this answer.
+    /// Number of connections attempted for this response.
     pub(crate) connections: u32,
 }
 
-/// The effect of an event on the answer.
+/// The effect of an event on the generated response.
 pub(crate) enum EventOutcome {
     /// A token was added.
     Token,
     /// The event has no token; it may contain the router's count and digest.
     Ignored,
-    /// The answer is complete.
+    /// The response is complete.
     Done,
     /// The router ended the stream with an error; `None` if the rest can be requested again.
     Failed(Option<CallError>),
@@ -52,8 +52,8 @@
         }
     }
 
-    pub(crate) fn into_answer(self) -> Answer {
-        Answer {
+    pub(crate) fn into_response(self) -> GeneratedResponse {
+        GeneratedResponse {
             tokens: self.tokens,
             is_verified: self.is_verified,
             repeated: self.repeated,
@@ -71,7 +71,7 @@
             return EventOutcome::Done;
         }
         // Invalid JSON is treated as an object without fields. If the event has a token, the token is
-        // empty, and the digest of the whole answer shows the error.
+        // empty, and the digest of the whole response shows the error.
         let data: Value = serde_json::from_str(&event.data).unwrap_or_default();
         if event.kind.as_deref() == Some("error") {
             return self.on_error(&data);
--- a/crates/daemon/cloverpier_config/src/check.rs
+++ b/crates/daemon/cloverpier_config/src/check.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Upper bound of a service's `copies`: routers can't keep a second copy of an answer
+/// Upper bound of a service's `copies`: routers can't keep a second copy of a response
 /// (docs/DESIGN.md).
 pub const MAX_COPIES: u8 = 1;
 /// The highest request priority; the lowest is 0.
--- a/crates/daemon/cloverpier_config/src/model.rs
+++ b/crates/daemon/cloverpier_config/src/model.rs
@@ -62,7 +62,7 @@
     /// How long a generation keeps running without a connected caller, in milliseconds.
     #[serde(default = "default_linger_ms")]
     pub linger_ms: u64,
-    /// Upper bound of the tokens of one answer.
+    /// Upper bound of the tokens of one generated response.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
     /// How long a request may wait in the queue for a free slot of an engine, in milliseconds.
--- a/crates/daemon/cloverpier_daemon/src/admission/mod.rs
+++ b/crates/daemon/cloverpier_daemon/src/admission/mod.rs
@@ -143,13 +143,13 @@
         if lender.id == app.me.id {
             return Some(self.lend(app, name, need, want));
         }
-        let request = PeerRequest::Borrow {
+        let request = PeerRequest::RequestQuota {
             account: name.clone(),
             need,
             want,
         };
         match app.ask(&lender.id, &request, BORROW_TIMEOUT).await? {
-            PeerReply::Loan(loan) => Some(loan),
+            PeerReply::QuotaGrant(loan) => Some(loan),
             _ => None,
         }
     }
--- a/crates/daemon/cloverpier_daemon/src/answers/outbox.rs
+++ b/crates/daemon/cloverpier_daemon/src/answers/outbox.rs
@@ -123,8 +123,8 @@
             lock(&app.answers.directory).note(note.key.clone(), note.holder.clone(), now);
             continue;
         }
-        let request = PeerRequest::Note {
-            notes: vec![note.clone()],
+        let request = PeerRequest::StoreLocations {
+            locations: vec![note.clone()],
         };
         app.ask(&member, &request, NOTE_TIMEOUT).await;
     }
--- a/crates/daemon/cloverpier_daemon/src/claims.rs
+++ b/crates/daemon/cloverpier_daemon/src/claims.rs
@@ -134,7 +134,7 @@
 
 /// Writes what became of a request down at its holders.
 pub async fn settle(app: &App, written: &Written, outcome: &Outcome) {
-    let request = PeerRequest::Settle {
+    let request = PeerRequest::RecordOutcome {
         key: written.key.clone(),
         claim: written.claim.clone(),
         outcome: outcome.clone(),
--- a/crates/daemon/cloverpier_daemon/src/config/acceptance.rs
+++ b/crates/daemon/cloverpier_daemon/src/config/acceptance.rs
@@ -144,7 +144,7 @@
         versions: app.versions(),
     };
     match app.peers.call(peers_at, &request, ASK_TIMEOUT).await {
-        Ok(PeerReply::Here { versions, guests }) => Asked {
+        Ok(PeerReply::Heartbeat { versions, guests }) => Asked {
             router: Some(router(Some(versions.config))),
             guests,
         },
--- a/crates/daemon/cloverpier_daemon/src/config/leave.rs
+++ b/crates/daemon/cloverpier_daemon/src/config/leave.rs
@@ -30,7 +30,7 @@
         return Err(error.at("upstream"));
     }
     let marks = lock(&app.view).marks().clone();
-    let request = PeerRequest::Marks { marks };
+    let request = PeerRequest::LeaveMarks { marks };
     let list = app.members();
     let others = list.members.iter().filter(|m| m.id != app.me.id);
     let told = others.map(|m| async {
--- a/crates/daemon/cloverpier_daemon/src/members/tick.rs
+++ b/crates/daemon/cloverpier_daemon/src/members/tick.rs
@@ -102,7 +102,7 @@
         return;
     };
     let reply = app.peers.call(peers_at, &request, HEARTBEAT_TIMEOUT).await;
-    if let Ok(PeerReply::Here { versions, .. }) = reply {
+    if let Ok(PeerReply::Heartbeat { versions, .. }) = reply {
         // Another run on the same VM is not the member that was asked for.
         if versions.member == to {
             lock(&app.cluster).on_peer(&to, app.now());
--- a/crates/daemon/cloverpier_daemon/src/members/updates.rs
+++ b/crates/daemon/cloverpier_daemon/src/members/updates.rs
@@ -42,11 +42,11 @@
 
 /// Exchanges what is known of contents that ended upstreams with a peer.
 async fn exchange_crashes(app: &App, peers_at: SocketAddr) {
-    let request = PeerRequest::Crashes {
+    let request = PeerRequest::CrashReports {
         reports: app.crashes.reports(app.now()),
     };
     let reply = app.peers.call(peers_at, &request, PULL_TIMEOUT).await;
-    if let Ok(PeerReply::Crashes(reports)) = reply {
+    if let Ok(PeerReply::CrashReports(reports)) = reply {
         crashes::merge(app, &reports, &peers_at.to_string());
     }
 }
@@ -54,9 +54,9 @@
 /// Exchanges marks to leave with a peer.
 pub async fn pull_marks(app: &App, peers_at: SocketAddr) {
     let marks = lock(&app.view).marks().clone();
-    let request = PeerRequest::Marks { marks };
+    let request = PeerRequest::LeaveMarks { marks };
     let reply = app.peers.call(peers_at, &request, PULL_TIMEOUT).await;
-    if let Ok(PeerReply::Marks(marks)) = reply {
+    if let Ok(PeerReply::LeaveMarks(marks)) = reply {
         merge(app, &marks);
     }
 }
--- a/crates/daemon/cloverpier_daemon/src/web/peers.rs
+++ b/crates/daemon/cloverpier_daemon/src/web/peers.rs
@@ -94,15 +94,15 @@
     match request {
         PeerRequest::Heartbeat { versions } => on_heartbeat(app, versions),
         PeerRequest::Join { member } => on_join(app, member),
-        PeerRequest::Borrow {
+        PeerRequest::RequestQuota {
             account,
             need,
             want,
-        } => PeerReply::Loan(app.admission.lend(app, &account, need, want)),
+        } => PeerReply::QuotaGrant(app.admission.lend(app, &account, need, want)),
         PeerRequest::Probe { peers_at } => on_probe(app, peers_at).await,
         PeerRequest::Append { owner, entries } => on_append(app, &owner, entries),
         PeerRequest::Seal { key, term, owner } => on_seal(app, &key, term, &owner),
-        PeerRequest::Note { notes } => on_note(app, notes),
+        PeerRequest::StoreLocations { locations } => on_note(app, locations),
         PeerRequest::Locate { key } => on_locate(app, &key),
         PeerRequest::Claim {
             epoch,
@@ -110,7 +110,7 @@
             body,
             claim,
         } => on_claim(app, epoch, &key, body, &claim),
-        PeerRequest::Settle {
+        PeerRequest::RecordOutcome {
             key,
             claim,
             outcome,
@@ -120,17 +120,19 @@
         PeerRequest::PullMembers => PeerReply::Members((*app.members()).clone()),
         PeerRequest::PullRoot => PeerReply::Root(lock(&app.applied).root().clone()),
         PeerRequest::PullParts { digests } => PeerReply::Parts(lock(&app.applied).parts(&digests)),
-        PeerRequest::Crashes { reports } => {
+        PeerRequest::CrashReports { reports } => {
             crashes::merge(app, &reports, "a peer");
-            PeerReply::Crashes(app.crashes.reports(app.now()))
+            PeerReply::CrashReports(app.crashes.reports(app.now()))
+        }
+        PeerRequest::LeaveMarks { marks } => {
+            PeerReply::LeaveMarks(members::push_marks(app, &marks))
         }
-        PeerRequest::Marks { marks } => PeerReply::Marks(members::push_marks(app, &marks)),
     }
 }
 
 fn on_join(app: &App, member: Member) -> PeerReply {
     lock(&app.cluster).on_join_asked(member);
-    PeerReply::Done
+    PeerReply::Acknowledged
 }
 
 fn on_append(app: &App, owner: &MemberId, entries: Vec<Entry>) -> PeerReply {
@@ -151,7 +153,7 @@
     for note in notes {
         directory.note(note.key, note.holder, now);
     }
-    PeerReply::Done
+    PeerReply::Acknowledged
 }
 
 /// Where a copy is: here, or where the directory says.
@@ -173,12 +175,12 @@
 
 fn on_settle(app: &App, key: &RequestKey, claim: &ClaimId, outcome: Outcome) -> PeerReply {
     lock(&app.records).on_outcome(key, claim, outcome);
-    PeerReply::Done
+    PeerReply::Acknowledged
 }
 
 fn on_release(app: &App, key: &RequestKey, claim: &ClaimId) -> PeerReply {
     lock(&app.records).on_release(key, claim);
-    PeerReply::Done
+    PeerReply::Acknowledged
 }
 
 fn on_sync(app: &App, slot: Slot, level: u64, epoch: u64) -> PeerReply {
@@ -195,7 +197,7 @@
     let peers_at = versions.peers_at;
     let pulls = Arc::clone(app);
     tokio::spawn(async move { members::on_versions(&pulls, versions, peers_at).await });
-    PeerReply::Here {
+    PeerReply::Heartbeat {
         versions: app.versions(),
         guests,
     }
--- a/crates/daemon/cloverpier_daemon/tests/sessions.rs
+++ b/crates/daemon/cloverpier_daemon/tests/sessions.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 
 /// What a caller sees of an answer, without what varies.
-fn seen(answer: &Result<cloverpier_client::Answer, CallError>) -> Value {
+fn seen(answer: &Result<cloverpier_client::GeneratedResponse, CallError>) -> Value {
     match answer {
         Ok(a) => json!({
             "tokens": a.tokens.len(),
@@ -34,7 +34,7 @@
     site: &Site,
     ask: GenerateRequest,
 ) -> (
-    tokio::task::JoinHandle<Result<cloverpier_client::Answer, CallError>>,
+    tokio::task::JoinHandle<Result<cloverpier_client::GeneratedResponse, CallError>>,
     mpsc::UnboundedReceiver<cloverpier_client::ReceivedToken>,
 ) {
     let caller = Arc::new(site.caller(0));
--- a/crates/daemon/cloverpier_peer/src/message.rs
+++ b/crates/daemon/cloverpier_peer/src/message.rs
@@ -51,12 +51,12 @@
     pub peers_at: SocketAddr,
 }
 
-/// The member that holds the copy of a request's answer.
+/// The member that holds the copy of a request's response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CopyLocation {
     /// The key of the request.
     pub key: RequestKey,
-    /// The member that the answer's tokens are copied to.
+    /// The member that the tokens of the response are copied to.
     pub holder: MemberId,
 }
 
@@ -74,9 +74,10 @@
         /// The sender, as an entry of the list.
         member: Member,
     },
-    /// Requests quota of a client account's rate limit from the receiver, which lends the limit to all
-    /// routers.
-    Borrow {
+    /// Requests quota of a client account's rate limit from the receiver, which distributes the limit
+    /// among all routers.
+    #[serde(rename = "Borrow")]
+    RequestQuota {
         /// The name of the account.
         account: AccountName,
         /// The quota that the sender's current request needs.
@@ -90,31 +91,33 @@
         /// The address at which that member accepts peer messages.
         peers_at: SocketAddr,
     },
-    /// Adds tokens to the copies that the receiver holds of the sender's answers.
+    /// Adds tokens to the copies that the receiver holds of the sender's responses.
     Append {
-        /// The sender, which owns all answers of `entries`.
+        /// The sender, which owns all responses of `entries`.
         owner: MemberId,
-        /// The new tokens, in one batch for each answer.
+        /// The new tokens, in one batch for each response.
         entries: Vec<Entry>,
     },
-    /// Makes the sender the owner of an answer: the receiver rejects owners of lower terms from then
+    /// Makes the sender the owner of a response: the receiver rejects owners of lower terms from then
     /// on, and replies with its copy.
     Seal {
-        /// The key of the answer's request.
+        /// The key of the request.
         key: RequestKey,
         /// The new owner's term.
         term: u64,
         /// The sender.
         owner: MemberId,
     },
-    /// Stores in the receiver's directory which members hold the copies of answers.
-    Note {
-        /// One location for each answer.
-        notes: Vec<CopyLocation>,
+    /// Stores in the receiver's directory which members hold the copies of responses.
+    #[serde(rename = "Note")]
+    StoreLocations {
+        /// One location for each response.
+        #[serde(rename = "notes")]
+        locations: Vec<CopyLocation>,
     },
-    /// Requests the member that holds the copy of an answer.
+    /// Requests the member that holds the copy of a response.
     Locate {
-        /// The key of the answer's request.
+        /// The key of the request.
         key: RequestKey,
     },
     /// Claims a request that may be executed at most once, before the sender dispatches it.
@@ -129,7 +132,8 @@
         claim: ClaimId,
     },
     /// Records the outcome of a claimed request.
-    Settle {
+    #[serde(rename = "Settle")]
+    RecordOutcome {
         /// The key of the request.
         key: RequestKey,
         /// The id of the claim that the request was dispatched under.
@@ -163,13 +167,15 @@
         digests: Vec<PartDigest>,
     },
     /// Adds the sender's leave marks to those of the receiver, which replies with all of its marks.
-    Marks {
+    #[serde(rename = "Marks")]
+    LeaveMarks {
         /// The sender's leave marks.
         marks: LeaveMarks,
     },
     /// Adds the sender's reports on request contents that crashed upstreams to those of the receiver,
     /// which replies with all of its reports.
-    Crashes {
+    #[serde(rename = "Crashes")]
+    CrashReports {
         /// The sender's reports.
         reports: Vec<ContentReport>,
     },
@@ -179,14 +185,17 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerReply {
     /// The reply to [`PeerRequest::Heartbeat`].
-    Here {
+    #[serde(rename = "Here")]
+    Heartbeat {
         /// The receiver's id, address and versions.
         versions: Versions,
         /// The guests from which the receiver recently received a heartbeat.
         guests: Vec<Guest>,
     },
-    /// The reply to [`PeerRequest::Borrow`]: the quota lent, or the time until there is enough.
-    Loan(Loan),
+    /// The reply to [`PeerRequest::RequestQuota`]: the granted quota, or the time until there is
+    /// enough.
+    #[serde(rename = "Loan")]
+    QuotaGrant(Loan),
     /// The reply to [`PeerRequest::Probe`].
     Probed {
         /// Whether the member replied to the receiver's heartbeat.
@@ -211,13 +220,16 @@
     Root(Root),
     /// The reply to [`PeerRequest::PullParts`]: those of the requested parts that the receiver has.
     Parts(Vec<Part>),
-    /// The reply to [`PeerRequest::Marks`]: all leave marks of the receiver.
-    Marks(LeaveMarks),
-    /// The reply to [`PeerRequest::Crashes`]: all reports of the receiver.
-    Crashes(Vec<ContentReport>),
-    /// The reply to [`PeerRequest::Join`], [`PeerRequest::Note`], [`PeerRequest::Settle`] and
-    /// [`PeerRequest::Release`].
-    Done,
+    /// The reply to [`PeerRequest::LeaveMarks`]: all leave marks of the receiver.
+    #[serde(rename = "Marks")]
+    LeaveMarks(LeaveMarks),
+    /// The reply to [`PeerRequest::CrashReports`]: all reports of the receiver.
+    #[serde(rename = "Crashes")]
+    CrashReports(Vec<ContentReport>),
+    /// The reply without content to [`PeerRequest::Join`], [`PeerRequest::StoreLocations`],
+    /// [`PeerRequest::RecordOutcome`] and [`PeerRequest::Release`].
+    #[serde(rename = "Done")]
+    Acknowledged,
 }
 
 /// The reason why a message could not be encoded or decoded.
--- a/crates/daemon/cloverpier_peer/tests/wire.rs
+++ b/crates/daemon/cloverpier_peer/tests/wire.rs
@@ -164,7 +164,7 @@
             versions: versions(),
         },
         PeerRequest::Join { member: member(3) },
-        PeerRequest::Borrow {
+        PeerRequest::RequestQuota {
             account: "lab".into(),
             need: quota(1.0),
             want: quota(2.5),
@@ -181,8 +181,8 @@
             term: 51,
             owner: MemberId::new("vm-3~7"),
         },
-        PeerRequest::Note {
-            notes: vec![CopyLocation {
+        PeerRequest::StoreLocations {
+            locations: vec![CopyLocation {
                 key: key.clone(),
                 holder: MemberId::new("vm-2~7"),
             }],
@@ -194,7 +194,7 @@
             body: 53,
             claim: claim(),
         },
-        PeerRequest::Settle {
+        PeerRequest::RecordOutcome {
             key: key.clone(),
             claim: claim(),
             outcome: done_outcome(),
@@ -213,7 +213,7 @@
         PeerRequest::PullParts {
             digests: parts().iter().map(Part::digest).collect(),
         },
-        PeerRequest::Marks { marks: marks() },
+        PeerRequest::LeaveMarks { marks: marks() },
     ]
 }
 
@@ -231,15 +231,15 @@
         peers_at: address(7209),
     };
     vec![
-        PeerReply::Here {
+        PeerReply::Heartbeat {
             versions: versions(),
             guests: vec![guest],
         },
-        PeerReply::Loan(Loan::Lent(Quota {
+        PeerReply::QuotaGrant(Loan::Lent(Quota {
             requests: 1.5,
             tokens: 2.5,
         })),
-        PeerReply::Loan(Loan::Short { wait_ms: 63 }),
+        PeerReply::QuotaGrant(Loan::Short { wait_ms: 63 }),
         PeerReply::Probed { reached: true },
         PeerReply::Appended(vec![
             AppendReply::Held {
@@ -269,8 +269,8 @@
         PeerReply::Members(members()),
         PeerReply::Root(root()),
         PeerReply::Parts(parts()),
-        PeerReply::Marks(marks()),
-        PeerReply::Done,
+        PeerReply::LeaveMarks(marks()),
+        PeerReply::Acknowledged,
     ]
 }
 
@@ -328,10 +328,10 @@
     };
     let reports = crash_reports();
     let mut text = encode_to_text(&PeerRequest::Heartbeat { versions });
-    text += &encode_to_text(&PeerRequest::Crashes {
+    text += &encode_to_text(&PeerRequest::CrashReports {
         reports: reports.clone(),
     });
-    text += &encode_to_text(&PeerReply::Crashes(reports));
+    text += &encode_to_text(&PeerReply::CrashReports(reports));
     insta::assert_snapshot!(text);
 }
 
--- a/crates/daemon/cloverpier_upstream/src/engine.rs
+++ b/crates/daemon/cloverpier_upstream/src/engine.rs
@@ -162,7 +162,7 @@
         Ok(EventStream::new(res))
     }
 
-    /// Cancels a generation whose answer is no longer needed, and ignores a failure to do so.
+    /// Cancels a generation whose tokens are no longer needed, and ignores a failure to do so.
     pub async fn cancel(&self, generation: &str) {
         let body = GenerationBody {
             generation: generation.to_owned(),
--- a/crates/daemon/cloverpier_upstream/src/wire.rs
+++ b/crates/daemon/cloverpier_upstream/src/wire.rs
@@ -14,11 +14,11 @@
     pub generation: String,
     /// The model that the engine must have loaded.
     pub model: ModelName,
-    /// The text to generate an answer for.
+    /// The text to generate a response to.
     pub prompt: Arc<str>,
-    /// Tokens of the answer that earlier attempts generated; the generation continues after them.
+    /// The first tokens of the response, from earlier attempts; the generation continues after them.
     pub prefix: Vec<Arc<str>>,
-    /// Upper bound of the tokens of the whole answer, including `prefix`.
+    /// Upper bound of the tokens of the whole response, including `prefix`.
     pub max_tokens: u32,
     /// 0 to 9; the engine starts requests of higher priority first.
     pub priority: u8,
@@ -31,7 +31,8 @@
 pub struct GenerationBody {
     /// Id of the generation, as in [`GenerateBody::generation`].
     pub generation: String,
-    /// Offset in the whole answer of the first token to send again; a cancellation ignores it.
+    /// Offset in the whole response, including the request's prefix, of the first token to send again;
+    /// a cancellation ignores it.
     #[serde(default)]
     pub offset: u64,
 }
@@ -42,16 +43,16 @@
 pub enum EngineEvent {
     /// A generated token.
     Token {
-        /// Number of tokens before this one in the whole answer, including the request's prefix.
+        /// Number of tokens before this one in the whole response, including the request's prefix.
         offset: u64,
         /// Text of the token.
         text: Arc<str>,
     },
     /// The end of the generation, after the last token.
     Finish {
-        /// Number of tokens in the whole answer, including the request's prefix.
+        /// Number of tokens in the whole response, including the request's prefix.
         at: u64,
-        /// Whether the answer ended because it reached `max_tokens`.
+        /// Whether the response ended because it reached `max_tokens`.
         length: bool,
     },
 }
--- a/tools/src/bin/demo.rs
+++ b/tools/src/bin/demo.rs
@@ -1,6 +1,6 @@
 //! `cargo demo`: one answer that outlives its engine and then its router.
 
-use cloverpier_client::{Answer, GenerateRequest, ReceivedToken};
+use cloverpier_client::{GenerateRequest, GeneratedResponse, ReceivedToken};
 use cloverpier_daemon_standin::check_speech;
 use cloverpier_tools::fleet::{Fleet, FleetSpec};
 use cloverpier_tools::process::build_programs;
@@ -115,7 +115,7 @@
     }
 }
 
-fn print_result(answer: &Answer, faults: &[Fault]) -> bool {
+fn print_result(answer: &GeneratedResponse, faults: &[Fault]) -> bool {
     for fault in faults {
         let next = answer
             .tokens
--- a/tools/src/load.rs
+++ b/tools/src/load.rs
@@ -1,7 +1,7 @@
 //! Load from callers, and what they received.
 
 use crate::fleet::Fleet;
-use cloverpier_client::{Answer, CallError, Caller, GenerateRequest};
+use cloverpier_client::{CallError, Caller, GenerateRequest, GeneratedResponse};
 use cloverpier_daemon_standin::{SpeechFault, check_speech};
 use futures_util::future::join_all;
 use std::sync::Arc;
@@ -43,7 +43,7 @@
     /// When it had the last token or gave up.
     pub ended: Instant,
     /// The answer.
-    pub answer: Result<Answer, CallError>,
+    pub answer: Result<GeneratedResponse, CallError>,
     /// Tokens asked for.
     pub wanted: u64,
 }
@@ -130,7 +130,7 @@
     answers.filter_map(|a| resume_time(a, fault)).collect()
 }
 
-fn resume_time(answer: &Answer, fault: Instant) -> Option<Duration> {
+fn resume_time(answer: &GeneratedResponse, fault: Instant) -> Option<Duration> {
     let engine = |text: &str| text.get(..5).map(str::to_owned);
     let moved = answer.tokens.windows(2).find(|pair| {
         let other = pair[0].from != pair[1].from || engine(&pair[0].text) != engine(&pair[1].text);
