--- a/crates/daemon/cloverpier_daemon/src/app.rs
+++ b/crates/daemon/cloverpier_daemon/src/app.rs
@@ -7,17 +7,17 @@
 use crate::answers::table::Answers;
 use crate::crashes::state::Crashes;
 use crate::members::cluster::Cluster;
-use cloverpier_config::{Applied, Config};
+use cloverpier_config::{AppliedConfig, Config};
 use cloverpier_core::{hash_of, lock, wall_ms};
 use cloverpier_member::{Member, MemberList};
-use cloverpier_object_api::{Platform, ReadError, WriteError};
+use cloverpier_object_api::{PlatformClient, ReadError, WriteError};
 use cloverpier_observe::{Log, Metrics};
-use cloverpier_peer::{PeerReply, PeerRequest, Peers, Versions};
+use cloverpier_peer::{PeerClient, PeerReply, PeerRequest, Versions};
 use cloverpier_record::{RecordRetention, Records};
 use cloverpier_route::UpstreamView;
 use cloverpier_settings::DaemonSettings;
 use cloverpier_timers::Timers;
-use cloverpier_upstream::Engines;
+use cloverpier_upstream::EnginePool;
 use reqwest::Client;
 use serde::Serialize;
 use std::net::SocketAddr;
@@ -42,18 +42,18 @@
     /// Monotonic time, and waits by it.
     pub timers: Timers,
     /// The platform.
-    pub platform: Platform,
+    pub platform: PlatformClient,
     /// Connections to peers.
-    pub peers: Peers,
+    pub peers: PeerClient,
     /// Connections to engines.
-    pub engines: Engines,
+    pub engines: EnginePool,
     /// Connections to plain services; none is kept, so that a call is never
     /// sent into a connection that is closing.
     pub plain: Client,
     /// Members, and the detector of silent ones.
     pub cluster: Mutex<Cluster>,
     /// The configuration in force.
-    pub applied: Mutex<Applied>,
+    pub applied: Mutex<AppliedConfig>,
     /// Upstreams as this router sees them.
     pub view: Mutex<UpstreamView>,
     /// Seeded choices.
@@ -92,9 +92,9 @@
         Arc::new(Self {
             log,
             metrics,
-            platform: Platform::new(settings.platform),
-            peers: Peers::new(settings.peer_secret.clone()),
-            engines: Engines::new(),
+            platform: PlatformClient::new(settings.platform),
+            peers: PeerClient::new(settings.peer_secret.clone()),
+            engines: EnginePool::new(),
             plain: plain_client(),
             cluster: Mutex::new(Cluster::new(&me, now)),
             applied: Mutex::default(),
--- a/crates/daemon/cloverpier_daemon/src/config/acceptance.rs
+++ b/crates/daemon/cloverpier_daemon/src/config/acceptance.rs
@@ -144,11 +144,11 @@
         versions: app.versions(),
     };
     match app.peers.call(peers_at, &request, ASK_TIMEOUT).await {
-        Ok(PeerReply::Here { versions, guests }) => Asked {
+        Ok(PeerReply::Heartbeat { versions, guests }) => Asked {
             router: Some(router(Some(versions.config))),
             guests,
         },
-        Err(e) if e.nobody_listens() => Asked {
+        Err(e) if e.is_connect_error() => Asked {
             router: None,
             guests: Vec::new(),
         },
